--- a/membership/join.go
+++ b/membership/join.go
@@ -25,13 +25,14 @@
 	Addr string
 }
 
-// seed is an address at which a node may be reached. tried says that it was
-// dialled from a cluster that does not know it; configured, that the log must
-// not displace it.
+// seed is an address at which a node may be reached.
 type seed struct {
-	addr       string
-	id         wire.NodeID
-	tried      bool
+	addr string
+	id   wire.NodeID
+	// tried says that this node dialled the seed in search of a separate
+	// cluster.
+	tried bool
+	// configured says that seeds from the log must not replace this one.
 	configured bool
 }
 
@@ -41,9 +42,8 @@
 	next int
 }
 
-// add limits configured seeds to half of the list, so that seeds from the log
-// still fit. The settings may list addresses of peers that are not members
-// yet.
+// add adds a seed, or replaces the one with the same address. Configured seeds
+// take at most half of the list, so that seeds from the log always fit.
 func (s *seedList) add(candidate seed, limit int) {
 	candidate.configured = candidate.configured && s.configuredCount() < limit/2
 	for i, have := range s.list {
@@ -152,7 +152,8 @@
 	return m.log.nextOffset, tailRecords, true
 }
 
-// LogPage processes a page that the shell read from the log.
+// LogPage processes a page that the shell read from the log. The first page
+// only sets the position to read from.
 func (m *Members) LogPage(now time.Time, page applog.Page) {
 	m.advance(now)
 	l := &m.log
@@ -196,7 +197,8 @@
 	}
 }
 
-// trySeedsFirst dials the new seeds before this node announces itself.
+// trySeedsFirst schedules a dial of the new seeds and delays this node's own
+// announcement.
 func (m *Members) trySeedsFirst() {
 	m.seeds.next = m.rng.IntN(len(m.seeds.list))
 	m.due.join = m.clock + m.uniform(m.cfg.JoinInterval)
@@ -284,9 +286,9 @@
 	m.log.nextAnnounce = min(m.log.nextAnnounce, retryAt)
 }
 
-// newSeedWait is the time until a new seed announces itself. A cluster that
-// formed apart during a log outage is found after it. It is long enough for a
-// starting cluster to settle on its seeds.
+// newSeedWait is the mean time until a new seed announces itself, and so until
+// a cluster that formed apart during a log outage is found. It is long enough
+// for a starting cluster to agree on its seeds.
 const newSeedWait = time.Minute
 
 // announceRetryWait is the mean time until a failed announcement is retried.
--- a/membership/members.go
+++ b/membership/members.go
@@ -117,7 +117,7 @@
 }
 
 // New returns the membership of the node that self describes, with no other
-// members. seed seeds the random choices.
+// members. seed initialises the random choices.
 func New(cfg Config, self Record, seed uint64) *Members {
 	m := &Members{
 		cfg:      cfg,
