--- a/membership/config.go
+++ b/membership/config.go
@@ -78,7 +78,7 @@
 	// Each attempt dials JoinAddrs addresses.
 	JoinInterval time.Duration
 	JoinAddrs    int
-	// MaxSeeds bounds the addresses kept from the log and the settings.
+	// MaxSeeds bounds the addresses of possible first peers that are kept.
 	MaxSeeds int
 	// AnnounceWithin is the longest wait of a node without peers before it
 	// first announces itself in the log. Most nodes wait nearly that long, so
--- a/membership/join.go
+++ b/membership/join.go
@@ -32,8 +32,8 @@
 	// tried says that this node dialled the seed in search of a separate
 	// cluster.
 	tried bool
-	// configured says that seeds from the log must not replace this one.
-	configured bool
+	// pinned says that seeds from the log must not replace this one.
+	pinned bool
 }
 
 // seedList is a bounded list; new seeds from the log replace the oldest ones.
@@ -42,28 +42,28 @@
 	next int
 }
 
-// add adds a seed, or replaces the one with the same address. Configured seeds
+// add adds a seed, or replaces the one with the same address. Pinned seeds
 // take at most half of the list, so that seeds from the log always fit.
 func (s *seedList) add(candidate seed, limit int) {
-	candidate.configured = candidate.configured && s.configuredCount() < limit/2
+	candidate.pinned = candidate.pinned && s.pinnedCount() < limit/2
 	for i, have := range s.list {
 		if have.addr == candidate.addr {
-			candidate.configured = candidate.configured || have.configured
+			candidate.pinned = candidate.pinned || have.pinned
 			candidate.tried = candidate.tried || (have.tried && have.id == candidate.id)
 			s.list[i] = candidate
 			return
 		}
 	}
 	if len(s.list) >= limit {
-		i := slices.IndexFunc(s.list, func(have seed) bool { return !have.configured })
+		i := slices.IndexFunc(s.list, func(have seed) bool { return !have.pinned })
 		s.list = slices.Delete(s.list, i, i+1)
 	}
 	s.list = append(s.list, candidate)
 }
 
-func (s *seedList) configuredCount() (count int) {
+func (s *seedList) pinnedCount() (count int) {
 	for _, have := range s.list {
-		if have.configured {
+		if have.pinned {
 			count++
 		}
 	}
@@ -117,12 +117,12 @@
 // drops its first record; all but one may fail.
 const announcesPerRetention = 4
 
-// Seeds adds addresses from the settings to the seeds. It ignores invalid
-// ones.
+// Seeds adds addresses from the settings or of connected peers to the seeds,
+// as pinned ones. It ignores invalid addresses.
 func (m *Members) Seeds(addrs []string) {
 	for _, addr := range addrs {
 		if validAddr(addr) && addr != m.self.PeerAddr {
-			m.seeds.add(seed{addr: addr, configured: true}, m.cfg.MaxSeeds)
+			m.seeds.add(seed{addr: addr, pinned: true}, m.cfg.MaxSeeds)
 		}
 	}
 }
