--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -6,16 +6,17 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// BenchmarkNode is what a node of the design size spends, without the graph's
-// part: update is one change coming in, whole is the state as one message.
+// BenchmarkNode measures the cost of one node at the design size, without the
+// graph's part: update applies one received change, whole encodes the whole
+// state.
 func BenchmarkNode(b *testing.B) {
 	w := designWorld()
 	s, peer := w.nodes[0].member.(*Spread), w.nodes[1].id
 	before := s.State()
-	w.inForce(0, everyNode)
-	news := s.offer()
-	news.Update = s.State().since(before.AsOf())
-	whole := s.State().since(0)
+	w.timeToApply(0, allNodes)
+	update := s.offer()
+	update.Update = s.State().updateSince(before.AsOf())
+	whole := s.State().updateSince(0)
 	var members []Peer
 	for _, n := range w.nodes {
 		members = append(members, Peer{ID: n.id, DataCentre: n.dataCentre})
@@ -31,7 +32,7 @@
 	run("members", func() { s.SetMembers(members) })
 	run("tick", func() { w.now = w.now.Add(tickMillis * 1e6); s.Tick(w.now) })
 	run("seen", func() { s.SawVersion(w.now, peer, 1) })
-	run("update", func() { s.follower.install(before); s.Receive(w.now, peer, news) })
+	run("update", func() { s.follower.install(before); s.Receive(w.now, peer, update) })
 	run("whole", func() { _, _ = wire.Marshal(whole) })
 	data, _ := wire.Marshal(whole)
 	b.Logf("whole state: %d bytes", len(data))
--- a/config/checkpoint.go
+++ b/config/checkpoint.go
@@ -6,27 +6,27 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// renewal plans this node's next checkpoint.
-type renewal struct {
-	newest  uint64        // as-of offset of the newest checkpoint known
-	renewAt time.Duration // when that is due to be renewed
+// checkpointPlan schedules this node's next checkpoint.
+type checkpointPlan struct {
+	newest  uint64        // as-of offset of the newest known checkpoint
+	renewAt time.Duration // when the newest checkpoint becomes due for renewal
 	due     time.Duration // when this node appends one, or never
 }
 
-// checkpoint appends one when it is due. Only a reader at the tail comes here;
-// two that append at the same time do no harm. Without checkpoints the log
-// would forget what was accepted, and a newcomer that finds no peer could
-// never judge a publication again.
+// checkpoint appends a checkpoint if one is due. Only readers at the tail of
+// the stream call it; concurrent appends by two readers are harmless. Without
+// checkpoints the log would trim accepted sections, and a starting node that
+// finds no peer could not judge any publication.
 func (s *Spread) checkpoint(a *Actions) {
 	st, now := s.State(), s.clock.elapsed
 	if st.version == 0 {
 		return
 	}
-	r := &s.renewal
+	r := &s.checkpointPlan
 	if r.newest != st.checkpoint {
-		*r = renewal{newest: st.checkpoint, renewAt: now + s.cfg.CheckpointEvery, due: never}
+		*r = checkpointPlan{newest: st.checkpoint, renewAt: now + s.cfg.CheckpointEvery, due: never}
 	}
-	if !s.wantCheckpoint() {
+	if !s.checkpointDue() {
 		r.due = never
 		return
 	}
@@ -37,16 +37,16 @@
 		return
 	}
 	r.due = now + s.cfg.CheckpointSpread + s.jitter(s.cfg.CheckpointSpread)
-	data, err := wire.Marshal(record{Checkpoint: st.since(0)})
+	data, err := wire.Marshal(record{Checkpoint: st.updateSince(0)})
 	if err != nil {
-		return // cannot be: the types marshal
+		return // unreachable: the types can be encoded
 	}
 	a.Append = append(a.Append, data)
 	s.counters.Checkpoints++
 }
 
-func (s *Spread) wantCheckpoint() bool {
+func (s *Spread) checkpointDue() bool {
 	st := s.State()
 	unusable := st.checkpoint < s.follower.oldest
-	return unusable || st.asOf-st.checkpoint >= s.cfg.CheckpointRecords || s.clock.elapsed >= s.renewal.renewAt
+	return unusable || st.asOf-st.checkpoint >= s.cfg.CheckpointRecords || s.clock.elapsed >= s.checkpointPlan.renewAt
 }
--- a/config/fold.go
+++ b/config/fold.go
@@ -9,28 +9,29 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// maxCauseBytes of a rejection's cause are remembered.
+// maxCauseBytes is the maximum length of a retained rejection cause.
 const maxCauseBytes = 300
 
 type assembleFunc func([]graph.Section) (*graph.Graph, graph.Problems)
 
-// folder folds records into states. It must depend on nothing but the records:
-// all readers of the stream have to come to the same state.
-type folder struct {
+// replayer applies records to states. The result must depend on the records
+// alone, so that all readers of the stream come to the same state.
+type replayer struct {
 	assemble assembleFunc
 }
 
-func newFolder() folder { return folder{assemble: new(graph.Assembler).Assemble} }
+func newReplayer() replayer { return replayer{assemble: new(graph.Assembler).Assemble} }
 
-// fold returns the state after one more record, which must be the one at
-// s.asOf. Records that mean nothing count too, since each has its offset.
-func (f folder) fold(s *State, data []byte) *State {
+// apply returns the state after the record at offset s.asOf. Records that
+// cannot be decoded are counted too, since each has its offset. The checksum
+// of the result is not set.
+func (f replayer) apply(s *State, data []byte) *State {
 	next := *s
 	next.asOf++
 	if rec, err := decodeRecord(data); err == nil {
-		f.apply(&next, s, rec)
+		f.applyRecord(&next, s, rec)
 	}
-	next.forget()
+	next.trimHistory()
 	return &next
 }
 
@@ -42,34 +43,34 @@
 	return rec, nil
 }
 
-func (f folder) apply(next, s *State, rec record) {
+func (f replayer) applyRecord(next, s *State, rec record) {
 	switch {
 	case rec.Checkpoint != nil:
-		// A checkpoint says nothing new to a reader that folded all that
-		// it was made of; a late or repeated one is harmless.
+		// A checkpoint is redundant for a reader that has applied the records
+		// that it covers.
 		if rec.Checkpoint.To <= s.asOf {
 			next.checkpoint = max(s.checkpoint, rec.Checkpoint.To)
 		}
 	case rec.Publication != nil && rec.Publication.check() == nil:
-		f.publish(next, s, rec.Publication)
+		f.applyPublication(next, s, rec.Publication)
 	}
 }
 
-func (f folder) publish(next, s *State, p *Publication) {
+func (f replayer) applyPublication(next, s *State, p *Publication) {
 	if p.Whole {
-		if replaced := f.replace(s.asOf, p); replaced != nil {
+		if replaced := f.replacement(s.asOf, p); replaced != nil {
 			*next = *replaced
 			return
 		}
 		if v, ok := s.Verdict(p.ID); !ok || !v.Accepted {
-			next.addVerdict(p.ID, "something was appended after the writer had read, or the graph is not valid")
+			next.addVerdict(p.ID, "another record was appended after the writer had read, or the graph is not valid")
 		}
 		return
 	}
 	if _, ok := s.Verdict(p.ID); ok {
 		return
 	}
-	if cause := f.change(next, s, p); cause != "" {
+	if cause := f.applyChanges(next, s, p); cause != "" {
 		next.addVerdict(p.ID, cause)
 		return
 	}
@@ -77,16 +78,17 @@
 	next.addVerdict(p.ID, "")
 }
 
-// replace returns the state after an accepted replacement at the offset, else
-// nil. It needs no state before it, and forgets it wholly, so that readers
-// with and without one agree. It is as good as a checkpoint.
-func (f folder) replace(offset uint64, p *Publication) *State {
+// replacement returns the state after an accepted replacement at the offset,
+// or nil if it is rejected. The result does not depend on earlier state, so
+// readers with and without one agree, and it serves as a base like a
+// checkpoint.
+func (f replayer) replacement(offset uint64, p *Publication) *State {
 	if p.ReadTo != offset {
 		return nil
 	}
 	next := &State{asOf: offset + 1, version: offset + 1, floor: offset + 1, checkpoint: offset}
 	for _, c := range p.Sections {
-		next.sections = put(next.sections, next.section(p, c))
+		next.sections = withSection(next.sections, next.newSection(p, c))
 	}
 	g, problems := f.assemble(graphSections(next.sections))
 	if len(problems) > 0 {
@@ -97,8 +99,8 @@
 	return next
 }
 
-// change applies the publication, or returns why it is rejected.
-func (f folder) change(next, s *State, p *Publication) (cause string) {
+// applyChanges applies the publication, or returns the cause of its rejection.
+func (f replayer) applyChanges(next, s *State, p *Publication) (cause string) {
 	if cause := s.conflict(p); cause != "" {
 		return cause
 	}
@@ -106,11 +108,11 @@
 	var deleted []Deletion
 	for _, c := range p.Sections {
 		if c.Delete {
-			sections = remove(sections, c.Service)
+			sections = withoutSection(sections, c.Service)
 			deleted = append(deleted, Deletion{Service: c.Service, Version: next.asOf})
 			continue
 		}
-		sections = put(sections, next.section(p, c))
+		sections = withSection(sections, next.newSection(p, c))
 	}
 	g, problems := f.assemble(graphSections(sections))
 	if len(problems) > 0 {
@@ -122,13 +124,15 @@
 	return ""
 }
 
-func (s *State) section(p *Publication, c SectionChange) Section {
+func (s *State) newSection(p *Publication, c SectionChange) Section {
 	return Section{Service: c.Service, Text: c.Text, Version: s.asOf, By: p.ID, Operator: p.Operator}
 }
 
-// conflict compares what the writer knew with the state at the record.
+// conflict returns why the publication conflicts with s, the state at its
+// record, or an empty string. It compares the offset and the section versions
+// that the writer had read.
 func (s *State) conflict(p *Publication) string {
-	if p.ReadTo > s.asOf || p.ReadTo < s.floor || s.asOf-p.ReadTo > memory {
+	if p.ReadTo > s.asOf || p.ReadTo < s.floor || s.asOf-p.ReadTo > retainedRecords {
 		return fmt.Sprintf("the writer had read to offset %d, too far from the record at %d", p.ReadTo, s.asOf)
 	}
 	for _, c := range p.Sections {
@@ -150,24 +154,25 @@
 		cause = cause[:maxCauseBytes]
 	}
 	v := Verdict{ID: id, Version: s.asOf, Accepted: cause == "", Cause: cause}
-	// Concat: the array may be shared with older states.
+	// Concat, because the array may be shared with older states.
 	s.verdicts = slices.Concat(s.verdicts, []Verdict{v})
 }
 
-// base returns the state that a record alone amounts to, for a reader without
-// a state: a checkpoint or an accepted replacement, else nil.
-func (f folder) base(r applog.Record) *State {
+// base returns the state that one record contains by itself, for a reader
+// without a state: that of a whole checkpoint or of an accepted replacement.
+// It returns nil for other records.
+func (f replayer) base(r applog.Record) *State {
 	rec, err := decodeRecord(r.Data)
 	if err != nil {
 		return nil
 	}
 	switch {
 	case rec.Checkpoint != nil && rec.Checkpoint.From == 0 && rec.Checkpoint.To <= r.Offset:
-		if s, err := f.merge(nil, rec.Checkpoint); err == nil {
+		if s, err := f.applyUpdate(nil, rec.Checkpoint); err == nil {
 			return s
 		}
 	case rec.Publication != nil && rec.Publication.Whole && rec.Publication.check() == nil:
-		return f.replace(r.Offset, rec.Publication)
+		return f.replacement(r.Offset, rec.Publication)
 	}
 	return nil
 }
--- a/config/follow.go
+++ b/config/follow.go
@@ -4,63 +4,65 @@
 	"github.com/cassialoom/cassialoom/applog"
 )
 
-// follower folds the stream page by page. Without a state, or when records
-// after its state were trimmed, it searches the stream backwards from its end
-// for a base: a checkpoint that is still usable or a replacement.
+// follower applies the stream page by page. If it has no state, or if records
+// after its state were trimmed, it searches the stream backwards from the end
+// for a base: a checkpoint whose as-of offset is still retained, or a
+// replacement.
 type follower struct {
-	folder
+	replayer
 	pageRecords int
 	searchSpan  uint64
-	state       *State // nil: no base yet
+	state       *State // nil until a base is found
 	oldest      uint64
 	tail        uint64
 	search      search
 }
 
-// search is a scan of the window [low, high), then of the one before it, and
-// so on. When all was scanned in vain it waits for new records.
+// search scans the window [low, high) forwards, then the window before it, and
+// so on. When the whole stream was scanned without finding a base, it waits
+// for new records.
 type search struct {
 	active    bool
 	low, high uint64
 	pos       uint64
-	end       uint64 // all from low to end was scanned, once pos is at high
+	end       uint64 // tail of the stream when the search started
 	waiting   bool
 	best      *State
 }
 
-// read is what the follower wants to read next.
-type read struct {
+// readRequest is the next read of the log that the follower needs.
+type readRequest struct {
 	from uint64
 	max  int
 }
 
-func (f *follower) next() read {
+func (f *follower) nextRead() readRequest {
 	switch {
 	case f.search.active:
-		return read{f.search.pos, f.pageRecords}
+		return readRequest{f.search.pos, f.pageRecords}
 	case f.state == nil:
-		// The first page only tells where the stream begins and ends.
-		return read{0, 1}
+		// This page only gives the bounds of the stream.
+		return readRequest{0, 1}
 	default:
-		return read{f.state.asOf, f.pageRecords}
+		return readRequest{f.state.asOf, f.pageRecords}
 	}
 }
 
-// page takes a page in; it may be the answer to an older read. It reports
-// whether it got any further.
-func (f *follower) page(p applog.Page) bool {
+// logPage processes a page, which may be the answer to an earlier read. It
+// reports whether the follower made progress.
+func (f *follower) logPage(p applog.Page) bool {
 	f.oldest = max(f.oldest, p.Oldest)
 	f.tail = max(f.tail, p.Next)
 	if f.state != nil && f.state.asOf >= f.oldest {
-		return f.follow(p)
+		return f.applyPage(p)
 	}
 	if !f.search.active {
 		return f.startSearch()
 	}
-	return f.scan(p)
+	return f.scanPage(p)
 }
 
-func (f *follower) follow(p applog.Page) bool {
+func (f *follower) applyPage(p applog.Page) bool {
 	f.search = search{}
 	s := f.state
 	for _, r := range p.Records {
@@ -68,36 +70,37 @@
 			continue
 		}
 		if r.Offset > s.asOf {
-			break // a page that was asked for by an older state
+			break // the answer to a read for an earlier state
 		}
-		s = f.fold(s, r.Data)
+		s = f.apply(s, r.Data)
 	}
 	if s == f.state {
 		return false
 	}
-	s.seal()
+	s.setSum()
 	f.state = s
 	return true
 }
 
-// install puts a state in that came from a peer.
+// install sets a state that was received from a peer.
 func (f *follower) install(s *State) {
 	f.state = s
 	f.search = search{}
 }
 
-// stuck reports that the stream holds nothing to judge publications by.
-func (f *follower) stuck() bool { return f.search.waiting }
+// hasNoBase reports that the whole stream was searched and contains no usable
+// base.
+func (f *follower) hasNoBase() bool { return f.search.waiting }
 
 func (f *follower) startSearch() bool {
 	f.search = search{active: true, high: f.tail, end: f.tail}
-	f.searchWindow(f.searchSpan)
-	f.afterWindow()
+	f.setWindow(f.searchSpan)
+	f.finishWindow()
 	return !f.search.waiting
 }
 
-// searchWindow moves the window to the records before high.
-func (f *follower) searchWindow(span uint64) {
+// setWindow sets the window to the span records before high.
+func (f *follower) setWindow(span uint64) {
 	s := &f.search
 	s.low = f.oldest
 	if s.high > f.oldest+span {
@@ -106,7 +109,7 @@
 	s.pos = s.low
 }
 
-func (f *follower) scan(p applog.Page) bool {
+func (f *follower) scanPage(p applog.Page) bool {
 	s := &f.search
 	before := s.pos
 	s.pos = max(s.pos, f.oldest)
@@ -119,11 +122,13 @@
 			s.best = base
 		}
 	}
-	return f.afterWindow() || s.pos > before
+	return f.finishWindow() || s.pos > before
 }
 
-// afterWindow decides what follows a window that is scanned to its end.
-func (f *follower) afterWindow() bool {
+// finishWindow acts on a window that is completely scanned: it installs a
+// base, moves to the window before it, or waits for new records. It reports
+// whether the follower made progress.
+func (f *follower) finishWindow() bool {
 	s := &f.search
 	if s.waiting {
 		s.high = s.pos
@@ -133,10 +138,10 @@
 	}
 	switch {
 	case s.best != nil && s.best.asOf >= f.oldest && s.best.asOf > f.state.AsOf():
-		s.best.seal()
+		s.best.setSum()
 		f.install(s.best)
 	case f.oldest == 0 && s.low == 0:
-		// Nothing was ever trimmed: the stream itself is the base.
+		// Nothing was trimmed: the start of the stream is the base.
 		f.install(emptyState())
 	case s.low <= f.oldest:
 		s.pos, s.waiting = max(s.end, s.pos), true
@@ -145,13 +150,13 @@
 	default:
 		span := 2 * (s.high - s.low)
 		s.high = s.low
-		f.searchWindow(span)
+		f.setWindow(span)
 	}
 	return true
 }
 
 func emptyState() *State {
 	s := &State{}
-	s.seal()
+	s.setSum()
 	return s
 }
--- a/config/message.go
+++ b/config/message.go
@@ -2,83 +2,86 @@
 
 import "github.com/cassialoom/cassialoom/wire"
 
-// Message is what nodes tell each other about the configuration. Without an
-// Update it offers the sender's state, and asks for a newer one at once.
+// Message is sent between nodes. Without an Update it is an offer: it
+// announces the sender's state, and a receiver with a newer state answers with
+// an update.
 type Message struct {
-	// AsOf and Sum are those of the sender's state.
+	// AsOf and Sum identify the sender's state.
 	AsOf uint64 `cbor:"1,keyasint"`
 	Sum  uint64 `cbor:"2,keyasint,omitempty"`
-	// AgeMillis is one more than the milliseconds since the state was last
-	// known to be the newest; zero when that is unknown.
+	// AgeMillis is one plus the milliseconds since the state was last known to
+	// be the newest, zero if it never was.
 	AgeMillis uint64  `cbor:"3,keyasint,omitempty"`
 	Update    *Update `cbor:"4,keyasint,omitempty"`
 	Push      *Push   `cbor:"5,keyasint,omitempty"`
 }
 
-// Push asks the receiver to pass the update on to the nodes of its data centre
-// between itself and Until, in the order of identities that wraps around.
+// Push asks the receiver to forward the update to the nodes of its data centre
+// between itself and Until, in the cyclic order of node IDs. Source is the
+// node that started the push.
 type Push struct {
 	_      struct{} `cbor:",toarray"`
 	Source wire.NodeID
 	Until  wire.NodeID
 }
 
-// Send is one message to one peer.
+// Send is a message to one peer.
 type Send struct {
 	To  wire.NodeID
 	Msg Message
 }
 
-// Read asks the shell to read the stream and to answer with LogPage or
-// LogFailed.
+// Read asks the caller of Spread to read at most Max records from the offset
+// From and to call LogPage or LogFailed with the result.
 type Read struct {
 	From uint64
 	Max  int
 }
 
-// Actions are what the shell has to do after an event.
+// Actions lists what the caller of Spread has to do after an event.
 type Actions struct {
 	Read *Read
-	// Append are records for the stream. Whether an append succeeds need
-	// not be reported.
+	// Append holds records to append to the stream. The results of the appends
+	// need not be reported.
 	Append [][]byte
 	Send   []Send
-	// Changed says that State returns another state than before.
+	// Changed says that State returns a different state than before.
 	Changed bool
 }
 
-// Peer is a live member of the fleet.
+// Peer is a node that is believed alive.
 type Peer struct {
 	ID         wire.NodeID
 	DataCentre string
 }
 
-// Dump is the state for people.
+// Dump is a summary of the state for operators.
 type Dump struct {
 	AsOf    uint64 `json:"as_of"`
 	Version uint64 `json:"version"`
 	Sum     uint64 `json:"sum"`
-	// Sections in force.
+	// Sections is the number of sections in force.
 	Sections int `json:"sections"`
-	// AgeMillis since the state was last known to be the newest; -1 if never.
+	// AgeMillis is the time since the state was last known to be the newest,
+	// -1 if it never was.
 	AgeMillis int64 `json:"age_ms"`
-	// Reader says whether this node reads the log; Readers are those of its
-	// data centre.
+	// Reader says whether this node reads the log. Readers are the nodes of
+	// its data centre that do, in this node's view.
 	Reader  bool          `json:"reader"`
 	Readers []wire.NodeID `json:"readers"`
 	Members int           `json:"members"`
 	// Checkpoint is the as-of offset of the newest checkpoint in the log.
 	Checkpoint uint64 `json:"checkpoint"`
-	// NoBase says that the log holds nothing to judge publications by.
+	// NoBase says that the log contains no base to judge publications by.
 	NoBase bool `json:"no_base"`
-	// LogOldest and LogNext are the ends of the stream as this node last read
-	// them.
+	// LogOldest and LogNext are the bounds of the stream as of this node's
+	// last read.
 	LogOldest uint64   `json:"log_oldest"`
 	LogNext   uint64   `json:"log_next"`
 	Counters  Counters `json:"counters"`
 }
 
-// Counters count since the start of the process.
+// Counters counts events since the start of the process.
 type Counters struct {
 	LogReads    uint64 `json:"log_reads"`
 	LogFailures uint64 `json:"log_failures"`
@@ -87,9 +90,10 @@
 	Forwards    uint64 `json:"forwards"`
 	Pulls       uint64 `json:"pulls"`
 	Served      uint64 `json:"served"`
-	// BadUpdates did not give the state of their sender, or not a valid one.
+	// BadUpdates counts updates that gave another state than the sender's, or
+	// an invalid one.
 	BadUpdates uint64 `json:"bad_updates"`
-	// Diverged counts offers of another state as of the same offset. It
-	// stays at zero unless two releases judge a text differently.
+	// Diverged counts offers of a different state with the same offset. It is
+	// zero unless two releases judge a text differently.
 	Diverged uint64 `json:"diverged"`
 }
--- a/config/naive_test.go
+++ b/config/naive_test.go
@@ -7,8 +7,8 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// naive is the obvious way: every node polls, applies what it reads, tells its
-// peers, and the last to come wins.
+// naive is a node without versions: it polls, applies what it reads, sends it
+// to its peers, and the last writer wins.
 type naive struct {
 	self     wire.NodeID
 	peers    []Peer
@@ -38,7 +38,7 @@
 		}
 		n.next = r.Offset + 1
 		for _, c := range rec.Publication.Sections {
-			n.inForce = put(n.inForce, Section{Service: c.Service, Text: c.Text, Version: n.next})
+			n.inForce = withSection(n.inForce, Section{Service: c.Service, Text: c.Text, Version: n.next})
 		}
 		a.Changed = true
 	}
@@ -52,7 +52,7 @@
 
 func (n *naive) Receive(_ time.Time, _ wire.NodeID, m Message) Actions {
 	for _, s := range m.Update.Sections {
-		n.inForce = put(n.inForce, s)
+		n.inForce = withSection(n.inForce, s)
 	}
 	return Actions{Changed: true}
 }
--- a/config/oracle_test.go
+++ b/config/oracle_test.go
@@ -9,8 +9,9 @@
 	"github.com/cassialoom/cassialoom/graph"
 )
 
-// testAssemble stands for the graph's rules: a text is "bad", or "needs X"
-// of another section, or fine. No sections at all are refused.
+// testAssemble replaces the graph's rules: the text "bad" is invalid, "needs
+// X" requires a section X, and all others are valid. An empty graph is
+// invalid.
 func testAssemble(sections []graph.Section) (*graph.Graph, graph.Problems) {
 	exists := map[string]bool{"": true}
 	for _, s := range sections {
@@ -32,42 +33,42 @@
 	version uint64
 }
 
-// oracle folds the whole untrimmed history into maps and judges by the rules
-// as they are documented.
+// oracle judges the whole untrimmed history by the documented rules,
+// independently of replayer.
 type oracle struct {
-	sections map[string]oracleSection
-	verdicts map[string]uint64 // version of each publication's first copy
-	floor    uint64
-	prefixes []map[string]oracleSection // the sections as of each offset
-	counted  map[string][]uint64        // versions at which copies were accepted
+	sections   map[string]oracleSection
+	verdicts   map[string]uint64 // version of the last judged copy by publication ID
+	floor      uint64
+	prefixes   []map[string]oracleSection // sections as of each offset
+	acceptedAt map[string][]uint64        // versions at which copies were accepted, by publication ID
 }
 
 func newOracle() *oracle {
 	return &oracle{
-		sections: map[string]oracleSection{},
-		verdicts: map[string]uint64{},
-		prefixes: []map[string]oracleSection{{}},
-		counted:  map[string][]uint64{},
+		sections:   map[string]oracleSection{},
+		verdicts:   map[string]uint64{},
+		prefixes:   []map[string]oracleSection{{}},
+		acceptedAt: map[string][]uint64{},
 	}
 }
 
 func (o *oracle) end() uint64 { return uint64(len(o.prefixes) - 1) }
 
-func (o *oracle) foldAll(history []applog.Record) {
+func (o *oracle) applyAll(history []applog.Record) {
 	for _, r := range history[o.end():] {
 		if rec, err := decodeRecord(r.Data); err == nil && rec.Publication != nil {
-			o.fold(r.Offset, rec.Publication)
+			o.apply(r.Offset, rec.Publication)
 		}
 		o.prefixes = append(o.prefixes, maps.Clone(o.sections))
 	}
 }
 
-func (o *oracle) fold(offset uint64, p *Publication) {
-	if first, known := o.verdicts[p.ID]; known && first+memory > offset && !p.Whole {
+func (o *oracle) apply(offset uint64, p *Publication) {
+	if first, known := o.verdicts[p.ID]; known && first+retainedRecords > offset && !p.Whole {
 		return
 	}
 	next := maps.Clone(o.sections)
-	accepted := offset >= p.ReadTo && offset-p.ReadTo <= memory && p.ReadTo >= o.floor
+	accepted := offset >= p.ReadTo && offset-p.ReadTo <= retainedRecords && p.ReadTo >= o.floor
 	if p.Whole {
 		clear(next)
 		accepted = offset == p.ReadTo
@@ -85,17 +86,17 @@
 	}
 	if _, problems := testAssemble(sections); accepted && len(problems) == 0 {
 		o.sections = next
-		o.counted[p.ID] = append(o.counted[p.ID], offset+1)
+		o.acceptedAt[p.ID] = append(o.acceptedAt[p.ID], offset+1)
 		if p.Whole {
 			o.floor = offset + 1
-			clear(o.verdicts) // a writer who has read the replacement starts anew
+			clear(o.verdicts) // a writer that has read the replacement is judged anew
 		}
 	}
 	o.verdicts[p.ID] = offset + 1
 }
 
-// position finds the first offset at or after from as of which the sections
-// are the accepted ones.
+// position returns the first offset at or after from as of which the given
+// sections are the accepted ones.
 func (o *oracle) position(from uint64, sections []Section) (uint64, error) {
 	have := make(map[string]oracleSection, len(sections))
 	for _, s := range sections {
--- a/config/publication.go
+++ b/config/publication.go
@@ -13,55 +13,56 @@
 	maxOperatorBytes = 128
 )
 
-// SectionChange is what a publication does to one section.
+// SectionChange is the change of one section by a publication.
 type SectionChange struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
-	// Text is the new text, empty for a deletion.
+	// Text is the new text. It is empty for a deletion.
 	Text string
-	// Base is the version of the section that the change was made on; zero
-	// means that the section must not exist.
+	// Base is the version of the section that the writer changed. Zero means
+	// that the section must not exist.
 	Base   uint64
 	Delete bool
 }
 
-// Publication is one operator's change. It is accepted as a whole, if every
-// Base is the section's version at the publication's place in the log and the
-// whole graph stays valid, or rejected as a whole.
+// Publication is one operator's change. It is accepted as a whole if every
+// Base equals the section's version at the publication's record and the
+// resulting graph is valid. Otherwise it is rejected as a whole.
 type Publication struct {
-	// ID names the publication however often it is appended: only the first
-	// copy is judged. Whoever publishes it again more than 512 records later,
-	// or after a replacement of everything, has it judged anew.
+	// ID identifies the publication across repeated appends: only the first
+	// copy is judged. A copy that is published more than 512 records later, or
+	// after a replacement, is judged again.
 	ID string `cbor:"1,keyasint"`
-	// Operator is for people: who lost a race is told who won.
+	// Operator is the name shown to another operator whose change conflicts.
 	Operator string          `cbor:"2,keyasint,omitempty"`
 	Sections []SectionChange `cbor:"3,keyasint"`
-	// ReadTo is the as-of offset that the writer had read to; Publish sets it.
+	// ReadTo is the as-of offset up to which the writer had read. Publish sets
+	// it.
 	ReadTo uint64 `cbor:"4,keyasint"`
-	// Whole replaces everything that is in force by Sections, whose bases
-	// are ignored. It is the way out when the log has trimmed what would be
-	// needed to judge a change, so it is judged by its own record alone: it
-	// is accepted if its graph is valid and nothing was appended between
-	// ReadTo and it. So it overwrites no change that its writer could not
-	// see in the log, and no second copy of a record is ever accepted.
+	// Whole makes the publication a replacement of all sections; bases are
+	// ignored. It is needed when the log has trimmed the records required to
+	// judge a change, so it is judged by its own record alone: it is accepted
+	// if its graph is valid and its offset equals ReadTo. It therefore
+	// overwrites no change that its writer could not read, and no second copy
+	// is accepted.
 	Whole bool `cbor:"5,keyasint,omitempty"`
 }
 
-// NewPublicationID draws an ID.
+// NewPublicationID returns a random publication ID.
 func NewPublicationID() string { return wire.NewNodeID().String() }
 
-// record is what stands in the stream; exactly one field is set.
+// record is a record of the stream. Exactly one field is set.
 type record struct {
 	Publication *Publication `cbor:"1,keyasint,omitempty"`
 	Checkpoint  *Update      `cbor:"2,keyasint,omitempty"`
 }
 
-// Encode returns the record of the publication.
+// Encode returns the publication as a record of the stream.
 func (p *Publication) Encode() ([]byte, error) {
 	return wire.Marshal(record{Publication: p})
 }
 
-// check finds what makes a publication meaningless at any place in the log.
+// check reports an error if the publication is invalid at any offset.
 func (p *Publication) check() error {
 	if p.ID == "" || len(p.ID) > maxIDBytes {
 		return fmt.Errorf("publication id: want 1 to %d bytes, have %d", maxIDBytes, len(p.ID))
--- a/config/publish.go
+++ b/config/publish.go
@@ -11,31 +11,31 @@
 )
 
 var (
-	// ErrUnsettled says that the publication may be in the log or may still
-	// get there. Publishing again with the same ID settles it, and cannot
-	// make it count twice.
+	// ErrUnsettled means that the publication may be in the log or may still
+	// reach it. Publishing again with the same ID resolves the outcome and
+	// cannot apply the change twice.
 	ErrUnsettled = errors.New("outcome unknown: publish again with the same id")
-	// ErrNothingWritten says that this run wrote nothing. An earlier run
+	// ErrNothingWritten means that this call wrote nothing. An earlier call
 	// with the same ID may have.
-	ErrNothingWritten = errors.New("this run wrote nothing")
-	// ErrNoBase says that the log has trimmed what is needed to judge a
-	// publication and no checkpoint has come. Nodes that have a state
-	// append one within seconds; without any, a replacement of everything
-	// is the way out.
+	ErrNothingWritten = errors.New("this call wrote nothing")
+	// ErrNoBase means that the log has trimmed the records needed to judge a
+	// publication and contains no usable checkpoint. Nodes that have a state
+	// append one within seconds. If no node has a state, an operator has to
+	// publish a replacement.
 	ErrNoBase = errors.New("no usable checkpoint in the log")
 )
 
-// Status of a publication.
+// Status is the state of a publication.
 type Status uint8
 
-// The statuses.
+// Values of Status. Unsettled means that the outcome is not known.
 const (
 	Unsettled Status = iota
 	Accepted
 	Rejected
 )
 
-// String returns the word for people.
+// String returns the name that is shown to operators.
 func (s Status) String() string {
 	switch s {
 	case Accepted:
@@ -47,34 +47,38 @@
 	}
 }
 
-// Outcome is the answer to the operator.
+// Outcome is the result of Publish.
 type Outcome struct {
 	Status Status
-	// Version of the publication, zero while unsettled.
+	// Version is the version of the publication, zero while unsettled.
 	Version uint64
-	// Cause says why it was rejected, or who won.
+	// Cause is the reason of a rejection. For a conflict it names the earlier
+	// publication.
 	Cause string
-	// Repeated says that an earlier run with the same ID settled it.
+	// Repeated says that the outcome was determined by an earlier call with
+	// the same ID.
 	Repeated bool
 }
 
 const (
-	// lookEvery is the time between two looks for a record.
-	lookEvery = 300 * time.Millisecond
-	// looksPerAppend before the record is appended again.
-	looksPerAppend = 5
+	// pollInterval is the interval between two reads for the publication's
+	// record.
+	pollInterval = 300 * time.Millisecond
+	// pollsPerAppend is the number of reads before the record is appended
+	// again.
+	pollsPerAppend = 5
 )
 
 // Publish appends the publication and waits for its verdict until the context
-// ends. It never takes a lost answer for a failure: it looks for the record
-// by its ID, and appends it again only when it is not there. If both copies
-// arrive, the fold takes the first.
+// ends. If an append is not confirmed, Publish reads the log for the record by
+// its ID and appends it again only if it is missing. If both copies arrive,
+// only the first counts. Errors wrap ErrUnsettled or ErrNothingWritten.
 func Publish(ctx context.Context, log applog.Log, p Publication) (Outcome, error) {
 	return newPublisher(log, sleep).publish(ctx, p)
 }
 
-// ReadState folds the stream to its end. It is for operators: nodes have a
-// Spread.
+// ReadState reads the whole stream and returns the resulting state. It is for
+// operators' tools; nodes use Spread.
 func ReadState(ctx context.Context, log applog.Log) (*State, error) {
 	p := newPublisher(log, sleep)
 	if err := p.readToTail(ctx, true); err != nil {
@@ -96,14 +100,14 @@
 	follower
 	log  applog.Log
 	wait func(context.Context, time.Duration) error
-	// wrote says that an append of this run may have taken effect.
-	wrote bool
+	// mayHaveWritten says that an append of this call may have taken effect.
+	mayHaveWritten bool
 }
 
 func newPublisher(log applog.Log, wait func(context.Context, time.Duration) error) *publisher {
 	cfg := DefaultConfig()
 	return &publisher{
-		follower: follower{folder: newFolder(), pageRecords: cfg.PageRecords, searchSpan: 2 * cfg.CheckpointRecords},
+		follower: follower{replayer: newReplayer(), pageRecords: cfg.PageRecords, searchSpan: 2 * cfg.CheckpointRecords},
 		log:      log,
 		wait:     wait,
 	}
@@ -113,21 +117,21 @@
 	if err := pub.check(); err != nil {
 		return Outcome{}, fmt.Errorf("%w: %w", ErrNothingWritten, err)
 	}
-	outcome, err := p.settle(ctx, pub)
+	outcome, err := p.appendUntilVerdict(ctx, pub)
 	if err != nil {
-		return Outcome{}, fmt.Errorf("%w: %w", p.failure(), err)
+		return Outcome{}, fmt.Errorf("%w: %w", p.writeError(), err)
 	}
 	return outcome, nil
 }
 
-func (p *publisher) failure() error {
-	if p.wrote {
+func (p *publisher) writeError() error {
+	if p.mayHaveWritten {
 		return ErrUnsettled
 	}
 	return ErrNothingWritten
 }
 
-func (p *publisher) settle(ctx context.Context, pub Publication) (Outcome, error) {
+func (p *publisher) appendUntilVerdict(ctx context.Context, pub Publication) (Outcome, error) {
 	if err := p.readToTail(ctx, !pub.Whole); err != nil {
 		return Outcome{}, err
 	}
@@ -135,34 +139,35 @@
 		outcome.Repeated = true
 		return outcome, nil
 	}
-	if cause := p.invalid(pub); cause != "" {
+	if cause := p.invalidReplacement(pub); cause != "" {
 		return Outcome{Status: Rejected, Cause: cause}, nil
 	}
 	version := p.state.Version()
 	for {
-		pub.ReadTo = p.position()
+		pub.ReadTo = p.readOffset()
 		if err := p.append(ctx, pub); err != nil {
 			return Outcome{}, err
 		}
-		outcome, ok, err := p.look(ctx, pub)
+		outcome, ok, err := p.awaitVerdict(ctx, pub)
 		if err != nil {
 			return Outcome{}, err
 		}
-		if ok && !p.again(pub, outcome, version) {
+		if ok && !p.mayRetryReplacement(pub, outcome, version) {
 			return outcome, nil
 		}
 	}
 }
 
-// again says whether a rejected replacement may be tried at once: it lost its
-// place to records that changed nothing, such as a checkpoint.
-func (p *publisher) again(pub Publication, o Outcome, version uint64) bool {
+// mayRetryReplacement reports whether a rejected replacement can be appended
+// again at once: only records that changed nothing, such as a checkpoint, were
+// appended since the writer had read.
+func (p *publisher) mayRetryReplacement(pub Publication, o Outcome, version uint64) bool {
 	return pub.Whole && o.Status == Rejected && p.state.Version() == version
 }
 
-// invalid says why no copy of a replacement can ever be accepted. All that
-// decides about other publications is known only at their place in the log.
-func (p *publisher) invalid(pub Publication) string {
+// invalidReplacement returns why no copy of a replacement can be accepted, or
+// an empty string. Other publications can only be judged at their offset.
+func (p *publisher) invalidReplacement(pub Publication) string {
 	if !pub.Whole {
 		return ""
 	}
@@ -176,15 +181,16 @@
 	return ""
 }
 
-// position is the as-of offset that all was read to.
-func (p *publisher) position() uint64 {
-	if p.stuck() {
+// readOffset returns the offset up to which the stream was read.
+func (p *publisher) readOffset() uint64 {
+	if p.hasNoBase() {
 		return p.search.pos
 	}
 	return p.state.AsOf()
 }
 
-// append retries only what certainly was not written.
+// append appends the publication. It retries only appends that certainly were
+// not written.
 func (p *publisher) append(ctx context.Context, pub Publication) error {
 	data, err := pub.Encode()
 	if err != nil {
@@ -193,33 +199,34 @@
 	for {
 		_, err := p.log.Append(ctx, Stream, data)
 		if !errors.Is(err, applog.ErrNotWritten) {
-			p.wrote = true
+			p.mayHaveWritten = true
 			return nil
 		}
-		if waitErr := p.wait(ctx, lookEvery); waitErr != nil {
+		if waitErr := p.wait(ctx, pollInterval); waitErr != nil {
 			return fmt.Errorf("%w: %w", waitErr, err)
 		}
 	}
 }
 
-// look reads on until the verdict is known or it is time to append again.
-func (p *publisher) look(ctx context.Context, pub Publication) (Outcome, bool, error) {
-	for range looksPerAppend {
+// awaitVerdict reads the stream until the verdict is known, or pollsPerAppend
+// times.
+func (p *publisher) awaitVerdict(ctx context.Context, pub Publication) (Outcome, bool, error) {
+	for range pollsPerAppend {
 		if err := p.readToTail(ctx, !pub.Whole); err != nil {
 			return Outcome{}, false, err
 		}
 		if outcome, ok := p.outcome(pub); ok {
 			return outcome, true, nil
 		}
-		if err := p.wait(ctx, lookEvery); err != nil {
+		if err := p.wait(ctx, pollInterval); err != nil {
 			return Outcome{}, false, err
 		}
 	}
 	return Outcome{}, false, nil
 }
 
-// outcome tells the verdict, also when it is older than the fold's memory as
-// long as the sections still are what the publication made them.
+// outcome returns the verdict. After the verdict is dropped it returns
+// Accepted as long as a section still has the text of the publication.
 func (p *publisher) outcome(pub Publication) (Outcome, bool) {
 	if v, ok := p.state.Verdict(pub.ID); ok {
 		if v.Accepted {
@@ -227,8 +234,8 @@
 		}
 		return Outcome{Status: Rejected, Version: v.Version, Cause: v.Cause}, true
 	}
-	if p.stuck() && pub.Whole && p.position() > pub.ReadTo && p.wrote {
-		return Outcome{Status: Rejected, Cause: "something was appended after the writer had read"}, true
+	if p.hasNoBase() && pub.Whole && p.readOffset() > pub.ReadTo && p.mayHaveWritten {
+		return Outcome{Status: Rejected, Cause: "another record was appended after the writer had read"}, true
 	}
 	for _, c := range pub.Sections {
 		if current, ok := p.state.Section(c.Service); ok && current.By == pub.ID {
@@ -238,37 +245,37 @@
 	return Outcome{}, false
 }
 
-// readToTail folds to the end of the stream. It waits out failures of the log
-// until the context ends and, if a base is needed, for a checkpoint.
+// readToTail applies the stream to its end. It retries when the log fails and,
+// if needBase is set, waits for a base, until the context ends.
 func (p *publisher) readToTail(ctx context.Context, needBase bool) error {
 	for {
-		next := p.next()
-		page, err := p.log.Read(ctx, Stream, next.from, next.max)
+		nextRead := p.nextRead()
+		logPage, err := p.log.Read(ctx, Stream, nextRead.from, nextRead.max)
 		if err == nil {
-			moved := p.page(page)
-			if p.atTail(page) && (p.state != nil || !needBase) {
+			progressed := p.logPage(logPage)
+			if p.atTail(logPage) && (p.state != nil || !needBase) {
 				return nil
 			}
-			if moved {
+			if progressed {
 				continue
 			}
-			err = p.noBase()
+			err = p.baseError()
 		}
-		if waitErr := p.wait(ctx, lookEvery); waitErr != nil {
+		if waitErr := p.wait(ctx, pollInterval); waitErr != nil {
 			return errors.Join(waitErr, err)
 		}
 	}
 }
 
-func (p *publisher) noBase() error {
-	if p.stuck() {
+func (p *publisher) baseError() error {
+	if p.hasNoBase() {
 		return ErrNoBase
 	}
 	return nil
 }
 
 func (p *publisher) atTail(page applog.Page) bool {
-	if p.stuck() {
+	if p.hasNoBase() {
 		return p.search.pos >= page.Next
 	}
 	return !p.search.active && p.state != nil && p.state.asOf >= page.Next
--- a/config/publish_test.go
+++ b/config/publish_test.go
@@ -15,33 +15,33 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// operators publish on one log; between any two requests of one of them the
-// others publish, records expire, answers are lost and writes are delayed.
+// operators publish on one log. Between two requests of one of them the others
+// publish, records expire, answers are lost and appends are delayed.
 type operators struct {
 	*world
-	rt   *rapid.T
-	busy bool // in what happens between requests
+	rt        *rapid.T
+	inBetween bool // betweenRequests is running or disabled
 }
 
 func newOperators(rt *rapid.T, retention time.Duration) *operators {
 	o := &operators{world: newWorld(testConfig(), retention, 1), rt: rt}
 	if rt != nil {
-		cfg := fakelog.Config{Retention: retention, KeepHistory: true, Before: o.between}
+		cfg := fakelog.Config{Retention: retention, KeepHistory: true, Before: o.betweenRequests}
 		o.log = fakelog.New(cfg, func() time.Time { return o.now })
 	}
 	return o
 }
 
-func (o *operators) between() {
-	if o.busy {
+func (o *operators) betweenRequests() {
+	if o.inBetween {
 		return
 	}
-	o.busy = true
-	defer func() { o.busy = false }()
+	o.inBetween = true
+	defer func() { o.inBetween = false }()
 	seconds := time.Duration(rapid.IntRange(1, 20).Draw(o.rt, "s")) * time.Second
 	switch rapid.IntRange(0, 9).Draw(o.rt, "between") {
 	case 0, 1:
-		o.append(o.draw())
+		o.append(o.drawChange())
 	case 2:
 		_, _ = o.log.Append(ctx, Stream, o.checkpoint())
 	case 3:
@@ -55,34 +55,34 @@
 	}
 }
 
-// draw returns a change by someone who has read everything.
-func (o *operators) draw() Publication {
-	end := o.truth().end()
+// drawChange returns a random change by a writer that has read everything.
+func (o *operators) drawChange() Publication {
+	end := o.currentOracle().end()
 	service := rapid.SampledFrom(testServices).Draw(o.rt, "service")
 	text := rapid.SampledFrom(testTexts).Draw(o.rt, "text")
-	return publication(fmt.Sprint("p", end), end, set(service, text, o.oracle.sections[service].version))
+	return publication(fmt.Sprint("p", end), end, setSection(service, text, o.oracle.sections[service].version))
 }
 
 func (o *operators) checkpoint() []byte {
 	s := emptyState()
 	for _, r := range o.log.History(Stream) {
-		s = folder{assemble: testAssemble}.fold(s, r.Data)
+		s = replayer{assemble: testAssemble}.apply(s, r.Data)
 	}
-	s.seal()
-	data, err := wire.Marshal(record{Checkpoint: s.since(0)})
+	s.setSum()
+	data, err := wire.Marshal(record{Checkpoint: s.updateSince(0)})
 	if err != nil {
 		panic(err)
 	}
 	return data
 }
 
-// run publishes once, with patience for some waits.
-func (o *operators) run(p Publication, patience int) (Outcome, error) {
+// run publishes p and cancels after maxWaits waits.
+func (o *operators) run(p Publication, maxWaits int) (Outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	pub := newPublisher(o.log, func(ctx context.Context, d time.Duration) error {
 		o.world.run(d)
-		if patience--; patience < 0 {
+		if maxWaits--; maxWaits < 0 {
 			cancel()
 		}
 		return ctx.Err()
@@ -91,86 +91,84 @@
 	return pub.publish(ctx, p)
 }
 
-// An operator whose answer was lost publishes again with the same ID while
-// others race. What any run says must hold for good: "accepted" that the
-// publication counted once and has not been undone by a late copy, "rejected"
-// that no copy ever counts, also one that the log delayed.
-func TestPropertyPublishTellsTheTruth(t *testing.T) {
+// Guards against reporting "accepted" for a publication that does not count
+// exactly once, or "rejected" for one that is accepted later.
+func TestPropertyPublishReportsTheActualOutcome(t *testing.T) {
 	outcomes := map[Status]int{}
 	proptest.Check(t, func(rt *rapid.T) {
 		retention := time.Duration(rapid.SampledFrom([]int{0, 30}).Draw(rt, "retention")) * time.Second
 		o := newOperators(rt, retention)
-		o.append(o.draw())
+		o.append(o.drawChange())
 		_, _ = o.log.Append(ctx, Stream, o.checkpoint())
-		p := o.draw()
+		p := o.drawChange()
 		p.ID = "mine"
 		p.Whole = rapid.IntRange(0, 2).Draw(rt, "whole") == 0
-		var told Outcome
-		for i := 0; i < 4 && told.Status == Unsettled; i++ {
-			told, _ = o.run(p, rapid.IntRange(0, 15).Draw(rt, "patience"))
+		var reported Outcome
+		for i := 0; i < 4 && reported.Status == Unsettled; i++ {
+			reported, _ = o.run(p, rapid.IntRange(0, 15).Draw(rt, "patience"))
 		}
-		outcomes[told.Status]++
-		o.busy = true // from here on nothing happens any more
+		outcomes[reported.Status]++
+		o.inBetween = true // no further faults
 		o.log.Outage(o.now)
 		page, err := o.log.Read(ctx, Stream, 0, 0)
 		if err != nil {
 			rt.Fatal(err)
 		}
 		o.now = o.now.Add(20 * time.Second) // delayed copies arrive
-		counted := o.truth().counted[p.ID]
-		last := len(counted) - 1
-		if p.Whole && last > 0 && counted[last-1] <= page.Oldest {
-			counted = counted[last:] // a replacement that the log has forgotten may be made again
+		acceptedAt := o.currentOracle().acceptedAt[p.ID]
+		last := len(acceptedAt) - 1
+		if p.Whole && last > 0 && acceptedAt[last-1] <= page.Oldest {
+			acceptedAt = acceptedAt[last:] // a replacement that the log has trimmed may be made again
 		}
-		truthful := len(counted) <= 1
-		switch told.Status {
+		correct := len(acceptedAt) <= 1
+		switch reported.Status {
 		case Accepted:
-			truthful = truthful && len(counted) == 1 && counted[0] == told.Version
+			correct = correct && len(acceptedAt) == 1 && acceptedAt[0] == reported.Version
 		case Rejected:
-			truthful = len(counted) == 0
+			correct = len(acceptedAt) == 0
 		}
-		if !truthful {
-			rt.Fatalf("told %+v, counted at %v", told, counted)
+		if !correct {
+			rt.Fatalf("reported %+v, accepted at %v", reported, acceptedAt)
 		}
 	})
 	t.Logf("outcomes: %v", outcomes)
 }
 
-// The platform answers no append for longer than the operator waits. The
-// command may not claim a failure: the record can still arrive, and did.
-func TestPublishSaysUnknownAndSettlesWhenRunAgain(t *testing.T) {
+// Guards against reporting a failure for an append that was not answered in
+// time: the record can still arrive. Publishing again must report its outcome.
+func TestLostAppendAnswerIsResolvedByPublishingAgain(t *testing.T) {
 	is := is.New(t)
 	o := newOperators(nil, 0)
-	p := publication("one", 0, set("a", "x", 0))
+	p := publication("one", 0, setSection("a", "x", 0))
 	o.log.DelayAppends(1, time.Minute)
 	_, err := o.run(p, 2)
 	is.True(errors.Is(err, ErrUnsettled))
 	o.log.Outage(o.now.Add(30 * time.Second))
 	_, err = o.run(p, 2)
-	is.True(errors.Is(err, ErrNothingWritten)) // by this run
+	is.True(errors.Is(err, ErrNothingWritten)) // by this call
 	o.now = o.now.Add(2 * time.Minute)
 	outcome, err := o.run(p, 2)
 	is.NoErr(err)
 	is.Equal(outcome, Outcome{Status: Accepted, Version: 1, Repeated: true})
-	is.Equal(o.truth().end(), uint64(1))
-	for i := range memory + 1 { // the verdict is forgotten, the section stands
-		o.append(publication(fmt.Sprint(i), uint64(i), set("b", "bad", 0)))
+	is.Equal(o.currentOracle().end(), uint64(1))
+	for i := range retainedRecords + 1 { // the verdict is dropped, the section remains
+		o.append(publication(fmt.Sprint(i), uint64(i), setSection("b", "bad", 0)))
 	}
 	outcome, err = o.run(p, 2)
 	is.NoErr(err)
 	is.Equal(outcome, Outcome{Status: Accepted, Version: 1, Repeated: true})
 }
 
-// Two operators change the same version. Both records are in the log; the one
-// who comes second must hear who won, not just that it failed.
-func TestPublishTellsTheLoserWhoWon(t *testing.T) {
+// Guards against a rejection that does not name the publication that changed
+// the section first.
+func TestConflictCauseNamesTheEarlierPublication(t *testing.T) {
 	is := is.New(t)
 	o := newOperators(nil, 0)
-	first := publication("one", 0, set("a", "x", 0))
+	first := publication("one", 0, setSection("a", "x", 0))
 	first.Operator = "aino"
 	_, err := o.run(first, 2)
 	is.NoErr(err)
-	lost, err := o.run(publication("two", 0, set("a", "y", 0)), 2)
+	lost, err := o.run(publication("two", 0, setSection("a", "y", 0)), 2)
 	is.NoErr(err)
 	is.Equal(lost, Outcome{
 		Status: Rejected, Version: 2,
--- a/config/push.go
+++ b/config/push.go
@@ -7,47 +7,47 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// seenPushes is how many pushes a node remembers. Few run at a time: one or,
-// when readers poll in the same moment, two or three in a data centre.
-const seenPushes = 16
+// seenPushesSize is the number of recent pushes that a node remembers to drop
+// duplicates. A data centre rarely has more than a few in progress.
+const seenPushesSize = 16
 
-// pushKey names one push.
+// pushKey identifies a push.
 type pushKey struct {
 	to     uint64
 	source wire.NodeID
 }
 
-// pull remembers what was asked for, so that many offers of one update lead
-// to one answer.
+// pull is the last pull, remembered so that many offers of the same update
+// cause one request.
 type pull struct {
 	asOf  uint64
 	until time.Duration
 }
 
-// startPush sends what is new since the last push down the tree.
+// startPush sends the changes since the last push to the push tree.
 func (s *Spread) startPush(a *Actions) {
 	st := s.State()
 	if st.AsOf() <= s.pushed {
 		return
 	}
-	update := st.since(s.pushed)
+	update := st.updateSince(s.pushed)
 	s.pushed = st.AsOf()
 	s.counters.Pushes++
-	m := Message{AsOf: st.AsOf(), Sum: st.Sum(), AgeMillis: s.age(), Update: update}
-	s.pushDown(a, m, Push{Source: s.ring.self, Until: s.ring.self})
+	m := Message{AsOf: st.AsOf(), Sum: st.Sum(), AgeMillis: s.ageForMessage(), Update: update}
+	s.sendToChildren(a, m, Push{Source: s.ring.self, Until: s.ring.self})
 }
 
-func (s *Spread) pushDown(a *Actions, m Message, p Push) {
-	for _, kid := range s.ring.children(p.Until, s.cfg.FanOut) {
-		m.Push = &Push{Source: p.Source, Until: kid.until}
-		s.send(a, kid.id, m)
+func (s *Spread) sendToChildren(a *Actions, m Message, p Push) {
+	for _, child := range s.ring.children(p.Until, s.cfg.FanOut) {
+		m.Push = &Push{Source: p.Source, Until: child.until}
+		s.send(a, child.id, m)
 	}
 }
 
-// forward passes a push on, once. A repeated copy is dropped here, which keeps
-// the number of messages at one for each node and push. A node that has the
-// state already still forwards: those below it may not.
-func (s *Spread) forward(a *Actions, m Message) {
+// forwardPush forwards a push to this node's children, once. Dropping repeated
+// copies keeps the traffic at one message per node and push. A node that
+// already has the state forwards too, because its children may not.
+func (s *Spread) forwardPush(a *Actions, m Message) {
 	s.pushed = max(s.pushed, m.Update.To)
 	key := pushKey{to: m.Update.To, source: m.Push.Source}
 	for _, k := range s.seen {
@@ -56,23 +56,23 @@
 		}
 	}
 	s.seen[s.seenNext] = key
-	s.seenNext = (s.seenNext + 1) % seenPushes
+	s.seenNext = (s.seenNext + 1) % seenPushesSize
 	s.counters.Forwards++
-	s.pushDown(a, m, *m.Push)
+	s.sendToChildren(a, m, *m.Push)
 }
 
-// updated takes in the update of a message.
-func (s *Spread) updated(a *Actions, from wire.NodeID, m Message) {
+// receiveUpdate applies the update of a message.
+func (s *Spread) receiveUpdate(a *Actions, from wire.NodeID, m Message) {
 	before := s.State()
-	after, err := s.follower.merge(before, m.Update)
+	after, err := s.follower.applyUpdate(before, m.Update)
 	switch {
 	case err != nil:
-		s.badUpdate(a, from, m, err)
+		s.handleBadUpdate(a, from, m, err)
 	case after != before:
 		s.install(a, after)
-		s.heardAge(m.AgeMillis)
+		s.mergeAge(m.AgeMillis)
 		if m.Push == nil && before != nil {
-			s.relay(a, from)
+			s.relayUpdate(a, from)
 		}
 	}
 }
@@ -80,16 +80,16 @@
 func (s *Spread) install(a *Actions, st *State) {
 	if s.State() == nil {
 		s.pushed = max(s.pushed, st.AsOf())
-		s.joining = false
+		s.catchingUp = false
 	}
 	s.follower.install(st)
 	s.confirmed = never
 	a.Changed = true
 }
 
-// relay brings what was pulled to the others of the data centre: it came from
-// elsewhere because no reader here has it yet.
-func (s *Spread) relay(a *Actions, from wire.NodeID) {
+// relayUpdate spreads a pulled update within the data centre, whose readers
+// may not have it.
+func (s *Spread) relayUpdate(a *Actions, from wire.NodeID) {
 	if s.ring.isReader() {
 		s.startPush(a)
 		return
@@ -100,15 +100,16 @@
 	}
 }
 
-// badUpdate asks again for what could not be applied: from the own state if
-// updates before it are missing, else for the whole state.
-func (s *Spread) badUpdate(a *Actions, from wire.NodeID, m Message, err error) {
+// handleBadUpdate requests a replacement for an update that could not be
+// applied: the updates since the own state if earlier ones are missing,
+// otherwise the whole state.
+func (s *Spread) handleBadUpdate(a *Actions, from wire.NodeID, m Message, err error) {
 	if errors.Is(err, errBehind) {
 		s.pullFrom(a, from, m.AsOf)
 		return
 	}
 	s.counters.BadUpdates++
-	if m.Update.From != 0 && s.mayPull(m.AsOf) {
+	if m.Update.From != 0 && s.startPull(m.AsOf) {
 		s.send(a, from, Message{})
 	}
 }
--- a/config/repair.go
+++ b/config/repair.go
@@ -2,15 +2,14 @@
 
 import "github.com/cassialoom/cassialoom/wire"
 
-// offer tells a peer what this node has.
+// offer returns a message that announces this node's state.
 func (s *Spread) offer() Message {
 	st := s.State()
-	return Message{AsOf: st.AsOf(), Sum: st.Sum(), AgeMillis: s.age()}
+	return Message{AsOf: st.AsOf(), Sum: st.Sum(), AgeMillis: s.ageForMessage()}
 }
 
-// repairIfDue offers the own state to a random peer; a node without one asks
-// more often. An offer works both ways, so an update that reached a single
-// node triples the number of those that have it in each period.
+// repairIfDue offers the own state to a random peer. A node without a state
+// does so more often. Either side of an offer can receive the newer state.
 func (s *Spread) repairIfDue(a *Actions) {
 	if s.clock.elapsed < s.nextRepair {
 		return
@@ -20,37 +19,39 @@
 		mean = s.cfg.PullRetry
 	}
 	s.nextRepair = s.clock.elapsed + mean/2 + s.jitter(mean)
-	if peer, ok := s.ring.random(s.rng, s.cfg.RemoteRepairs); ok {
+	if peer, ok := s.ring.randomPeer(s.rng, s.cfg.RemoteRepairs); ok {
 		s.send(a, peer, s.offer())
 	}
 }
 
-// offered compares a peer's state with the own.
-func (s *Spread) offered(a *Actions, from wire.NodeID, m Message) {
+// receiveOffer compares a peer's state with the own one, and pulls or sends an
+// update.
+func (s *Spread) receiveOffer(a *Actions, from wire.NodeID, m Message) {
 	st := s.State()
 	switch {
 	case m.AsOf > st.AsOf():
 		s.pullFrom(a, from, m.AsOf)
 	case m.AsOf < st.AsOf():
 		s.counters.Served++
-		s.send(a, from, Message{AsOf: st.AsOf(), Sum: st.Sum(), AgeMillis: s.age(), Update: st.since(m.AsOf)})
+		s.send(a, from, Message{AsOf: st.AsOf(), Sum: st.Sum(), AgeMillis: s.ageForMessage(), Update: st.updateSince(m.AsOf)})
 	case m.Sum != st.Sum() && m.Sum != 0 && st != nil:
 		s.counters.Diverged++
 	default:
-		s.heardAge(m.AgeMillis)
+		s.mergeAge(m.AgeMillis)
 	}
 }
 
-// pullFrom asks a peer for what it has more, by offering the own state.
+// pullFrom requests newer state from a peer by offering the own state.
 func (s *Spread) pullFrom(a *Actions, peer wire.NodeID, asOf uint64) {
-	if s.mayPull(asOf) {
+	if s.startPull(asOf) {
 		s.send(a, peer, s.offer())
 	}
 }
 
-// mayPull allows one pull at a time for the same as-of offset. An unanswered
-// one may be repeated, from another peer, a moment later.
-func (s *Spread) mayPull(asOf uint64) bool {
+// startPull reports whether a pull up to the as-of offset may be sent now, and
+// records it. An unanswered pull may be repeated after PullRetry, from another
+// peer.
+func (s *Spread) startPull(asOf uint64) bool {
 	if asOf <= s.pull.asOf && s.clock.elapsed < s.pull.until {
 		return false
 	}
--- a/config/ring.go
+++ b/config/ring.go
@@ -12,15 +12,15 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// ring is a node's view of its peers. Views differ between nodes for a while;
-// nothing here relies on their being equal.
+// ring is a node's view of its peers, ordered by ID. Views of different nodes
+// may differ for a while; no code requires them to be equal.
 type ring struct {
 	self       wire.NodeID
 	dataCentre string
 	all        []wire.NodeID
-	local      []wire.NodeID // the data centre's, self too, by identity
-	pos        int           // of self in local
-	readers    []wire.NodeID // of the data centre, by rank
+	local      []wire.NodeID // nodes of the data centre including self, sorted by ID
+	pos        int           // index of self in local
+	readers    []wire.NodeID // readers of the data centre, sorted by rank
 }
 
 func newRing(self wire.NodeID, dataCentre string, members []Peer, readers int) ring {
@@ -35,7 +35,7 @@
 		}
 	}
 	slices.SortFunc(r.local, compareIDs)
-	r.pos = r.after(self) - 1
+	r.pos = r.indexAfter(self) - 1
 	r.readers = slices.Clone(r.local)
 	slices.SortFunc(r.readers, compareRanks)
 	r.readers = slices.Clip(r.readers[:min(readers, len(r.readers))])
@@ -44,8 +44,8 @@
 
 func compareIDs(a, b wire.NodeID) int { return bytes.Compare(a[:], b[:]) }
 
-// rank is the weight of rendezvous hashing: the nodes with the least ranks
-// have the duty. Each node computes it from its own view alone.
+// rank is the weight for rendezvous hashing: the nodes with the lowest ranks
+// are the readers. Each node computes it from its own view.
 func rank(id wire.NodeID) uint64 { return xxhash.Sum64(id[:]) }
 
 func compareRanks(a, b wire.NodeID) int { return cmp.Compare(rank(a), rank(b)) }
@@ -57,14 +57,14 @@
 	return ok
 }
 
-// after is the position of the first local node behind the identity.
-func (r *ring) after(id wire.NodeID) int {
+// indexAfter returns the index in local of the first node after the ID.
+func (r *ring) indexAfter(id wire.NodeID) int {
 	return sort.Search(len(r.local), func(i int) bool { return compareIDs(r.local[i], id) > 0 })
 }
 
-// between returns the local nodes behind self and before until, wrapping
-// around; all others if until is self.
-func (r *ring) between(until wire.NodeID) []wire.NodeID {
+// localBetween returns the local nodes after self and before until, wrapping
+// around. It returns all others if until is self.
+func (r *ring) localBetween(until wire.NodeID) []wire.NodeID {
 	end := sort.Search(len(r.local), func(i int) bool { return compareIDs(r.local[i], until) >= 0 })
 	if end > r.pos {
 		return r.local[r.pos+1 : end]
@@ -72,8 +72,9 @@
 	return slices.Concat(r.local[r.pos+1:], r.local[:end])
 }
 
-// random picks a peer; mostly one of the data centre.
-func (r *ring) random(rng *rand.Rand, remotePercent int) (wire.NodeID, bool) {
+// randomPeer picks a peer, usually of the own data centre. It returns false if
+// there is none.
+func (r *ring) randomPeer(rng *rand.Rand, remotePercent int) (wire.NodeID, bool) {
 	if len(r.all) == 0 {
 		return wire.NodeID{}, false
 	}
@@ -87,23 +88,23 @@
 	return r.local[i], true
 }
 
-// child is a node that passes an update on to those before until.
+// child is a node that forwards an update to the nodes before until.
 type child struct {
 	id    wire.NodeID
 	until wire.NodeID
 }
 
 // children splits the nodes between self and until into at most fanOut parts
-// and names the first of each.
+// and returns the first node of each.
 func (r *ring) children(until wire.NodeID, fanOut int) []child {
-	nodes := r.between(until)
+	nodes := r.localBetween(until)
 	parts := min(fanOut, len(nodes))
-	kids := make([]child, 0, parts)
+	result := make([]child, 0, parts)
 	for i := range parts {
-		kids = append(kids, child{id: nodes[i*len(nodes)/parts], until: until})
+		result = append(result, child{id: nodes[i*len(nodes)/parts], until: until})
 		if i > 0 {
-			kids[i-1].until = kids[i].id
+			result[i-1].until = result[i].id
 		}
 	}
-	return kids
+	return result
 }
--- a/config/spread.go
+++ b/config/spread.go
@@ -8,50 +8,50 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Spread is one node's part in bringing the accepted configuration into force
-// everywhere. It is a plain state machine: time, log pages and messages come
-// in, Actions go out. It is not safe for concurrent use, but the states that
-// it returns are.
+// Spread distributes the accepted configuration on behalf of one node. It is a
+// state machine without I/O: it receives time, log pages and messages, and
+// returns Actions. It is not safe for concurrent use, but the states that it
+// returns are.
 //
-// A few nodes of each data centre poll the log; who does follows from a hash
-// of the identities that a node believes alive, and one too many is harmless.
-// A reader that learns something pushes it down a tree of its data centre.
-// What that misses (a frozen node in the tree, a lost message, a data centre
-// cut off the log) is repaired by offers to random peers, which pull or are
-// served what they lack.
+// A few nodes of each data centre poll the log. They are selected by a hash of
+// the IDs of the nodes believed alive; differing views only cause additional
+// readers, which is harmless. A reader pushes changes through a tree of its
+// data centre. Nodes that the push misses (below a frozen node, after a lost
+// message, in a data centre without access to the log) recover through offers
+// to random peers.
 type Spread struct {
 	cfg      Config
 	follower follower
 	ring     ring
 	rng      *rand.Rand
-	clock    monotonic
+	clock    monotonicClock
 
-	reading     bool
+	readPending bool
 	readStarted time.Duration
 	nextPoll    time.Duration
 	failures    int
 
 	nextRepair time.Duration
 	pull       pull
-	// pushed is the highest as-of offset that went through a push tree of
-	// this data centre, as far as this node knows.
-	pushed   uint64
-	joining  bool // reading on from a base to the tail
-	seen     [seenPushes]pushKey
-	seenNext int
-
-	renewal   renewal
-	confirmed time.Duration // when the state was known to be the newest
-	counters  Counters
+	// pushed is the highest as-of offset known to have been sent through a
+	// push tree of this data centre.
+	pushed     uint64
+	catchingUp bool // reading from a base to the tail
+	seen       [seenPushesSize]pushKey
+	seenNext   int
+
+	checkpointPlan checkpointPlan
+	confirmed      time.Duration // when the state was last known to be the newest
+	counters       Counters
 }
 
-// NewSpread returns the state machine of the node self. The seed is for jitter
-// and the choice of peers.
+// NewSpread returns the state machine of the node self. The seed determines
+// jitter and the choice of peers.
 func NewSpread(cfg Config, self wire.NodeID, dataCentre string, seed uint64) *Spread {
 	s := &Spread{
 		cfg: cfg,
 		follower: follower{
-			folder:      newFolder(),
+			replayer:    newReplayer(),
 			pageRecords: cfg.PageRecords,
 			searchSpan:  2 * cfg.CheckpointRecords,
 		},
@@ -59,20 +59,20 @@
 		rng:       rand.New(rand.NewPCG(seed, rank(self))),
 		confirmed: never,
 	}
-	s.renewal = renewal{due: never, renewAt: s.jitter(cfg.CheckpointEvery)}
+	s.checkpointPlan = checkpointPlan{due: never, renewAt: s.jitter(cfg.CheckpointEvery)}
 	return s
 }
 
-// SetMembers tells the live members of the fleet, with or without self; call
-// it when the view changes.
+// SetMembers sets the nodes that are believed alive, with or without self. It
+// must be called when the view changes.
 func (s *Spread) SetMembers(members []Peer) {
 	s.ring = newRing(s.ring.self, s.ring.dataCentre, members, s.cfg.ReadersPerDataCentre)
 }
 
-// State returns what is in force: nil while the node knows nothing.
+// State returns the state in force, nil while the node has none.
 func (s *Spread) State() *State { return s.follower.state }
 
-// Tick does what is due; call it about every 100 ms.
+// Tick performs what is due. It must be called about every 100 ms.
 func (s *Spread) Tick(now time.Time) Actions {
 	s.clock.advance(now)
 	var a Actions
@@ -85,89 +85,90 @@
 	if !s.ring.isReader() {
 		return
 	}
-	if s.reading && s.clock.elapsed-s.readStarted < s.cfg.ReadTimeout {
+	if s.readPending && s.clock.elapsed-s.readStarted < s.cfg.ReadTimeout {
 		return
 	}
 	if s.clock.elapsed >= s.nextPoll {
-		s.read(a)
+		s.startRead(a)
 	}
 }
 
-func (s *Spread) read(a *Actions) {
-	next := s.follower.next()
-	a.Read = &Read{From: next.from, Max: next.max}
-	s.reading = true
+func (s *Spread) startRead(a *Actions) {
+	nextRead := s.follower.nextRead()
+	a.Read = &Read{From: nextRead.from, Max: nextRead.max}
+	s.readPending = true
 	s.readStarted = s.clock.elapsed
 	s.counters.LogReads++
 }
 
-// LogFailed says that a read failed.
+// LogFailed reports that a read failed.
 func (s *Spread) LogFailed(now time.Time) {
 	s.clock.advance(now)
-	s.reading = false
+	s.readPending = false
 	s.failures++
 	s.counters.LogFailures++
 	backoff := s.cfg.PollEvery << min(s.failures, maxBackoffShift)
-	s.pollIn(min(backoff, s.cfg.PollBackoff))
+	s.schedulePoll(min(backoff, s.cfg.PollBackoff))
 }
 
-// LogPage takes in the answer to a read, however late it comes.
-func (s *Spread) LogPage(now time.Time, page applog.Page) Actions {
+// LogPage processes the answer to a read, however late it arrives.
+func (s *Spread) LogPage(now time.Time, logPage applog.Page) Actions {
 	s.clock.advance(now)
 	var a Actions
-	s.reading = false
+	s.readPending = false
 	s.failures = 0
 	before := s.State()
-	moved := s.follower.page(page)
+	progressed := s.follower.logPage(logPage)
 	a.Changed = s.State() != before
-	s.joining = s.joining || before == nil && a.Changed
+	s.catchingUp = s.catchingUp || before == nil && a.Changed
 	atTail := s.State() != nil && s.State().AsOf() == s.follower.tail
 	if atTail {
 		s.confirm(s.readStarted)
 		s.atTail(&a)
 	}
-	if moved && !atTail {
-		s.read(&a)
+	if progressed && !atTail {
+		s.startRead(&a)
 		return a
 	}
-	s.pollIn(s.cfg.PollEvery)
+	s.schedulePoll(s.cfg.PollEvery)
 	return a
 }
 
-// pollIn spreads the readers: all polling at once would leave the time between
-// unwatched.
-func (s *Spread) pollIn(mean time.Duration) {
+// schedulePoll sets the time of the next poll, with jitter so that readers do
+// not all poll at the same time.
+func (s *Spread) schedulePoll(mean time.Duration) {
 	s.nextPoll = s.clock.elapsed + mean/2 + s.jitter(mean)
 }
 
-// atTail acts on a state that is the newest. What a node without one reads
-// until it gets here is no news: a push would send the whole state to nodes
-// that have it, each time that a reader is replaced.
+// atTail pushes and checkpoints a state that is the newest. A node that
+// started without a state does not push what it read to catch up, because its
+// peers already have it.
 func (s *Spread) atTail(a *Actions) {
-	if s.joining {
-		s.joining = false
+	if s.catchingUp {
+		s.catchingUp = false
 		s.pushed = s.State().AsOf()
 	}
 	s.startPush(a)
 	s.checkpoint(a)
 }
 
-// Receive takes in a message from a peer.
+// Receive processes a message from a peer.
 func (s *Spread) Receive(now time.Time, from wire.NodeID, m Message) Actions {
 	s.clock.advance(now)
 	var a Actions
 	if m.Update == nil {
-		s.offered(&a, from, m)
+		s.receiveOffer(&a, from, m)
 		return a
 	}
 	if m.Push != nil {
-		s.forward(&a, m)
+		s.forwardPush(&a, m)
 	}
-	s.updated(&a, from, m)
+	s.receiveUpdate(&a, from, m)
 	return a
 }
 
-// SawVersion tells the as-of offset that another message of a peer carried.
+// SawVersion reports the as-of offset that another message of a peer carried,
+// and pulls if it is newer.
 func (s *Spread) SawVersion(now time.Time, peer wire.NodeID, asOf uint64) Actions {
 	if asOf <= s.State().AsOf() {
 		return Actions{}
@@ -189,7 +190,7 @@
 	a.Send = append(a.Send, Send{To: to, Msg: m})
 }
 
-// Dump returns the state for people.
+// Dump returns a summary of the state for operators.
 func (s *Spread) Dump() Dump {
 	st := s.State()
 	d := Dump{
@@ -201,7 +202,7 @@
 		Reader:    s.ring.isReader(),
 		Readers:   s.ring.readers,
 		Members:   len(s.ring.all) + 1,
-		NoBase:    s.follower.stuck(),
+		NoBase:    s.follower.hasNoBase(),
 		LogOldest: s.follower.oldest,
 		LogNext:   s.follower.tail,
 		Counters:  s.counters,
--- a/config/spread_test.go
+++ b/config/spread_test.go
@@ -11,8 +11,8 @@
 	"github.com/cassialoom/cassialoom/internal/proptest"
 )
 
-// machine draws faults and publications. Operators take the base of a change
-// from any node's state, so they race and work on what is long outdated.
+// machine draws faults and publications. Operators base a change on any node's
+// state, so they race and work on outdated versions.
 type machine struct {
 	*world
 	rt        *rapid.T
@@ -37,18 +37,18 @@
 	for _, service := range rapid.SliceOfNDistinct(rapid.SampledFrom(testServices), 1, 2, rapid.ID).Draw(m.rt, "services") {
 		current, exists := known.Section(service)
 		if exists && m.draw("delete", 0, 4) == 0 {
-			p.Sections = append(p.Sections, unset(service, current.Version))
+			p.Sections = append(p.Sections, deleteSection(service, current.Version))
 			continue
 		}
 		text := rapid.SampledFrom(testTexts).Draw(m.rt, "text")
-		p.Sections = append(p.Sections, set(service, text, current.Version))
+		p.Sections = append(p.Sections, setSection(service, text, current.Version))
 	}
 	m.published = append(m.published, p)
 	m.append(p)
 }
 
-// publishAgain appends another copy, as one who lost the answer does: the old
-// record arriving late, or a new one by someone who has read on.
+// publishAgain appends another copy of a publication: the old record, or a new
+// one by a writer that has read on.
 func (m *machine) publishAgain() {
 	if len(m.published) == 0 {
 		return
@@ -61,9 +61,9 @@
 }
 
 func (m *machine) replace() {
-	end := m.truth().end()
+	end := m.currentOracle().end()
 	p := publication(fmt.Sprint("w", len(m.published)), end-min(end, uint64(m.draw("behind", 0, 1))),
-		set("a", rapid.SampledFrom(testTexts).Draw(m.rt, "text"), 0))
+		setSection("a", rapid.SampledFrom(testTexts).Draw(m.rt, "text"), 0))
 	p.Whole = true
 	m.published = append(m.published, p)
 	m.append(p)
@@ -76,16 +76,16 @@
 	case 0:
 		n.frozen = true
 	case 1:
-		m.thaw(n)
+		m.unfreeze(n)
 	case 2:
 		m.restart(i)
-		m.meet()
+		m.shareMembers()
 	case 3:
-		m.restart(i) // does not know anyone yet
+		m.restart(i) // has no peers yet
 	case 4:
 		n.noLog = !n.noLog
 	case 5:
-		m.cut[n.dataCentre] = !m.cut[n.dataCentre]
+		m.partitioned[n.dataCentre] = !m.partitioned[n.dataCentre]
 	case 6:
 		m.log.Outage(m.now.Add(time.Duration(m.draw("outage", 1, 60)) * time.Second))
 	case 7:
@@ -93,27 +93,28 @@
 	case 8:
 		n.skew += time.Duration(m.draw("days", -1, 1)) * 24 * time.Hour
 	case 9:
-		m.meet()
+		m.shareMembers()
 	}
 }
 
 func (m *machine) heal() {
-	m.loss, m.repeats = 0, 0
+	m.loss, m.duplicates = 0, 0
 	m.log.Outage(m.now)
 	m.log.DelayAppends(0, 0)
-	clear(m.cut)
+	clear(m.partitioned)
 	for _, n := range m.nodes {
 		n.noLog = false
-		m.thaw(n)
+		m.unfreeze(n)
 	}
-	m.meet()
+	m.shareMembers()
 	m.run(15 * time.Second)
 	m.checkAll()
 }
 
-// rescue is for when the log has trimmed what no node had read: until an
-// operator replaces everything, all agree on the newest of what they had.
-func (m *machine) rescue() {
+// replaceIfBaseLost handles a log that trimmed records which no node had read:
+// all nodes must agree on the newest state among them until an operator
+// replaces everything.
+func (m *machine) replaceIfBaseLost() {
 	page, err := m.log.Read(ctx, Stream, 0, 0)
 	if err != nil {
 		m.rt.Fatal(err)
@@ -127,7 +128,7 @@
 			m.rt.Fatalf("as of %d and %d", n.state().AsOf(), newest.state().AsOf())
 		}
 	}
-	p := publication("rescue", m.truth().end(), set("a", "x", 0))
+	p := publication("rescue", m.currentOracle().end(), setSection("a", "x", 0))
 	p.Whole = true
 	m.append(p)
 	m.run(10 * time.Second)
@@ -141,26 +142,24 @@
 			m.rt.Fatalf("states as of one offset differ: %+v", d)
 		}
 	}
-	if m.broken != nil {
-		m.rt.Fatal(m.broken)
+	if m.violation != nil {
+		m.rt.Fatal(m.violation)
 	}
 }
 
-// Nodes freeze, restart empty, lose the log and each other, while operators
-// race and their records arrive late and repeatedly. A caller must never meet
-// a node that has anything in force but an accepted state, or an earlier one
-// than before; and soon after the faults end all nodes have the last one.
-func TestPropertyNothingReverts(t *testing.T) {
+// Guards against a node whose state was never accepted or is older than its
+// previous one, and against nodes that stay outdated after faults end.
+func TestPropertyNoNodeReverts(t *testing.T) {
 	proptest.Check(t, func(rt *rapid.T) {
 		m := &machine{rt: rt}
 		retention := time.Duration(20*m.draw("retention", 0, 3)) * time.Second
 		m.world = newWorld(testConfig(), retention, rapid.Uint64().Draw(rt, "seed"))
 		m.loss = 20 * m.draw("loss", 0, 2)
-		m.repeats = 20 * m.draw("repeats", 0, 1)
+		m.duplicates = 20 * m.draw("repeats", 0, 1)
 		for i := range m.draw("nodes", 2, 7) {
 			m.start(testCentres[i%2])
 		}
-		m.meet()
+		m.shareMembers()
 		rt.Repeat(map[string]func(*rapid.T){
 			"publish":      func(*rapid.T) { m.publish() },
 			"publishAgain": func(*rapid.T) { m.publishAgain() },
@@ -171,9 +170,9 @@
 			"":             func(*rapid.T) { m.checkAll() },
 		})
 		m.heal()
-		m.rescue()
-		if late := m.late(); late > 0 {
-			rt.Fatalf("%d of %d nodes are late; accepted: %v", late, len(m.nodes), m.oracle.sections)
+		m.replaceIfBaseLost()
+		if outdated := m.outdated(); outdated > 0 {
+			rt.Fatalf("%d of %d nodes are outdated; accepted: %v", outdated, len(m.nodes), m.oracle.sections)
 		}
 	})
 }
--- a/config/state.go
+++ b/config/state.go
@@ -10,20 +10,21 @@
 	"github.com/cassialoom/cassialoom/graph"
 )
 
-// Section is one accepted section.
+// Section is an accepted section of the graph text.
 type Section struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
 	Text    string
-	// Version is the offset after the record that gave the section its text,
-	// so that zero is free for "does not exist".
+	// Version is the offset after the record that set the text. Zero means
+	// that the section does not exist.
 	Version uint64
-	// By is the ID of the publication, Operator who published it.
+	// By is the ID of the publication that set the text, Operator its
+	// operator.
 	By       string
 	Operator string
 }
 
-// Deletion remembers a section that was deleted, for peers that still have it.
+// Deletion records the deletion of a section, for peers that still have it.
 type Deletion struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
@@ -37,26 +38,27 @@
 	// Version is the offset after the publication's record.
 	Version  uint64
 	Accepted bool
-	// Cause says why it was rejected.
+	// Cause is the reason of a rejection, empty otherwise.
 	Cause string
 }
 
-// State is what all records before one offset of the stream amount to. It is
-// immutable and safe for concurrent use.
+// State is the result of applying all records before one offset of the stream.
+// It is immutable and safe for concurrent use. A nil State is valid and means
+// that nothing is known.
 type State struct {
 	asOf       uint64
 	version    uint64
-	floor      uint64
-	checkpoint uint64
-	sections   []Section  // by service
-	deletions  []Deletion // by version, of the last memory records
-	verdicts   []Verdict  // by version, of the last memory records
+	floor      uint64     // offset after the newest replacement, zero if there is none
+	checkpoint uint64     // as-of offset of the newest checkpoint in the stream
+	sections   []Section  // sorted by service
+	deletions  []Deletion // sorted by version, of the last retainedRecords records
+	verdicts   []Verdict  // sorted by version, of the last retainedRecords records
 	graph      *graph.Graph
 	sum        uint64
 }
 
-// AsOf is the offset before which all records are folded in; of two states the
-// one with the higher offset supersedes the other.
+// AsOf returns the offset before which all records are applied. Of two states
+// the one with the higher offset supersedes the other.
 func (s *State) AsOf() uint64 {
 	if s == nil {
 		return 0
@@ -64,7 +66,8 @@
 	return s.asOf
 }
 
-// Version is that of the last accepted publication; zero before any.
+// Version returns the version of the last accepted publication, zero if there
+// is none.
 func (s *State) Version() uint64 {
 	if s == nil {
 		return 0
@@ -72,7 +75,7 @@
 	return s.version
 }
 
-// Graph is the graph in force, nil before any publication was accepted.
+// Graph returns the graph in force, nil before the first accepted publication.
 func (s *State) Graph() *graph.Graph {
 	if s == nil {
 		return nil
@@ -80,7 +83,8 @@
 	return s.graph
 }
 
-// Sections are the accepted sections by service. They must not be changed.
+// Sections returns the accepted sections sorted by service. The caller must
+// not modify them.
 func (s *State) Sections() []Section {
 	if s == nil {
 		return nil
@@ -88,19 +92,19 @@
 	return s.sections
 }
 
-// Section returns the section of one service.
+// Section returns the section of a service and whether it exists.
 func (s *State) Section(service string) (Section, bool) {
 	if s == nil {
 		return Section{}, false
 	}
-	i, ok := find(s.sections, service)
+	i, ok := findSection(s.sections, service)
 	if !ok {
 		return Section{}, false
 	}
 	return s.sections[i], true
 }
 
-// Verdict returns the remembered outcome of a publication.
+// Verdict returns the retained outcome of the publication with the given ID.
 func (s *State) Verdict(id string) (Verdict, bool) {
 	if s == nil {
 		return Verdict{}, false
@@ -113,7 +117,7 @@
 	return Verdict{}, false
 }
 
-// Sum is a checksum of the state: equal states have equal sums.
+// Sum returns a checksum of the state. Equal states have equal sums.
 func (s *State) Sum() uint64 {
 	if s == nil {
 		return 0
@@ -121,15 +125,15 @@
 	return s.sum
 }
 
-func find(sections []Section, service string) (int, bool) {
+func findSection(sections []Section, service string) (int, bool) {
 	return slices.BinarySearchFunc(sections, service, func(s Section, name string) int {
 		return strings.Compare(s.Service, name)
 	})
 }
 
-// put returns a copy of the sections with one put in or replaced.
-func put(sections []Section, s Section) []Section {
-	i, ok := find(sections, s.Service)
+// withSection returns a copy of the sections with s added or replaced.
+func withSection(sections []Section, s Section) []Section {
+	i, ok := findSection(sections, s.Service)
 	if ok {
 		sections = slices.Clone(sections)
 		sections[i] = s
@@ -138,9 +142,10 @@
 	return slices.Insert(slices.Clone(sections), i, s)
 }
 
-// remove returns a copy of the sections without one.
-func remove(sections []Section, service string) []Section {
-	i, ok := find(sections, service)
+// withoutSection returns the sections without that of the service. The
+// argument is not modified.
+func withoutSection(sections []Section, service string) []Section {
+	i, ok := findSection(sections, service)
 	if !ok {
 		return sections
 	}
@@ -155,21 +160,22 @@
 	return texts
 }
 
-// oldestDelta is the least offset from which a change to this state can be
-// told without the whole of it: deletions before it are forgotten.
-func (s *State) oldestDelta() uint64 { return max(s.floor, remembered(s.asOf)) }
+// oldestDeltaBase returns the lowest offset from which a delta update to this
+// state can be made. Deletions before it have been dropped.
+func (s *State) oldestDeltaBase() uint64 { return max(s.floor, oldestRetained(s.asOf)) }
 
-// remembered is the least version that a state as of the offset remembers.
-func remembered(asOf uint64) uint64 {
-	if asOf <= memory {
+// oldestRetained returns the offset up to which a state as of asOf has dropped
+// verdicts and deletions.
+func oldestRetained(asOf uint64) uint64 {
+	if asOf <= retainedRecords {
 		return 0
 	}
-	return asOf - memory
+	return asOf - retainedRecords
 }
 
-// forget drops verdicts and deletions that are older than the memory.
-func (s *State) forget() {
-	least := remembered(s.asOf)
+// trimHistory drops verdicts and deletions older than retainedRecords.
+func (s *State) trimHistory() {
+	least := oldestRetained(s.asOf)
 	i := 0
 	for i < len(s.verdicts) && s.verdicts[i].Version <= least {
 		i++
@@ -182,24 +188,24 @@
 	s.deletions = s.deletions[i:]
 }
 
-// seal sets the checksum. Causes are left out: their wording may differ
-// between two releases of the program that otherwise agree.
-func (s *State) seal() {
+// setSum sets the checksum. It excludes the causes, whose wording may differ
+// between two releases that otherwise agree.
+func (s *State) setSum() {
 	d := digest{Digest: xxhash.New()}
-	d.numbers(s.asOf, s.version, s.floor, s.checkpoint, uint64(len(s.sections)))
+	d.writeNumbers(s.asOf, s.version, s.floor, s.checkpoint, uint64(len(s.sections)))
 	for _, sec := range s.sections {
-		d.texts(sec.Service, sec.Text, sec.By, sec.Operator)
-		d.numbers(sec.Version)
+		d.writeStrings(sec.Service, sec.Text, sec.By, sec.Operator)
+		d.writeNumbers(sec.Version)
 	}
 	for _, del := range s.deletions {
-		d.texts(del.Service)
-		d.numbers(del.Version)
+		d.writeStrings(del.Service)
+		d.writeNumbers(del.Version)
 	}
 	for _, v := range s.verdicts {
-		d.texts(v.ID)
-		d.numbers(v.Version, uint64(len(v.ID)))
+		d.writeStrings(v.ID)
+		d.writeNumbers(v.Version, uint64(len(v.ID)))
 		if v.Accepted {
-			d.numbers(1)
+			d.writeNumbers(1)
 		}
 	}
 	s.sum = d.Sum64()
@@ -207,7 +213,7 @@
 
 type digest struct{ *xxhash.Digest }
 
-func (d digest) numbers(ns ...uint64) {
+func (d digest) writeNumbers(ns ...uint64) {
 	var b [8]byte
 	for _, n := range ns {
 		binary.LittleEndian.PutUint64(b[:], n)
@@ -215,9 +221,9 @@
 	}
 }
 
-func (d digest) texts(ts ...string) {
+func (d digest) writeStrings(ts ...string) {
 	for _, t := range ts {
-		d.numbers(uint64(len(t)))
+		d.writeNumbers(uint64(len(t)))
 		d.WriteString(t) // never fails
 	}
 }
--- a/config/timing.go
+++ b/config/timing.go
@@ -3,40 +3,39 @@
 import "time"
 
 const (
-	// never is a time that is not set.
+	// never marks a time that is not set.
 	never = time.Duration(-1)
-	// maxBackoffShift keeps the shift of a duration from overflowing.
+	// maxBackoffShift limits the shift of a duration to prevent overflow.
 	maxBackoffShift = 8
 )
 
-// monotonic adds up the time that went by between events. A clock that is set
-// back would otherwise stop every timer until it has caught up: the node would
-// neither poll nor repair for as long. Set forward, it only makes timers due.
-type monotonic struct {
+// monotonicClock sums the time that elapses between events. A clock that is
+// set back does not stop timers; one that is set forward makes them due.
+type monotonicClock struct {
 	last    time.Time
 	elapsed time.Duration
 }
 
-func (m *monotonic) advance(now time.Time) {
+func (m *monotonicClock) advance(now time.Time) {
 	if d := now.Sub(m.last); d > 0 && !m.last.IsZero() {
 		m.elapsed += d
 	}
 	m.last = now
 }
 
-// confirm notes when the state was known to be the newest.
+// confirm records when the state was known to be the newest.
 func (s *Spread) confirm(at time.Duration) { s.confirmed = max(s.confirmed, at) }
 
-// age is the form that a message carries.
-func (s *Spread) age() uint64 {
+// ageForMessage returns the age of the state as encoded in Message.AgeMillis.
+func (s *Spread) ageForMessage() uint64 {
 	if s.confirmed == never {
 		return 0
 	}
 	return uint64((s.clock.elapsed - s.confirmed).Milliseconds()) + 1
 }
 
-// heardAge takes over what a peer with the same state knows about its age.
-func (s *Spread) heardAge(millis uint64) {
+// mergeAge applies the age that a peer with the same state reported.
+func (s *Spread) mergeAge(millis uint64) {
 	if millis == 0 {
 		return
 	}
--- a/config/update.go
+++ b/config/update.go
@@ -8,14 +8,17 @@
 )
 
 var (
-	// errBehind marks an update that starts after the state it is given to.
-	errBehind = errors.New("update starts after the state")
-	// errDiverged marks an update that does not give its sender's state.
-	errDiverged = errors.New("update does not give the state of its sender")
+	// errBehind reports an update whose From is after the state that it is
+	// applied to.
+	errBehind = errors.New("update starts after the local state")
+	// errDiverged reports an update whose result differs from the sender's
+	// state.
+	errDiverged = errors.New("update result differs from the state of the sender")
 )
 
-// Update leads from any state as of From or later to the one as of To: it has
-// all sections that changed since From. With From zero it is a whole state.
+// Update changes any state as of From or later into the state as of To. It
+// contains all sections that changed since From. If From is zero, it is a
+// whole state.
 type Update struct {
 	From       uint64     `cbor:"1,keyasint,omitempty"`
 	To         uint64     `cbor:"2,keyasint"`
@@ -28,10 +31,10 @@
 	Verdicts   []Verdict  `cbor:"9,keyasint,omitempty"`
 }
 
-// since returns the update from an offset to the state; the whole state if the
-// state has forgotten what was deleted since then.
-func (s *State) since(from uint64) *Update {
-	if from < s.oldestDelta() {
+// updateSince returns the update from an offset to the state. It returns the
+// whole state if deletions since then have been dropped.
+func (s *State) updateSince(from uint64) *Update {
+	if from < s.oldestDeltaBase() {
 		from = 0
 	}
 	u := &Update{
@@ -60,9 +63,9 @@
 	return u
 }
 
-// merge returns the state that the update leads to, or s itself if the update
-// is not newer.
-func (f folder) merge(s *State, u *Update) (*State, error) {
+// applyUpdate returns the state that results from the update, or s itself if
+// the update is not newer. On an error it returns s too.
+func (f replayer) applyUpdate(s *State, u *Update) (*State, error) {
 	if s != nil && u.To <= s.asOf {
 		return s, nil
 	}
@@ -77,18 +80,18 @@
 	next.sections = mergeSections(old.sections, u)
 	next.deletions = mergeDeletions(old.deletions, u)
 	next.verdicts = mergeVerdicts(old.verdicts, u)
-	next.forget()
-	next.seal()
+	next.trimHistory()
+	next.setSum()
 	if next.sum != u.Sum {
 		return s, fmt.Errorf("%w: from %d to %d", errDiverged, u.From, u.To)
 	}
-	if err := f.putGraph(next, old); err != nil {
+	if err := f.setGraph(next, old); err != nil {
 		return s, err
 	}
 	return next, nil
 }
 
-func (f folder) putGraph(next, old *State) error {
+func (f replayer) setGraph(next, old *State) error {
 	if len(next.sections) == 0 {
 		return nil
 	}
@@ -98,7 +101,8 @@
 	}
 	g, problems := f.assemble(graphSections(next.sections))
 	if len(problems) > 0 {
-		// Never in a fleet of one release: the sender accepted it.
+		// Unreachable while all nodes run the same release: the sender
+		// accepted this graph.
 		return fmt.Errorf("graph as of %d: %w", next.asOf, problems.Err())
 	}
 	next.graph = g
@@ -124,8 +128,8 @@
 	return merged
 }
 
-// mergeDeletions keeps what the old state knows up to From; the update has all
-// that came later.
+// mergeDeletions returns the old deletions up to u.From and all of the update,
+// which has the later ones.
 func mergeDeletions(old []Deletion, u *Update) []Deletion {
 	n := 0
 	for n < len(old) && old[n].Version <= u.From {
--- a/config/world_test.go
+++ b/config/world_test.go
@@ -16,7 +16,7 @@
 
 var ctx = context.Background()
 
-// member is what the world drives: a Spread, or the naive version.
+// member is the implementation under test: a Spread, or the naive version.
 type member interface {
 	SetMembers([]Peer)
 	Tick(time.Time) Actions
@@ -30,36 +30,36 @@
 
 type node struct {
 	member
-	id                  wire.NodeID
-	dataCentre          string
-	position            uint64 // in the oracle's history
-	skew                time.Duration
-	frozen, noLog, gone bool
-	held                []func() // what came while it was frozen
-	sent, sentBytes     int
+	id                     wire.NodeID
+	dataCentre             string
+	position               uint64 // as-of offset in the oracle's history
+	skew                   time.Duration
+	frozen, noLog, stopped bool
+	pending                []func() // events that arrived while it was frozen
+	sent, sentBytes        int
 }
 
 func (n *node) state() *State { return n.member.(*Spread).State() }
 
-// world runs nodes, the log and the network between them in simulated time.
+// world simulates nodes, the log and the network between them.
 type world struct {
-	cfg           Config
-	now           time.Time
-	rng           *rand.Rand
-	log           *fakelog.Log
-	oracle        *oracle
-	nodes         []*node
-	byID          map[wire.NodeID]*node
-	naive         bool
-	due           map[int64][]func() // by millisecond
-	latency       func(from, to *node) time.Duration
-	loss, repeats int             // of messages, in percent
-	cut           map[string]bool // data centres without a way to the others
-	encode        func(Message) int
-	broken        error // the first violation
+	cfg              Config
+	now              time.Time
+	rng              *rand.Rand
+	log              *fakelog.Log
+	oracle           *oracle
+	nodes            []*node
+	byID             map[wire.NodeID]*node
+	naive            bool
+	due              map[int64][]func() // scheduled events by millisecond
+	latency          func(from, to *node) time.Duration
+	loss, duplicates int             // percentages of messages
+	partitioned      map[string]bool // data centres that cannot reach the others
+	encode           func(Message) int
+	violation        error // first violation found by check
 }
 
-// testConfig shortens what in production is far apart.
+// testConfig shortens the intervals and sizes used in production.
 func testConfig() Config {
 	cfg := DefaultConfig()
 	cfg.CheckpointEvery = 15 * time.Second
@@ -72,13 +72,13 @@
 
 func newWorld(cfg Config, retention time.Duration, seed uint64) *world {
 	w := &world{
-		cfg:    cfg,
-		now:    time.Unix(1_000_000, 0),
-		rng:    rand.New(rand.NewPCG(seed, 0)),
-		oracle: newOracle(),
-		cut:    map[string]bool{},
-		byID:   map[wire.NodeID]*node{},
-		due:    map[int64][]func(){},
+		cfg:         cfg,
+		now:         time.Unix(1_000_000, 0),
+		rng:         rand.New(rand.NewPCG(seed, 0)),
+		oracle:      newOracle(),
+		partitioned: map[string]bool{},
+		byID:        map[wire.NodeID]*node{},
+		due:         map[int64][]func(){},
 	}
 	w.log = fakelog.New(fakelog.Config{Retention: retention, KeepHistory: true}, func() time.Time { return w.now })
 	w.latency = func(_, _ *node) time.Duration { return time.Duration(w.rng.IntN(400)) * time.Millisecond }
@@ -102,17 +102,17 @@
 	return n
 }
 
-// restart replaces a node by an empty one with another identity.
+// restart replaces a node by one without a state and with a new ID.
 func (w *world) restart(i int) *node {
 	old := w.nodes[i]
-	old.gone = true
+	old.stopped = true
 	delete(w.byID, old.id)
 	w.nodes = slices.Delete(w.nodes, i, i+1)
 	return w.start(old.dataCentre)
 }
 
-// meet gives all nodes the true view.
-func (w *world) meet() {
+// shareMembers gives all nodes the actual membership.
+func (w *world) shareMembers() {
 	var peers []Peer
 	for _, n := range w.nodes {
 		peers = append(peers, Peer{ID: n.id, DataCentre: n.dataCentre})
@@ -138,34 +138,35 @@
 }
 
 func (w *world) tick(n *node) {
-	if !n.gone {
+	if !n.stopped {
 		w.after(tickMillis*time.Millisecond, func() { w.tick(n) })
 	}
-	if !n.gone && !n.frozen {
-		w.do(n, n.Tick(w.now.Add(n.skew)))
+	if !n.stopped && !n.frozen {
+		w.perform(n, n.Tick(w.now.Add(n.skew)))
 	}
 }
 
-// reach runs an event at a node: at once, when it thaws, or never.
-func (w *world) reach(n *node, run func()) {
+// deliver runs an event on a node: at once, when it is unfrozen, or never if
+// it has stopped.
+func (w *world) deliver(n *node, run func()) {
 	switch {
-	case n.gone:
+	case n.stopped:
 	case n.frozen:
-		n.held = append(n.held, run)
+		n.pending = append(n.pending, run)
 	default:
 		run()
 	}
 }
 
-func (w *world) thaw(n *node) {
-	held := n.held
-	n.frozen, n.held = false, nil
-	for _, run := range held {
+func (w *world) unfreeze(n *node) {
+	pending := n.pending
+	n.frozen, n.pending = false, nil
+	for _, run := range pending {
 		run()
 	}
 }
 
-func (w *world) do(n *node, a Actions) {
+func (w *world) perform(n *node, a Actions) {
 	if a.Changed {
 		w.check(n)
 	}
@@ -182,7 +183,7 @@
 	}
 }
 
-// read takes its page on the way and brings it back later.
+// read reads the log after one latency and delivers the page after another.
 func (w *world) read(n *node, r Read) {
 	w.after(w.latency(n, n), func() {
 		page, err := w.log.Read(ctx, Stream, r.From, r.Max)
@@ -193,12 +194,12 @@
 			return // never answered
 		}
 		w.after(w.latency(n, n), func() {
-			w.reach(n, func() {
+			w.deliver(n, func() {
 				if err != nil {
 					n.LogFailed(w.now.Add(n.skew))
 					return
 				}
-				w.do(n, n.LogPage(w.now.Add(n.skew), page))
+				w.perform(n, n.LogPage(w.now.Add(n.skew), page))
 			})
 		})
 	})
@@ -210,7 +211,7 @@
 		from.sentBytes += w.encode(s.Msg)
 	}
 	to, copies := w.byID[s.To], 1
-	if w.rng.IntN(100) < w.repeats {
+	if w.rng.IntN(100) < w.duplicates {
 		copies = 2
 	}
 	for range copies {
@@ -218,41 +219,42 @@
 			continue
 		}
 		w.after(w.latency(from, to), func() {
-			if from.dataCentre != to.dataCentre && (w.cut[from.dataCentre] || w.cut[to.dataCentre]) {
+			if from.dataCentre != to.dataCentre && (w.partitioned[from.dataCentre] || w.partitioned[to.dataCentre]) {
 				return
 			}
-			w.reach(to, func() { w.do(to, to.Receive(w.now.Add(to.skew), from.id, s.Msg)) })
+			w.deliver(to, func() { w.perform(to, to.Receive(w.now.Add(to.skew), from.id, s.Msg)) })
 		})
 	}
 }
 
-// check holds what a node has in force against the history: always an accepted
-// state, never an earlier one than before.
+// check verifies that a node has an accepted state in force that is not older
+// than its previous one.
 func (w *world) check(n *node) {
-	w.truth()
+	w.currentOracle()
 	if !w.naive {
 		n.position = max(n.position, n.state().AsOf())
 	}
 	position, err := w.oracle.position(n.position, n.sections())
-	if err != nil && w.broken == nil {
-		w.broken = fmt.Errorf("node %s: %w", n.id.Short(), err)
+	if err != nil && w.violation == nil {
+		w.violation = fmt.Errorf("node %s: %w", n.id.Short(), err)
 	}
 	n.position = position
 }
 
-// truth folds what was appended since and returns the oracle.
-func (w *world) truth() *oracle {
-	w.oracle.foldAll(w.log.History(Stream))
+// currentOracle applies the records appended since the last call and returns
+// the oracle.
+func (w *world) currentOracle() *oracle {
+	w.oracle.applyAll(w.log.History(Stream))
 	return w.oracle
 }
 
-// change appends a publication of somebody who has read everything.
-func (w *world) change(service, text string) {
-	truth := w.truth()
-	w.append(publication(fmt.Sprint("c", truth.end()), truth.end(), set(service, text, truth.sections[service].version)))
+// publishChange appends a publication by a writer that has read everything.
+func (w *world) publishChange(service, text string) {
+	currentOracle := w.currentOracle()
+	w.append(publication(fmt.Sprint("c", currentOracle.end()), currentOracle.end(), setSection(service, text, currentOracle.sections[service].version)))
 }
 
-// append puts a publication into the log; what its writer hears is not asked.
+// append appends a publication to the log, ignoring the result.
 func (w *world) append(p Publication) {
 	data, err := p.Encode()
 	if err != nil {
@@ -261,26 +263,27 @@
 	_, _ = w.log.Append(ctx, Stream, data)
 }
 
-// late counts the nodes that do not have all that is accepted.
-func (w *world) late() int {
-	end := w.truth().end()
-	late := 0
+// outdated returns the number of nodes that do not have the latest accepted
+// state.
+func (w *world) outdated() int {
+	end := w.currentOracle().end()
+	outdated := 0
 	for _, n := range w.nodes {
 		if position, err := w.oracle.position(end, n.sections()); err != nil || position != end {
-			late++
+			outdated++
 		}
 	}
-	return late
+	return outdated
 }
 
 func publication(id string, readTo uint64, changes ...SectionChange) Publication {
 	return Publication{ID: id, ReadTo: readTo, Sections: changes}
 }
 
-func set(service, text string, base uint64) SectionChange {
+func setSection(service, text string, base uint64) SectionChange {
 	return SectionChange{Service: service, Text: text, Base: base}
 }
 
-func unset(service string, base uint64) SectionChange {
+func deleteSection(service string, base uint64) SectionChange {
 	return SectionChange{Service: service, Base: base, Delete: true}
 }
