--- a/readers/intime_test.go
+++ b/readers/intime_test.go
@@ -9,94 +9,100 @@
 	"pgregory.net/rapid"
 )
 
-// world plays a store, the plans of a fleet's nodes, and what these tell each other, in
-// modelled time. The first two nodes are taken for readers by all, the first for the
-// prover, whether or not they are there: membership notices nothing in time.
+// world simulates a store, the nodes of a fleet and the messages between them.
+// The first two nodes are always considered readers and the first one the
+// prover, even while they are down: membership detects no failure in time.
 type world struct {
 	rng   *rand.Rand
 	now   time.Time
-	nodes []*reader
-	// confirmed is when each version was; version i+1 at confirmed[i].
-	confirmed []time.Time
-	// away is until when the store answers nobody, calm when it was last disturbed.
-	away, calm time.Time
-	// trusting nodes take silence for news that there is none: they never are unproved.
-	trusting bool
-}
-
-// reader is one node.
-type reader struct {
+	nodes []*member
+	// confirmedAt[i] is when version i+1 was confirmed.
+	confirmedAt []time.Time
+	// outage is the end of the store's outage, lastFault that of its last
+	// fault.
+	outage, lastFault time.Time
+	// noProofs disables proofs: nodes never are unproved.
+	noProofs bool
+}
+
+// member is a simulated node.
+type member struct {
 	plan *Routes
-	// known is the number of versions that the node has, proved when there was none newer.
-	known  int
-	proved time.Time
-	// A read is under way if it was sent; it may take until a time, and a timeout more.
-	sent, until time.Time
-	timeout     time.Duration
-	// asked is when it last asked a peer, met when one answered.
-	asked, met time.Time
-	// down is until when the node is not there, calm when it was last disturbed.
-	down, calm time.Time
-	// cut is until when it reaches no other node, refused until when the store turns it away.
-	cut, refused time.Time
+	// versions is the number of versions that the node has, provenAt when
+	// these were last known to be all.
+	versions int
+	provenAt time.Time
+	// sentAt is zero unless a read is pending. The read waits until waitUntil
+	// and times out timeout later.
+	sentAt, waitUntil time.Time
+	timeout           time.Duration
+	// lastAsked is when the node last asked a peer, lastAnswer when one
+	// answered.
+	lastAsked, lastAnswer time.Time
+	// downUntil is when the node is up again, lastFault the end of its last
+	// fault.
+	downUntil, lastFault time.Time
+	// partitionedUntil is when the node reaches other nodes again, refused
+	// when the store accepts its calls again.
+	partitionedUntil, refused time.Time
 }
 
 const (
-	calmFor       = 3 * time.Second
-	proofSoon     = 1040 * time.Millisecond
-	askEvery      = 100 * time.Millisecond
-	followTimeout = 600 * time.Millisecond
-	newestTimeout = 2 * time.Second
-	isolatedAfter = 1600 * time.Millisecond
-	told          = 0.8 // share of the news that arrives
+	recoveryTime    = 3 * time.Second
+	proofRefreshAge = 1040 * time.Millisecond
+	askInterval     = 100 * time.Millisecond
+	followTimeout   = 600 * time.Millisecond
+	newestTimeout   = 2 * time.Second
+	isolatedAfter   = 1600 * time.Millisecond
+	deliveryRate    = 0.8 // share of the published versions that arrive
 )
 
 func newWorld(seed uint64, n int) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), now: start}
 	for range n {
-		w.nodes = append(w.nodes, &reader{})
+		w.nodes = append(w.nodes, &member{})
 		w.restart(len(w.nodes) - 1)
 	}
 	w.publish()
 	return w
 }
 
-func (w *world) publish() { w.confirmed = append(w.confirmed, w.now) }
+func (w *world) publish() { w.confirmedAt = append(w.confirmedAt, w.now) }
 
 func (w *world) restart(i int) {
-	down := w.now.Add(time.Duration(w.rng.IntN(800)) * time.Millisecond)
-	cut, refused := w.nodes[i].cut, w.nodes[i].refused
-	calm := down
-	if refused.After(calm) {
-		calm = refused
+	downUntil := w.now.Add(time.Duration(w.rng.IntN(800)) * time.Millisecond)
+	partitionedUntil, refused := w.nodes[i].partitionedUntil, w.nodes[i].refused
+	lastFault := downUntil
+	if refused.After(lastFault) {
+		lastFault = refused
 	}
-	*w.nodes[i] = reader{plan: NewRoutes(fleetConfig(), w.rng.Uint64()), down: down, calm: calm, cut: cut, refused: refused}
+	*w.nodes[i] = member{plan: NewRoutes(fleetConfig(), w.rng.Uint64()), downUntil: downUntil, lastFault: lastFault, partitionedUntil: partitionedUntil, refused: refused}
 }
 
-func (w *world) up(r *reader) bool     { return !w.now.Before(r.down) }
-func (w *world) served(r *reader) bool { return !w.now.Before(w.away) && !w.now.Before(r.refused) }
+func (w *world) isUp(r *member) bool   { return !w.now.Before(r.downUntil) }
+func (w *world) served(r *member) bool { return !w.now.Before(w.outage) && !w.now.Before(r.refused) }
 
-func (w *world) meet(a, b *reader) bool {
-	return w.up(a) && w.up(b) && !w.now.Before(a.cut) && !w.now.Before(b.cut)
+func (w *world) reachable(a, b *member) bool {
+	return w.isUp(a) && w.isUp(b) && !w.now.Before(a.partitionedUntil) && !w.now.Before(b.partitionedUntil)
 }
 
-func (w *world) step() {
-	w.now = w.now.Add(step)
+func (w *world) tick() {
+	w.now = w.now.Add(tick)
 	if w.rng.IntN(30) == 0 {
 		w.publish()
 	}
 	if w.rng.IntN(150) == 0 {
-		w.disturb()
+		w.injectFault()
 	}
 	for i, r := range w.nodes {
-		if w.up(r) {
-			w.turn(i, r)
-			w.ask(r)
+		if w.isUp(r) {
+			w.runNode(i, r)
+			w.askPeer(r)
 		}
 	}
 }
 
-func (w *world) disturb() {
+func (w *world) injectFault() {
 	span := time.Duration(w.rng.IntN(6000)) * time.Millisecond
 	r := w.nodes[w.rng.IntN(len(w.nodes))]
 	switch w.rng.IntN(6) {
@@ -106,134 +112,136 @@
 		for i := range w.nodes {
 			w.restart(i)
 		}
-	case 2: // those on whom the others rely
+	case 2: // the nodes that others rely on
 		w.restart(0)
 		w.restart(1)
-	case 3: // a node without peers that reaches the store must keep up
-		r.cut = w.now.Add(span)
+	case 3: // a node without peers has to stay current through the store
+		r.partitionedUntil = w.now.Add(span)
 	case 4:
-		w.away = w.now.Add(span / 2)
-		w.calm = w.away
-	case 5: // as for other nodes, news must not depend on those that the store serves
+		w.outage = w.now.Add(span / 2)
+		w.lastFault = w.outage
+	case 5: // other nodes have to stay current without the readers
 		for _, r := range w.nodes[:2] {
 			r.refused = w.now.Add(span)
-			r.calm = r.refused
+			r.lastFault = r.refused
 		}
 	}
 }
 
-// turn ends the read of a node, or begins one.
-func (w *world) turn(i int, r *reader) {
-	if !r.sent.IsZero() {
-		w.answer(i, r)
+// runNode continues a pending read of a node, or takes the next step of its
+// plan.
+func (w *world) runNode(i int, r *member) {
+	if !r.sentAt.IsZero() {
+		w.finishRead(i, r)
 		return
 	}
-	unproved := !w.trusting && w.now.Sub(r.proved) > provenWithin
-	next := r.plan.Next(w.now, Situation{Reader: i < 2, Prover: i < 1, Routes: r.known > 0, Unproved: unproved,
-		Isolated: w.now.Sub(r.met) > isolatedAfter, Neighbours: len(w.nodes)})
+	unproved := !w.noProofs && w.now.Sub(r.provenAt) > proofMaxAge
+	next := r.plan.Next(w.now, Situation{Reader: i < 2, Prover: i < 1, Routes: r.versions > 0, Unproved: unproved,
+		Isolated: w.now.Sub(r.lastAnswer) > isolatedAfter, Neighbours: len(w.nodes)})
 	if next.Action != Pause {
-		r.sent, r.until, r.timeout = w.now, w.now.Add(next.For), followTimeout
+		r.sentAt, r.waitUntil, r.timeout = w.now, w.now.Add(next.For), followTimeout
 		if next.Action == Newest {
 			r.timeout = newestTimeout
 		}
 	}
 }
 
-// answer ends a read if the store answers now, or never will.
-func (w *world) answer(i int, r *reader) {
+// finishRead ends a read that the store answers now or that has timed out.
+func (w *world) finishRead(i int, r *member) {
 	switch {
-	case !w.served(r), r.sent.Before(w.away): // a store that was silent never answers them
-		if w.now.Sub(r.until) > r.timeout {
-			r.sent = time.Time{}
+	case !w.served(r), r.sentAt.Before(w.outage): // reads sent during an outage are never answered
+		if w.now.Sub(r.waitUntil) > r.timeout {
+			r.sentAt = time.Time{}
 			r.plan.Failed(w.now)
 		}
-	case r.known < len(w.confirmed) || !w.now.Before(r.until):
-		news := r.known < len(w.confirmed)
-		r.take(len(w.confirmed), r.sent)
-		r.sent = time.Time{}
+	case r.versions < len(w.confirmedAt) || !w.now.Before(r.waitUntil):
+		hasNewVersion := r.versions < len(w.confirmedAt)
+		r.learn(len(w.confirmedAt), r.sentAt)
+		r.sentAt = time.Time{}
 		r.plan.Answered(w.now)
-		if i < 2 && news {
-			w.tell(r)
+		if i < 2 && hasNewVersion {
+			w.publishTo(r)
 		}
 	}
 }
 
-// take takes news of so many versions, and a proof of the moment.
-func (r *reader) take(versions int, moment time.Time) {
-	if versions >= r.known && moment.After(r.proved) {
-		r.proved = moment
+// learn sets the versions received and the time of their proof.
+func (r *member) learn(count int, moment time.Time) {
+	if count >= r.versions && moment.After(r.provenAt) {
+		r.provenAt = moment
 	}
-	r.known = max(r.known, versions)
+	r.versions = max(r.versions, count)
 }
 
-// tell offers a version to all; some of it is lost.
-func (w *world) tell(from *reader) {
+// publishTo sends the versions of a node to all others; some messages are
+// lost.
+func (w *world) publishTo(from *member) {
 	for _, r := range w.nodes {
-		if w.meet(from, r) && w.rng.Float64() < told {
-			r.known = max(r.known, from.known)
+		if w.reachable(from, r) && w.rng.Float64() < deliveryRate {
+			r.versions = max(r.versions, from.versions)
 		}
 	}
 }
 
-// ask asks a peer for its proof and versions, most often the prover.
-func (w *world) ask(r *reader) {
-	if w.trusting || w.now.Sub(r.proved) < proofSoon || w.now.Sub(r.asked) < askEvery {
+// askPeer requests the proof and versions of a peer, usually the prover.
+func (w *world) askPeer(r *member) {
+	if w.noProofs || w.now.Sub(r.provenAt) < proofRefreshAge || w.now.Sub(r.lastAsked) < askInterval {
 		return
 	}
-	r.asked = w.now
+	r.lastAsked = w.now
 	peer := w.nodes[0]
 	if w.rng.IntN(4) == 0 {
 		peer = w.nodes[w.rng.IntN(len(w.nodes))]
 	}
-	if peer != r && w.meet(r, peer) {
-		r.met = w.now
-		r.take(peer.known, peer.proved)
+	if peer != r && w.reachable(r, peer) {
+		r.lastAnswer = w.now
+		r.learn(peer.versions, peer.provenAt)
 	}
 }
 
-// late is how far a node is behind that must keep up, zero if none is.
-func (w *world) late() time.Duration {
-	if w.now.Sub(w.calm) < calmFor {
+// lag returns how far the most outdated node is behind, of those that had no
+// fault during recoveryTime.
+func (w *world) lag() time.Duration {
+	if w.now.Sub(w.lastFault) < recoveryTime {
 		return 0
 	}
-	var most time.Duration
+	var maxLag time.Duration
 	for _, r := range w.nodes {
-		if !w.up(r) || w.now.Sub(r.calm) < calmFor || r.known == len(w.confirmed) {
+		if !w.isUp(r) || w.now.Sub(r.lastFault) < recoveryTime || r.versions == len(w.confirmedAt) {
 			continue
 		}
-		most = max(most, w.now.Sub(w.confirmed[r.known]))
+		maxLag = max(maxLag, w.now.Sub(w.confirmedAt[r.versions]))
 	}
-	return most
+	return maxLag
 }
 
-// latest plays for a while and returns how far behind a node was that must keep up.
-func (w *world) latest(d time.Duration) time.Duration {
-	var most time.Duration
+// maxLag runs the simulation for d and returns the largest lag.
+func (w *world) maxLag(d time.Duration) time.Duration {
+	var worst time.Duration
 	for end := w.now.Add(d); w.now.Before(end); {
-		w.step()
-		most = max(most, w.late())
+		w.tick()
+		worst = max(worst, w.lag())
 	}
-	return most
+	return worst
 }
 
-// Nodes are restarted, all of them at once at times; the store is away, or turns the readers
-// away; nodes are cut off from all others; news is lost. Whoever reaches the store, and has
-// for three seconds, has every version in time.
-func TestVersionsAreInForceInTime(t *testing.T) {
+// Guards against nodes that reach the store but get versions late, under
+// restarts, outages, partitions and message loss.
+func TestReachableNodesApplyVersionsInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 12).Draw(t, "nodes"))
-		if late := w.latest(20 * time.Second); late >= applyWithin {
-			t.Fatalf("%v behind", late)
+		if lag := w.maxLag(20 * time.Second); lag >= applyLimit {
+			t.Fatalf("%v behind", lag)
 		}
 	})
 }
 
-// Nodes that take silence for knowledge are behind.
-func TestTrustInSilenceFails(t *testing.T) {
+// Shows that the simulation detects outdated nodes: without proofs some lag.
+func TestNodesWithoutProofsLag(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1, 8)
-	w.trusting = true
-	late := w.latest(time.Minute)
-	t.Log(late)
-	is.True(late >= applyWithin)
+	w.noProofs = true
+	lag := w.maxLag(time.Minute)
+	t.Log(lag)
+	is.True(lag >= applyLimit)
 }
--- a/readers/list.go
+++ b/readers/list.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// ListConfig holds the choices of List.
+// ListConfig configures List.
 type ListConfig struct {
-	// Every is the pause between two looks of a reader: groups of nodes that
-	// formed apart find each other in the list, since each has readers of its
-	// own.
+	// Every is the mean interval between two reads of the list by a reader.
+	// Groups of nodes that formed separately discover each other through the
+	// list, since each group has readers.
 	Every time.Duration
-	// AloneEvery is the same of a node that knows no other one.
+	// AloneEvery is the mean interval for a node that knows no other node.
 	AloneEvery time.Duration
 	// RetryMin and RetryMax bound the pause after a failure while the node is
-	// alone: it can serve nothing but its own backend server.
+	// alone. Such a node can only serve its own backend server.
 	RetryMin, RetryMax time.Duration
-	// UnlistedRetry is the pause after a failure of a node that has met others
-	// and only lacks its own place in the list, by which later ones find it.
+	// UnlistedRetry is the pause after a failure for a node that knows others
+	// and only lacks its own entry in the list.
 	UnlistedRetry time.Duration
-	// WriteSpread is the time over which first entries are spread for each
-	// hundred nodes of the list, so that a fleet that starts at once stays below
-	// half of the 400 writes a second that the smallest store allows.
+	// WriteSpread is the time per hundred nodes in the list over which first
+	// entries are spread. It keeps a fleet that starts at once below the write
+	// limit of the store.
 	WriteSpread time.Duration
 }
 
-// DefaultListConfig returns the choices explained at ListConfig.
+// DefaultListConfig returns the default configuration.
 func DefaultListConfig() ListConfig {
 	return ListConfig{
 		Every:         30 * time.Second,
@@ -37,22 +37,24 @@
 	}
 }
 
-// List plans when a node reads the list of nodes and enters itself. It is used by
-// one goroutine.
+// List plans when a node reads the list of nodes and adds its own entry. It is
+// not safe for concurrent use.
 type List struct {
 	cfg     ListConfig
 	rng     *rand.Rand
 	retries backoff
-	// listed says that the list was seen to hold this node, or took its entry.
+	// listed says that the last read of the list contained this node, or that
+	// the store accepted its entry since.
 	listed bool
-	// last is when the list was read, spread what the time until the next reading
-	// is multiplied by, retryAt the end of the pause after a failure.
-	last    time.Time
-	spread  float64
-	retryAt time.Time
+	// lastRead is the time of the last read of the list. periodFactor is the
+	// jitter of the interval until the next one. retryAt is the end of the
+	// pause after a failure.
+	lastRead     time.Time
+	periodFactor float64
+	retryAt      time.Time
 }
 
-// NewList returns the plan of a node that has read nothing.
+// NewList returns the plan of a node that has not read the list.
 func NewList(cfg ListConfig, seed uint64) *List {
 	return &List{
 		cfg:     cfg,
@@ -61,60 +63,63 @@
 	}
 }
 
-// Pause returns how long to wait before the list is read, zero for now. A node
-// that is listed and has met others leaves the reading to the readers.
+// Pause returns how long to wait before reading the list, zero to read now.
+// After a positive pause it must be called again. A listed node that is not
+// alone leaves reading to the readers.
 func (l *List) Pause(now time.Time, s Situation) time.Duration {
 	if l.listed && !s.Reader && !s.Alone {
-		return look
+		return idlePause
 	}
-	due := l.retryAt
-	if read := l.due(s); read.After(due) {
-		due = read
+	nextRead := l.retryAt
+	if read := l.nextRead(s); read.After(nextRead) {
+		nextRead = read
 	}
-	if left := due.Sub(now); left > 0 {
-		return min(left, look)
+	if remaining := nextRead.Sub(now); remaining > 0 {
+		return min(remaining, idlePause)
 	}
 	return 0
 }
 
-// due is when the list is to be read again if the last reading succeeded. A node that
-// was alone then and is not any more has the time of those that are not.
-func (l *List) due(s Situation) time.Time {
-	if l.last.IsZero() || !l.listed {
+// nextRead returns when to read the list again if the last read succeeded. The
+// interval depends on whether the node is alone now, not on whether it was at
+// the last read.
+func (l *List) nextRead(s Situation) time.Time {
+	if l.lastRead.IsZero() || !l.listed {
 		return time.Time{}
 	}
 	every := l.cfg.Every
 	if s.Alone {
 		every = l.cfg.AloneEvery
 	}
-	return l.last.Add(time.Duration(l.spread * float64(every)))
+	return l.lastRead.Add(time.Duration(l.periodFactor * float64(every)))
 }
 
-// Read reports that the list was read and whether it holds this node. It returns
-// how long to wait before the node enters itself; nothing is to be entered if it is
-// listed.
+// Read records that the list was read, its number of entries and whether it
+// contains this node. If the node is not listed, Read returns how long to wait
+// before adding its entry; otherwise the result is to be ignored.
 func (l *List) Read(now time.Time, entries int, listed bool) time.Duration {
 	l.retries.reset()
-	l.listed = listed // an entry may be lost
-	l.last = now
-	l.spread = l.rng.Float64()/2 + 0.75
+	l.listed = listed // a former entry may be lost
+	l.lastRead = now
+	l.periodFactor = l.rng.Float64()/2 + 0.75
 	return time.Duration(l.rng.Float64() * float64(l.cfg.WriteSpread) * float64(entries) / 100)
 }
 
 // Listed reports whether the node is known to be in the list.
 func (l *List) Listed() bool { return l.listed }
 
-// Lost reports that entries may have been lost: the list is to be read anew.
+// Lost records that entries may have been lost, so that the list is read
+// again.
 func (l *List) Lost() { l.listed = false }
 
-// Entered reports that the store took the node's entry.
+// Entered records that the store accepted the node's entry.
 func (l *List) Entered() { l.listed = true }
 
-// Failed reports that a call for the list failed.
+// Failed records that a read or write of the list failed.
 func (l *List) Failed(now time.Time, s Situation) {
 	pause := l.cfg.UnlistedRetry
 	if s.Alone {
-		pause = l.retries.step()
+		pause = l.retries.nextDelay()
 	}
 	l.retryAt = now.Add(jitter(l.rng, pause))
 }
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -1,14 +1,14 @@
-// Package readers decides which nodes call the platform's store, and when.
+// Package readers schedules the calls of a node to the platform's store.
 //
-// The load that it answers: every change of the routes wakes whoever waits at the
-// store, every pass over the list of nodes costs a call, and a store that is away
-// is asked again by all who miss it. If each node does all this, the calls grow
-// with the fleet and with each of its troubles. So a few nodes of a data centre
-// read, the others learn from them, and a node calls the store itself only when it
-// cannot learn: at its start, alone, or seldom, in case nobody tells it.
+// If every node waited at the store for changes of the routes, polled the list
+// of nodes and retried during an outage, the load on the store would grow with
+// the fleet. So a few nodes of each data centre, the readers, read the store,
+// and the others receive the routes from them. Any other node calls the store
+// only at its start, while it knows no other node, when it lacks a recent
+// proof that its routes are the newest, and rarely as a check.
 //
-// Nothing here reads a clock or makes a call: time, the node's situation and the
-// outcome of calls come in, and the next call comes out.
+// The package reads no clock and makes no calls. The time, the node's
+// situation and the results of calls are passed in; the next call is returned.
 package readers
 
 import (
@@ -16,36 +16,41 @@
 	"time"
 )
 
-// Situation is what a node knows of itself when it asks what to do.
+// Situation is a node's view of itself and its peers when it plans the next
+// call.
 type Situation struct {
-	// Reader marks one of the few nodes that read for their data centre.
+	// Reader says that the node is one of the few that read for their data
+	// centre.
 	Reader bool
-	// Prover marks one of the few nodes whose proofs that the routes are the newest the
-	// others of their data centre rely on. Most are readers; one that is not reads the routes
-	// as they do.
+	// Prover says that the node is one of the few that supply their data
+	// centre with proofs that the routes are the newest. Most provers are
+	// readers; one that is not reads the routes like a reader.
 	Prover bool
-	// Alone marks a node that knows no other one.
+	// Alone says that the node knows no other node.
 	Alone bool
-	// Routes says that routes are in force here, whoever brought them.
+	// Routes says that the node has routes in force, from the store or from a
+	// peer.
 	Routes bool
-	// Unproved says that the routes here were not known to be the newest for long: no node
-	// within reach has a recent proof.
+	// Unproved says that neither the node nor a reachable peer has a recent
+	// proof that the routes are the newest.
 	Unproved bool
-	// Isolated says that no peer has answered a question for a while.
+	// Isolated says that no peer has answered a request recently.
 	Isolated bool
-	// Neighbours is the number of nodes in the data centre, this one included.
+	// Neighbours is the number of nodes in the data centre, including this
+	// one.
 	Neighbours int
 }
 
-// follows reports whether the node waits at the store for new routes.
-func (s Situation) follows() bool { return s.Reader || s.Prover }
+// followsStore reports whether the node waits at the store for new routes.
+func (s Situation) followsStore() bool { return s.Reader || s.Prover }
 
-// look is the pause of a node that has nothing to ask: by then it may have become
-// a reader, since another one has gone. It adds to the second or two after which a
-// node that is gone is missed.
-const look = 500 * time.Millisecond
+// idlePause is the longest pause before the situation is checked again: the
+// node may have become a reader because another one failed. It adds to the
+// time until that failure is detected.
+const idlePause = 500 * time.Millisecond
 
-// backoff is the pause after calls that failed in a row: twice as long each time.
+// backoff computes the pause after consecutive failures. It doubles from min
+// to max.
 type backoff struct {
 	min, max time.Duration
 	next     time.Duration
@@ -53,14 +58,14 @@
 
 func (b *backoff) reset() { b.next = b.min }
 
-func (b *backoff) step() time.Duration {
+func (b *backoff) nextDelay() time.Duration {
 	d := max(b.next, b.min)
 	b.next = min(2*d, b.max)
 	return d
 }
 
-// jitter returns between three quarters and five quarters of d, so that nodes
-// that started together do not ask together for good.
+// jitter returns a random duration between 0.75 d and 1.25 d, so that nodes
+// that start together do not keep calling at the same time.
 func jitter(rng *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + rng.Float64()/2))
 }
--- a/readers/readers_test.go
+++ b/readers/readers_test.go
@@ -10,122 +10,121 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// fleet is one data centre whose nodes follow the routes of one store, in modelled
-// time. The first two are its readers once they have met,
-// and the first of them proves the routes for all.
+// fleet simulates one data centre whose nodes follow the routes of one store.
+// The first two nodes are its readers, and the first one is the prover.
 type fleet struct {
 	nodes []*Routes
-	// published is the number of versions in the store, known what each node has
-	// in force, asked when the node's read was sent.
-	published int
-	known     []int
-	waiting   []bool
-	until     []time.Time
-	calls     int
-	callsOf   []int
-	away      bool
-	// proved is the moment of each node's latest proof, sent that of its read under way.
-	proved, sent []time.Time
+	// published is the number of versions in the store, versions the number
+	// that each node has in force.
+	published   int
+	versions    []int
+	waiting     []bool
+	waitUntil   []time.Time
+	calls       int
+	callsByNode []int
+	storeDown   bool
+	// provenAt is the time of each node's latest proof, sentAt that of its
+	// last read.
+	provenAt, sentAt []time.Time
 }
 
-// provenWithin is the age of a proof from which a node of the fleet reads itself.
-const provenWithin = 1280 * time.Millisecond
+// proofMaxAge is the age of a proof at which a node reads the store itself.
+const proofMaxAge = 1280 * time.Millisecond
 
 func newFleet(n int) *fleet {
 	f := &fleet{published: 1}
 	for i := range n {
 		f.nodes = append(f.nodes, NewRoutes(fleetConfig(), uint64(i)))
 	}
-	f.known = make([]int, n)
+	f.versions = make([]int, n)
 	f.waiting = make([]bool, n)
-	f.until = make([]time.Time, n)
-	f.proved = make([]time.Time, n)
-	f.sent = make([]time.Time, n)
-	f.callsOf = make([]int, n)
+	f.waitUntil = make([]time.Time, n)
+	f.provenAt = make([]time.Time, n)
+	f.sentAt = make([]time.Time, n)
+	f.callsByNode = make([]int, n)
 	return f
 }
 
-// fleetConfig is that of nodes whose prover keeps proofs young enough for all.
+// fleetConfig has waits short enough for the prover to keep all proofs recent.
 func fleetConfig() RoutesConfig {
 	cfg := DefaultRoutesConfig()
 	cfg.Wait, cfg.ProverWait = 1200*time.Millisecond, 400*time.Millisecond
 	return cfg
 }
 
-const step = 10 * time.Millisecond
+const tick = 10 * time.Millisecond
 
-// play lets time pass; each node does what its plan says.
-func (f *fleet) play(now time.Time, d time.Duration) time.Time {
-	for end := now.Add(d); now.Before(end); now = now.Add(step) {
+// run advances the time by d and returns the end; each node acts by its plan.
+func (f *fleet) run(now time.Time, d time.Duration) time.Time {
+	for end := now.Add(d); now.Before(end); now = now.Add(tick) {
 		for i := range f.nodes {
-			f.turn(now, i)
+			f.runNode(now, i)
 		}
 	}
 	return now
 }
 
-func (f *fleet) turn(now time.Time, i int) {
+func (f *fleet) runNode(now time.Time, i int) {
 	if f.waiting[i] {
-		if f.away || f.known[i] == f.published && now.Before(f.until[i]) {
+		if f.storeDown || f.versions[i] == f.published && now.Before(f.waitUntil[i]) {
 			return
 		}
 		f.waiting[i] = false
-		f.learn(i)
+		f.receiveRoutes(i)
 		f.nodes[i].Answered(now)
 	}
-	s := Situation{Reader: i < 2, Prover: i < 1, Routes: f.known[i] > 0, Neighbours: len(f.nodes), Unproved: now.Sub(f.proved[i]) > provenWithin}
+	s := Situation{Reader: i < 2, Prover: i < 1, Routes: f.versions[i] > 0, Neighbours: len(f.nodes), Unproved: now.Sub(f.provenAt[i]) > proofMaxAge}
 	next := f.nodes[i].Next(now, s)
 	if next.Action == Pause {
 		return
 	}
 	f.calls++
-	f.callsOf[i]++
-	f.sent[i] = now
+	f.callsByNode[i]++
+	f.sentAt[i] = now
 	switch {
-	case f.away:
+	case f.storeDown:
 		f.nodes[i].Failed(now)
 	case next.For > 0:
-		f.waiting[i], f.until[i] = true, now.Add(next.For)
+		f.waiting[i], f.waitUntil[i] = true, now.Add(next.For)
 	default:
-		f.learn(i)
+		f.receiveRoutes(i)
 		f.nodes[i].Answered(now)
 	}
 }
 
-// learn brings what the store holds; readers tell the others that have started.
-func (f *fleet) learn(i int) {
-	f.know(i, f.sent[i])
+// receiveRoutes sets the routes of the store on a node. Readers publish them
+// to all nodes that have started.
+func (f *fleet) receiveRoutes(i int) {
+	f.setRoutes(i, f.sentAt[i])
 	if i < 2 {
-		for k := range f.known {
-			if f.known[k] > 0 {
-				f.know(k, f.sent[i])
+		for k := range f.versions {
+			if f.versions[k] > 0 {
+				f.setRoutes(k, f.sentAt[i])
 			}
 		}
 	}
 }
 
-func (f *fleet) know(i int, proof time.Time) {
-	f.known[i] = f.published
-	if proof.After(f.proved[i]) {
-		f.proved[i] = proof
+func (f *fleet) setRoutes(i int, proof time.Time) {
+	f.versions[i] = f.published
+	if proof.After(f.provenAt[i]) {
+		f.provenAt[i] = proof
 	}
 }
 
-// A fleet at rest, and one whose routes change, calls the store as often with 400
-// nodes in a data centre as with 40: two readers wait there, and one of the others
-// looks in two seconds. Were every node to wait, each change alone would make 400
-// calls.
+// Guards against calls to the store that grow with the number of nodes, in a
+// fleet at rest or when routes change.
 func TestCallsDoNotGrowWithTheFleet(t *testing.T) {
 	is := is.New(t)
 	calls := func(n int) (rest, changes int) {
 		f := newFleet(n)
-		now := f.play(start, 30*time.Second)
+		now := f.run(start, 30*time.Second)
 		f.calls = 0
-		now = f.play(now, time.Minute)
+		now = f.run(now, time.Minute)
 		rest, f.calls = f.calls, 0
 		for range 20 {
 			f.published++
-			now = f.play(now, time.Second)
+			now = f.run(now, time.Second)
 		}
 		return rest, f.calls
 	}
@@ -135,51 +134,50 @@
 	cfg := fleetConfig()
 	reads := int(time.Minute/cfg.Wait) + int(time.Minute/cfg.ProverWait) + int(time.Minute/cfg.CheckEach)
 	is.True(rest400 < 2*rest40 && rest400 <= reads)
-	is.True(changes400 <= reads/3+2*20) // those of 20 s, and two for each change
+	is.True(changes400 <= reads/3+2*20) // the reads of 20 s, and two for each change
 }
 
-// The store goes away while routes are in force everywhere. Readers ask on; the others ask
-// seldom, since they cannot know whether the store is away from the readers alone. A store
-// that comes back is heard of by a reader within its pause.
-func TestAStoreThatIsAwayIsAskedByReaders(t *testing.T) {
+// Guards against load on an unavailable store from nodes that are no readers,
+// and against noticing its recovery late.
+func TestUnavailableStoreIsPolledMostlyByReaders(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(200)
-	now := f.play(start, 5*time.Second)
-	f.away, f.calls = true, 0
-	clear(f.callsOf)
+	now := f.run(start, 5*time.Second)
+	f.storeDown, f.calls = true, 0
+	clear(f.callsByNode)
 	for i := range f.nodes[:2] {
 		f.waiting[i] = false
 		f.nodes[i].Failed(now)
 	}
-	now = f.play(now, 10*time.Second)
-	byReaders := f.callsOf[0] + f.callsOf[1]
+	now = f.run(now, 10*time.Second)
+	byReaders := f.callsByNode[0] + f.callsByNode[1]
 	t.Log(f.calls, byReaders)
 	is.True(byReaders <= 2*int(10*time.Second/(fleetConfig().ProveEvery*3/4))+2)
-	each := int(10*time.Second/(fleetConfig().ProveRetryMost*3/4)) + 1
-	is.True(f.calls-byReaders <= each*(len(f.nodes)-2))
-	f.away = false
+	maxPerNode := int(10*time.Second/(fleetConfig().ProveRetryMost*3/4)) + 1
+	is.True(f.calls-byReaders <= maxPerNode*(len(f.nodes)-2))
+	f.storeDown = false
 	f.published++
-	f.play(now, 1100*time.Millisecond)
-	is.Equal(f.known[150], f.published)
+	f.run(now, 1100*time.Millisecond)
+	is.Equal(f.versions[150], f.published)
 }
 
-// All nodes of a fleet start at once, before they know each other. Each reads the
-// routes once; none waits at the store before it can know who the readers are.
-func TestAStartCostsOneRead(t *testing.T) {
+// Guards against starting nodes that wait at the store before they know who
+// the readers are.
+func TestStartingFleetReadsOncePerNode(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(200)
-	f.play(start, 900*time.Millisecond)
+	f.run(start, 900*time.Millisecond)
 	is.Equal(f.calls, 200)
 }
 
-// A node starts while the store is away: it asks until a peer gives it the routes,
-// and then leaves the asking to the readers.
-func TestANodeWithRoutesStopsAsking(t *testing.T) {
+// Guards against a node that keeps polling an unavailable store after a peer
+// supplied the routes.
+func TestNodeWithRoutesLeavesReadsToReaders(t *testing.T) {
 	is := is.New(t)
 	r := NewRoutes(DefaultRoutesConfig(), 1)
 	now := start
-	asked := func(s Situation, d time.Duration) (n int) {
-		for end := now.Add(d); now.Before(end); now = now.Add(step) {
+	reads := func(s Situation, d time.Duration) (n int) {
+		for end := now.Add(d); now.Before(end); now = now.Add(tick) {
 			if r.Next(now, s).Action != Pause {
 				n++
 				r.Failed(now)
@@ -187,49 +185,48 @@
 		}
 		return n
 	}
-	is.True(asked(Situation{Alone: true, Reader: true}, 5*time.Second) >= 6)
-	is.True(asked(Situation{Routes: true, Neighbours: 39}, 20*time.Second) <= 1)
-	is.True(asked(Situation{Routes: true, Neighbours: 39, Reader: true}, 5*time.Second) >= 4)
+	is.True(reads(Situation{Alone: true, Reader: true}, 5*time.Second) >= 6)
+	is.True(reads(Situation{Routes: true, Neighbours: 39}, 20*time.Second) <= 1)
+	is.True(reads(Situation{Routes: true, Neighbours: 39, Reader: true}, 5*time.Second) >= 4)
 }
 
-// Records expire before they were read: the newest routes are read again at once.
+// Guards against a delay after the position to read from has expired.
 func TestExpiredRecordsAreReadAnew(t *testing.T) {
 	is := is.New(t)
 	r := NewRoutes(DefaultRoutesConfig(), 1)
 	s := Situation{Reader: true, Routes: true}
 	is.Equal(r.Next(start, s).Action, Newest)
 	r.Answered(start)
-	is.Equal(r.Next(start, s).Action, Pause) // who the readers are is not known yet
+	is.Equal(r.Next(start, s).Action, Pause) // the readers are not known yet
 	later := start.Add(DefaultRoutesConfig().Settle)
 	is.Equal(r.Next(later, s), Step{Follow, DefaultRoutesConfig().Wait})
 	r.Gone()
 	is.Equal(r.Next(later, s).Action, Newest)
 }
 
-// A node enters itself once, goes on looking while it is alone or a reader, and
-// leaves the list to the readers otherwise.
-func TestTheListIsReadByReaders(t *testing.T) {
+// Guards against reads of the list by nodes that are listed, not alone and no
+// readers.
+func TestListIsReadByReaders(t *testing.T) {
 	is := is.New(t)
 	l := NewList(DefaultListConfig(), 1)
 	met := Situation{Neighbours: 39}
 	is.Equal(l.Pause(start, met), time.Duration(0))
-	is.True(l.Read(start, 200, false) <= time.Second) // spread over a second
-	l.Failed(start, met)                              // its entry was not taken
+	is.True(l.Read(start, 200, false) <= time.Second) // the entry is spread over a second
+	l.Failed(start, met)                              // the entry was not accepted
 	is.True(l.Pause(start, met) > 0)
 	later := start.Add(10 * time.Second)
 	is.Equal(l.Pause(later, met), time.Duration(0))
 	l.Read(later, 200, false)
 	l.Entered()
-	much := later.Add(time.Hour)
-	is.True(l.Pause(much, met) > 0)
-	is.Equal(l.Pause(much, Situation{Neighbours: 39, Reader: true}), time.Duration(0))
-	is.Equal(l.Pause(much, Situation{Alone: true}), time.Duration(0))
+	muchLater := later.Add(time.Hour)
+	is.True(l.Pause(muchLater, met) > 0)
+	is.Equal(l.Pause(muchLater, Situation{Neighbours: 39, Reader: true}), time.Duration(0))
+	is.Equal(l.Pause(muchLater, Situation{Alone: true}), time.Duration(0))
 }
 
-// A node of a fleet that starts reads the list while it is alone, and meets the others
-// a moment later. It is a reader, and waits for as long as readers do; it does not
-// read again as soon as one that is alone.
-func TestWhoHasMetOthersDoesNotHurry(t *testing.T) {
+// Guards against a node that reads the list at the interval of a lone node
+// after it has met others.
+func TestListIntervalFollowsCurrentSituation(t *testing.T) {
 	is := is.New(t)
 	l := NewList(DefaultListConfig(), 1)
 	l.Read(start, 0, false)
@@ -239,13 +236,13 @@
 	is.True(l.Pause(later, Situation{Neighbours: 39, Reader: true}) > 0)
 }
 
-// A node that knows nobody and whose store is away tries again within two seconds;
-// one that has met others and only lacks its own entry takes five.
-func TestWhoIsAloneAsksSooner(t *testing.T) {
+// Guards against slow retries of a lone node, and against fast ones of a node
+// that only lacks its entry in the list.
+func TestLoneNodeRetriesSooner(t *testing.T) {
 	is := is.New(t)
 	tries := func(s Situation) (n int) {
 		l := NewList(DefaultListConfig(), 1)
-		for now := start; now.Before(start.Add(20 * time.Second)); now = now.Add(step) {
+		for now := start; now.Before(start.Add(20 * time.Second)); now = now.Add(tick) {
 			if l.Pause(now, s) == 0 {
 				n++
 				l.Failed(now, s)
@@ -258,62 +255,61 @@
 	is.True(met <= 6)
 }
 
-// Requests with keys come to a node whose peers have no recent proof of the routes. It
-// reads the store itself, also right after its start, and not more often than its config
-// says if that does not help: a reader every 400 ms, another node every two seconds.
-func TestUnprovedNodeReadsItself(t *testing.T) {
-	for reader, most := range map[bool]int{true: 13, false: 3} {
+// Guards against a node without a recent proof that does not read the store,
+// or reads it more often than configured.
+func TestNodeWithoutProofReadsTheStore(t *testing.T) {
+	for reader, maxReads := range map[bool]int{true: 13, false: 3} {
 		is := is.New(t)
 		r := NewRoutes(DefaultRoutesConfig(), 1)
 		is.Equal(r.Next(start, Situation{}), Step{Action: Newest})
 		r.Answered(start)
 		reads := 0
-		for now := start; now.Before(start.Add(4 * time.Second)); now = now.Add(step) {
+		for now := start; now.Before(start.Add(4 * time.Second)); now = now.Add(tick) {
 			if next := r.Next(now, Situation{Routes: true, Unproved: true, Reader: reader, Neighbours: 20}); next.Action == Follow {
 				reads++
-				r.Failed(now) // a store that is away
+				r.Failed(now) // the store is unavailable
 			}
 		}
-		is.True(reads >= 2 && reads <= most+1)
+		is.True(reads >= 2 && reads <= maxReads+1)
 	}
 }
 
-// applyWithin is the time in which a confirmed version must be in force, at the shortest.
-const applyWithin = 2 * time.Second
+// applyLimit is the shortest limit for a confirmed version to be in force.
+const applyLimit = 2 * time.Second
 
-// restart starts nodes of the fleet anew; those of its readers are readers again as soon
-// as the others know them.
+// restart restarts nodes without routes. Readers keep their role.
 func (f *fleet) restart(nodes ...int) {
 	for _, i := range nodes {
 		f.nodes[i] = NewRoutes(fleetConfig(), uint64(100+i))
-		f.waiting[i], f.known[i], f.proved[i] = false, 0, time.Time{}
+		f.waiting[i], f.versions[i], f.provenAt[i] = false, 0, time.Time{}
 	}
 }
 
-// applied lets a version be published and returns how long it takes until all nodes have it.
-func (f *fleet) applied(now time.Time) time.Duration {
+// timeToApply publishes a version and returns the time until all nodes have
+// it.
+func (f *fleet) timeToApply(now time.Time) time.Duration {
 	f.published++
-	for begin := now; ; now = f.play(now, step) {
-		behind := slices.ContainsFunc(f.known, func(v int) bool { return v < f.published })
+	for begin := now; ; now = f.run(now, tick) {
+		behind := slices.ContainsFunc(f.versions, func(v int) bool { return v < f.published })
 		if !behind || now.Sub(begin) > time.Minute {
 			return now.Sub(begin)
 		}
 	}
 }
 
-// Guards against a fleet that is behind while its readers, restarted together, read nothing
-// though all others leave the reading to them.
-func TestRestartedReadersReadOn(t *testing.T) {
+// Guards against a fleet that gets no new versions because its readers were
+// restarted together and do not read.
+func TestRestartedReadersKeepReading(t *testing.T) {
 	for name, restarted := range map[string][]int{"the readers": {0, 1}, "all nodes": {0, 1, 2, 3, 4, 5, 6, 7}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(8)
-			now := f.play(start, 30*time.Second)
+			now := f.run(start, 30*time.Second)
 			f.restart(restarted...)
-			now = f.play(now, 500*time.Millisecond) // they have read the newest version
-			took := f.applied(now)
-			t.Log(took)
-			is.True(took < applyWithin)
+			now = f.run(now, 500*time.Millisecond) // they have read the current version
+			delay := f.timeToApply(now)
+			t.Log(delay)
+			is.True(delay < applyLimit)
 		})
 	}
 }
--- a/readers/routes.go
+++ b/readers/routes.go
@@ -5,60 +5,63 @@
 	"time"
 )
 
-// Action is what a node does next about its routes.
+// Action is the kind of a Step.
 type Action uint8
 
 const (
-	// Pause does nothing for Step.For.
+	// Pause waits for Step.For.
 	Pause Action = iota
-	// Newest reads the routes as they are now.
+	// Newest reads the current routes.
 	Newest
-	// Follow reads what came after the last read, and waits Step.For at the
-	// store if that is nothing.
+	// Follow reads the changes since the last read. If there are none, it
+	// waits at the store for up to Step.For.
 	Follow
 )
 
-// Step is one action.
+// Step is the next action of a node.
 type Step struct {
 	Action Action
 	For    time.Duration
 }
 
-// RoutesConfig holds the choices of Routes.
+// RoutesConfig configures Routes.
 type RoutesConfig struct {
-	// Wait is how long a read of a reader waits at the store. A store that was
-	// silent meanwhile may never answer it: the next read, on another
-	// connection, is due then, well within the time in which a version must be
-	// in force. ProverWait is the same of a prover: a proof is up to two of these old when
-	// the next one comes.
+	// Wait is how long a reader's read waits at the store. A store that
+	// becomes unresponsive meanwhile may never answer that read. Wait must
+	// therefore be well below the time in which a version must be in force,
+	// because the next read uses another connection. ProverWait is the same
+	// for a prover. A proof may be twice that old when the next one arrives.
 	Wait, ProverWait time.Duration
-	// Settle is the time after the first read in which a node does not take
-	// itself for a reader: it knows few of the others, or none, and in a fleet
-	// that starts together all would. It is the time in which all have met.
+	// Settle is the time after the first read during which a node does not act
+	// as a reader. It does not know its peers yet, and in a fleet that starts
+	// at once every node would consider itself a reader.
 	Settle time.Duration
-	// CheckMin and CheckEach set the pause between the reads of a node that is
-	// no reader: CheckEach for every node of its data centre, CheckMin at least.
-	// So a data centre makes one such call in CheckEach, whatever its size.
+	// CheckMin and CheckEach determine the interval between reads of a node
+	// that does not follow the store: CheckEach times the number of nodes in
+	// the data centre, but at least CheckMin. So the rate per data centre does
+	// not grow with its size.
 	CheckMin, CheckEach time.Duration
-	// ProveEvery is the pause between the reads of a reader that needs a proof that its
-	// routes are the newest. When the store is back after a while, versions come into force
-	// and requests with keys are served again that soon.
+	// ProveEvery is the interval between reads of a reader or prover that
+	// needs a proof that its routes are the newest. It bounds the delay until
+	// versions and requests with keys are handled again after an outage of the
+	// store.
 	ProveEvery time.Duration
-	// ProveElse is the same of another node, after a read that was answered: it reads only
-	// if no peer has a proof for it.
+	// ProveElse is the interval for other nodes after a successful read. They
+	// read only if no peer has a proof.
 	ProveElse time.Duration
-	// ProveRetry is the pause from one read that failed to the next. Where peers answer, it
-	// is ProveRetryEach for every node of the data centre, up to ProveRetryMost: so the calls
-	// to a store that is away hardly grow with the fleet, and once it is back the provers
-	// prove the routes for all.
+	// ProveRetry is the interval for other nodes after a failed read. While
+	// peers answer, it is ProveRetryEach times the number of nodes in the data
+	// centre, at least ProveRetry and at most ProveRetryMost. This limits the
+	// calls during an outage, after which the provers supply proofs for all
+	// nodes.
 	ProveRetry, ProveRetryEach, ProveRetryMost time.Duration
-	// RetryMin and RetryMax bound the pause after a failure. The first is short
-	// against the time in which a version must be in force, the second keeps
-	// readers from pressing a store that is down.
+	// RetryMin and RetryMax bound the pause after a failure. RetryMin is short
+	// compared to the time in which a version must be in force. RetryMax
+	// limits the load of readers on an unavailable store.
 	RetryMin, RetryMax time.Duration
 }
 
-// DefaultRoutesConfig returns the choices explained at RoutesConfig.
+// DefaultRoutesConfig returns the default configuration.
 func DefaultRoutesConfig() RoutesConfig {
 	return RoutesConfig{
 		Wait:       2500 * time.Millisecond,
@@ -77,25 +80,28 @@
 	}
 }
 
-// Routes plans how a node follows the operator's routes. It is used by one
-// goroutine: Next, then what that says, then Answered, Gone or Failed.
+// Routes plans the reads of the operator's routes by one node. The caller
+// calls Next, performs the step and, unless it is Pause, reports the result by
+// Answered, Gone or Failed. It is not safe for concurrent use.
 type Routes struct {
 	cfg     RoutesConfig
 	rng     *rand.Rand
 	retries backoff
-	// known says that the newest routes were read and can be followed.
-	known      bool
-	settleTill time.Time
-	retryAt    time.Time
-	checkAt    time.Time
-	// proveAt is when the routes may next be read for a proof alone: answered after the end
-	// of the read under way, or failed after its beginning, since a store that is silent has
-	// held it up for long already.
-	proveAt, begun   time.Time
-	answered, failed time.Duration
+	// canFollow says that the current routes were read, so that later changes
+	// can be followed.
+	canFollow bool
+	settledAt time.Time
+	retryAt   time.Time
+	checkAt   time.Time
+	// nextProofAt is the earliest time of the next read for a proof. It is
+	// pauseAfterAnswer after the end of a successful read, or
+	// pauseAfterFailure after proofStarted, the start of a failed one, which
+	// may have waited long for an unresponsive store.
+	nextProofAt, proofStarted           time.Time
+	pauseAfterAnswer, pauseAfterFailure time.Duration
 }
 
-// NewRoutes returns the plan of a node that has read nothing.
+// NewRoutes returns the plan of a node that has not read the routes.
 func NewRoutes(cfg RoutesConfig, seed uint64) *Routes {
 	return &Routes{
 		cfg:     cfg,
@@ -104,57 +110,59 @@
 	}
 }
 
-// Next returns what to do now.
+// Next returns the next step of the node.
 func (r *Routes) Next(now time.Time, s Situation) Step {
-	r.answered, r.failed = 0, 0
+	r.pauseAfterAnswer, r.pauseAfterFailure = 0, 0
 	if s.Routes && s.Unproved {
-		return r.prove(now, s)
+		return r.proofStep(now, s)
 	}
-	if left := r.retryAt.Sub(now); left > 0 {
-		return Step{Pause, min(left, routesLook)}
+	if remaining := r.retryAt.Sub(now); remaining > 0 {
+		return Step{Pause, min(remaining, routesIdlePause)}
 	}
 	switch {
-	case !s.Routes && !r.known:
+	case !s.Routes && !r.canFollow:
 		return Step{Action: Newest}
-	case !s.Routes && s.follows():
-		return Step{Follow, r.cfg.wait(s)}
-	case !s.Routes: // the operator has written none yet
+	case !s.Routes && s.followsStore():
+		return Step{Follow, r.cfg.readWait(s)}
+	case !s.Routes: // the operator has not published any routes
 		return Step{Follow, r.cfg.CheckMin}
 	}
-	if left := r.settleTill.Sub(now); left > 0 {
-		return Step{Pause, min(left, routesLook)}
+	if remaining := r.settledAt.Sub(now); remaining > 0 {
+		return Step{Pause, min(remaining, routesIdlePause)}
 	}
-	if r.known && r.checkAt.IsZero() {
-		r.checkAt = r.nextCheck(now, s) // the neighbours are known by now
+	if r.canFollow && r.checkAt.IsZero() {
+		r.checkAt = r.nextCheck(now, s) // the number of neighbours is known by now
 	}
-	if !s.follows() && now.Before(r.checkAt) {
-		return Step{Action: Pause, For: routesLook}
+	if !s.followsStore() && now.Before(r.checkAt) {
+		return Step{Action: Pause, For: routesIdlePause}
 	}
-	return r.read(now, s)
+	return r.readStep(now, s)
 }
 
-// routesLook is the pause of a node that has nothing to ask: by then its proof may have
-// grown too old.
-const routesLook = 200 * time.Millisecond
+// routesIdlePause is the longest pause before the situation is checked again:
+// the node's proof may have become too old.
+const routesIdlePause = 200 * time.Millisecond
 
-// prove is the step of a node that needs a proof that its routes are the newest.
-func (r *Routes) prove(now time.Time, s Situation) Step {
-	if left := r.proveAt.Sub(now); left > 0 {
-		return Step{Pause, min(left, routesLook)}
+// proofStep returns the step of a node that needs a proof that its routes are
+// the newest.
+func (r *Routes) proofStep(now time.Time, s Situation) Step {
+	if remaining := r.nextProofAt.Sub(now); remaining > 0 {
+		return Step{Pause, min(remaining, routesIdlePause)}
 	}
-	r.answered, r.failed = r.cfg.ProveEvery, r.cfg.ProveEvery
-	if !s.follows() {
-		r.answered, r.failed = r.cfg.ProveElse, r.cfg.retryAfter(s)
+	r.pauseAfterAnswer, r.pauseAfterFailure = r.cfg.ProveEvery, r.cfg.ProveEvery
+	if !s.followsStore() {
+		r.pauseAfterAnswer, r.pauseAfterFailure = r.cfg.ProveElse, r.cfg.proofRetry(s)
 	}
-	r.begun = now
-	if !r.known {
+	r.proofStarted = now
+	if !r.canFollow {
 		return Step{Action: Newest}
 	}
 	return Step{Action: Follow}
 }
 
-// retryAfter is the pause of a node that is no reader after a read that failed.
-func (c RoutesConfig) retryAfter(s Situation) time.Duration {
+// proofRetry returns the pause after a failed read by a node that does not
+// follow the store.
+func (c RoutesConfig) proofRetry(s Situation) time.Duration {
 	if s.Isolated {
 		return c.ProveRetry
 	}
@@ -165,41 +173,42 @@
 	return now.Add(jitter(r.rng, max(r.cfg.CheckMin, time.Duration(s.Neighbours)*r.cfg.CheckEach)))
 }
 
-// read is the step of a node whose turn it is.
-func (r *Routes) read(now time.Time, s Situation) Step {
+// readStep returns the step of a node that is due to read.
+func (r *Routes) readStep(now time.Time, s Situation) Step {
 	r.checkAt = r.nextCheck(now, s)
 	switch {
-	case !r.known:
+	case !r.canFollow:
 		return Step{Action: Newest}
-	case s.follows():
-		return Step{Follow, r.cfg.wait(s)}
+	case s.followsStore():
+		return Step{Follow, r.cfg.readWait(s)}
 	}
 	return Step{Action: Follow}
 }
 
-// wait is how long a read of a reader waits.
-func (c RoutesConfig) wait(s Situation) time.Duration {
+// readWait returns how long a read waits at the store.
+func (c RoutesConfig) readWait(s Situation) time.Duration {
 	if s.Prover {
 		return c.ProverWait
 	}
 	return c.Wait
 }
 
-// Answered reports that the store answered the last read.
+// Answered records that the store answered the last read.
 func (r *Routes) Answered(now time.Time) {
 	r.retries.reset()
-	r.proveAt = now.Add(jitter(r.rng, r.answered))
-	if !r.known {
-		r.known = true
-		r.settleTill = now.Add(r.cfg.Settle)
+	r.nextProofAt = now.Add(jitter(r.rng, r.pauseAfterAnswer))
+	if !r.canFollow {
+		r.canFollow = true
+		r.settledAt = now.Add(r.cfg.Settle)
 	}
 }
 
-// Gone reports that the position to read from is gone; the routes are read anew at once.
-func (r *Routes) Gone() { r.known, r.checkAt, r.proveAt = false, time.Time{}, time.Time{} }
+// Gone records that the store no longer has the position to read from. The
+// current routes are read again at once.
+func (r *Routes) Gone() { r.canFollow, r.checkAt, r.nextProofAt = false, time.Time{}, time.Time{} }
 
-// Failed reports that the last read brought nothing.
+// Failed records that the last read failed.
 func (r *Routes) Failed(now time.Time) {
-	r.retryAt = now.Add(r.retries.step())
-	r.proveAt = r.begun.Add(jitter(r.rng, r.failed))
+	r.retryAt = now.Add(r.retries.nextDelay())
+	r.nextProofAt = r.proofStarted.Add(jitter(r.rng, r.pauseAfterFailure))
 }
