--- a/freshness/eras_test.go
+++ b/freshness/eras_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a node that has just started and takes a young era for an old one, and
-// against one that waits though its peers know that the era is old.
-func TestErasAreAsOldAsTheFirstWhoSawThem(t *testing.T) {
+// Guards against treating a new era as an old one after a start, and against
+// ignoring peers that know the era to be old.
+func TestEraAgeIsThatOfTheEarliestReport(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	var e Eras
@@ -18,10 +18,10 @@
 	is.Equal(e.Seen(now.Add(time.Second), 2), now)
 	e.Told(now.Add(-time.Minute), 2)
 	is.Equal(e.Seen(now, 2), now.Add(-time.Minute))
-	e.Told(now.Add(-time.Hour), 1) // an older era says nothing of this one
+	e.Told(now.Add(-time.Hour), 1) // reports on an older era do not count
 	e.Told(now, 2)
 	is.Equal(e.Seen(now, 2), now.Add(-time.Minute))
-	e.Told(now.Add(time.Hour), 9) // what the store has not named counts for nothing yet
+	e.Told(now.Add(time.Hour), 9) // a report on an era that the store has not reported yet does not count
 	is.Equal(e.Seen(now, 2), now.Add(-time.Minute))
 	is.Equal(e.Seen(now, 3), now)
 	is.Equal(e.Seen(now.Add(time.Second), 2), now.Add(time.Second))
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -1,75 +1,80 @@
-// Package freshness decides whether a node may rely on the configuration that it has.
+// Package freshness decides whether a node may rely on its configuration.
 //
-// What it guarantees: a Keeper calls a configuration fresh only if every version that
-// was published longer ago than the bound is in it. It needs no clock that two machines
-// share.
+// A Keeper guarantees that a configuration that it calls fresh contains every
+// version that was published longer ago than a bound. It does not require
+// synchronized clocks.
 //
-// The failure that it answers: a key is taken away while a node is cut off from the
-// store. The node goes on with the configuration that it has and serves the key for as
-// long as the cut lasts. Here it stops once the age of its proof passes the bound.
+// This limits how long a node that is cut off from the store serves a key
+// after the key was removed: the node stops when its freshness proof is older
+// than the bound.
 package freshness
 
 import "time"
 
-// Proof says that at a moment nothing newer than a version was published. The moment is
-// that before the question was sent whose answer said so: the answer may have been held
-// up on its way, or its reader may have slept before it read it.
+// Proof states that at the time At no version newer than Version had been
+// published. At is the time before the request was sent, because the answer
+// may have been delayed or processed late.
 type Proof struct {
 	Version uint64
 	At      time.Time
 }
 
-// Keeper holds the best proof that a node has. It is not safe for concurrent use. All
-// times are of one bootclock.Clock.
+// Keeper holds the best freshness proof of a node. It is not safe for
+// concurrent use. All times are of one bootclock.Clock.
 type Keeper struct {
 	inForce uint64
-	// usable is when the version in force was known to be the newest; zero for never.
-	usable time.Time
-	// ahead is a proof for a version that is not in force here yet.
-	ahead Proof
+	// confirmedAt is when the version in force was last known to be the
+	// newest, zero if it never was.
+	confirmedAt time.Time
+	// pending is the latest proof of a version that is not in force yet.
+	pending Proof
 }
 
-// Learn takes a proof.
+// Learn adds a proof. A proof of a newer version takes effect when that
+// version is in force.
 func (k *Keeper) Learn(p Proof) {
 	switch {
 	case p.Version <= k.inForce:
-		k.use(p.At)
-	case p.At.After(k.ahead.At):
-		k.ahead = p
+		k.confirm(p.At)
+	case p.At.After(k.pending.At):
+		k.pending = p
 	}
 }
 
-// InForce says which version is in force from now on; a version never goes back.
+// InForce records that a version is in force. Lower versions than before are
+// ignored.
 func (k *Keeper) InForce(version uint64) {
 	k.inForce = max(k.inForce, version)
-	if !k.ahead.At.IsZero() && k.ahead.Version <= k.inForce {
-		k.use(k.ahead.At)
-		k.ahead = Proof{}
+	if !k.pending.At.IsZero() && k.pending.Version <= k.inForce {
+		k.confirm(k.pending.At)
+		k.pending = Proof{}
 	}
 }
 
-func (k *Keeper) use(at time.Time) {
-	if at.After(k.usable) {
-		k.usable = at
+func (k *Keeper) confirm(at time.Time) {
+	if at.After(k.confirmedAt) {
+		k.confirmedAt = at
 	}
 }
 
-// Age is the time since the version in force was known to be the newest; false if it
-// never was.
+// Age returns the time since the version in force was last known to be the
+// newest, and false if it never was.
 func (k *Keeper) Age(now time.Time) (time.Duration, bool) {
-	if k.usable.IsZero() {
+	if k.confirmedAt.IsZero() {
 		return 0, false
 	}
-	return now.Sub(k.usable), true
+	return now.Sub(k.confirmedAt), true
 }
 
-// Fresh reports whether every version published longer ago than the bound is in force.
+// Fresh reports whether every version published longer ago than the bound is
+// known to be in force.
 func (k *Keeper) Fresh(now time.Time, bound time.Duration) bool {
 	age, known := k.Age(now)
 	return known && age <= bound
 }
 
-// Best is the proof to pass on: that of the version in force.
+// Best returns the proof of the version in force, for peers, and false if
+// there is none.
 func (k *Keeper) Best() (Proof, bool) {
-	return Proof{Version: k.inForce, At: k.usable}, !k.usable.IsZero()
+	return Proof{Version: k.inForce, At: k.confirmedAt}, !k.confirmedAt.IsZero()
 }
--- a/freshness/freshness_test.go
+++ b/freshness/freshness_test.go
@@ -12,7 +12,7 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-func TestNothingIsFreshUnproved(t *testing.T) {
+func TestConfigurationWithoutProofIsNotFresh(t *testing.T) {
 	is := is.New(t)
 	var k Keeper
 	k.InForce(3)
@@ -21,10 +21,9 @@
 	is.True(!known)
 }
 
-// A caller's key is taken away in version 4. A peer tells this node, which still has
-// version 3, that 4 was the newest a moment ago. That proves nothing for version 3, and
-// counts once 4 is in force.
-func TestProofOfANewerVersionCountsOnceItIsInForce(t *testing.T) {
+// Guards against accepting a proof of version 4 for version 3, and against
+// dropping it before version 4 is in force.
+func TestProofOfNewerVersionWaitsForTheVersion(t *testing.T) {
 	is := is.New(t)
 	var k Keeper
 	k.InForce(3)
@@ -46,19 +45,18 @@
 	is.Equal(age, time.Second)
 }
 
-// Versions are published at random; readers ask the store, and nodes pass proofs and
-// versions on in any order, late and twice. A node that is fresh has every version that
-// is older than the bound.
-func TestFreshMeansNothingOlderIsMissing(t *testing.T) {
+// Guards against a node that is fresh but lacks a version older than the
+// bound, with proofs and versions arriving late, reordered or repeated.
+func TestFreshConfigurationHasAllOlderVersions(t *testing.T) {
 	const bound = 5 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		var published []time.Time // of version i+1
+		var published []time.Time // publication time of version i+1
 		var nodes [3]Keeper
 		type message struct {
 			proof Proof
 			to    int
 		}
-		var onTheWay []message
+		var inTransit []message
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
@@ -66,15 +64,15 @@
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
 				published = append(published, now)
-			case 1: // a read of the store, answered at once or later
-				onTheWay = append(onTheWay, message{Proof{uint64(len(published)), now}, i})
-			case 2: // a question to another node
+			case 1: // a read of the store that is answered at once or later
+				inTransit = append(inTransit, message{Proof{uint64(len(published)), now}, i})
+			case 2: // a proof sent to another node
 				if p, ok := nodes[i].Best(); ok {
-					onTheWay = append(onTheWay, message{p, (i + 1) % 3})
+					inTransit = append(inTransit, message{p, (i + 1) % 3})
 				}
 			case 3:
-				if len(onTheWay) > 0 {
-					m := onTheWay[rapid.IntRange(0, len(onTheWay)-1).Draw(t, "message")]
+				if len(inTransit) > 0 {
+					m := inTransit[rapid.IntRange(0, len(inTransit)-1).Draw(t, "message")]
 					nodes[m.to].Learn(m.proof)
 				}
 			case 4:
