--- a/bootclock/bootclock.go
+++ b/bootclock/bootclock.go
@@ -1,13 +1,13 @@
-// Package bootclock tells the time by a clock that steps of the machine's time do not
-// move and that goes on while the machine sleeps.
+// Package bootclock provides a clock that is not affected by changes of the
+// system time and that advances while the machine is suspended.
 //
-// A lease or a proof of age that is judged by Go's monotonic clock is believed too
-// long after a sleep, for that clock stands still meanwhile; the machine's time of day
-// may be set back. Both would let a key that was taken away be served.
+// Go's monotonic clock stops during a suspend and the system time may be set
+// back. A lease or freshness proof measured by either could be trusted too
+// long, and a removed key would still be served.
 package bootclock
 
 import "time"
 
-// Clock returns the time since the machine started, as a time.Time that is only to be
-// compared with others of the same clock.
+// Clock returns the time since the machine started as a time.Time. It is only
+// comparable with other times of the same clock.
 type Clock func() time.Time
--- a/bootclock/bootclock_test.go
+++ b/bootclock/bootclock_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestNowGoesOn(t *testing.T) {
+func TestNowAdvances(t *testing.T) {
 	is := is.New(t)
 	var clock Clock = Now
 	before := clock()
