--- a/config/fold.go
+++ b/config/fold.go
@@ -63,7 +63,7 @@
 			return
 		}
 		if v, ok := s.Verdict(p.ID); !ok || !v.Accepted {
-			next.addVerdict(p.ID, "another record was appended after the writer had read, or the graph is not valid")
+			next.addVerdict(p.ID, "something was appended after the writer had read, or the graph is not valid")
 		}
 		return
 	}
--- a/config/follow.go
+++ b/config/follow.go
@@ -27,7 +27,7 @@
 	pos       uint64
 	end       uint64 // tail of the stream when the search started
 	waiting   bool
-	best      *State
+	best      *State // newest base found so far
 }
 
 // readRequest is the next read of the log that the follower needs.
@@ -82,7 +82,8 @@
 	return true
 }
 
-// install sets a state that was received from a peer.
+// install sets a state that was received from a peer or found by the search,
+// and ends the search.
 func (f *follower) install(s *State) {
 	f.state = s
 	f.search = search{}
--- a/config/publish.go
+++ b/config/publish.go
@@ -20,8 +20,8 @@
 	ErrNothingWritten = errors.New("this call wrote nothing")
 	// ErrNoBase means that the log has trimmed the records needed to judge a
 	// publication and contains no usable checkpoint. Nodes that have a state
-	// append one within seconds. If no node has a state, an operator has to
-	// publish a replacement.
+	// append one soon. If no node has a state, an operator has to publish a
+	// replacement.
 	ErrNoBase = errors.New("no usable checkpoint in the log")
 )
 
@@ -225,8 +225,9 @@
 	return Outcome{}, false, nil
 }
 
-// outcome returns the verdict. After the verdict is dropped it returns
-// Accepted as long as a section still has the text of the publication.
+// outcome returns the outcome of the publication, and false if it is unknown.
+// After the verdict is dropped it returns Accepted as long as a section is
+// still the one that the publication set.
 func (p *publisher) outcome(pub Publication) (Outcome, bool) {
 	if v, ok := p.state.Verdict(pub.ID); ok {
 		if v.Accepted {
@@ -235,7 +236,7 @@
 		return Outcome{Status: Rejected, Version: v.Version, Cause: v.Cause}, true
 	}
 	if p.hasNoBase() && pub.Whole && p.readOffset() > pub.ReadTo && p.mayHaveWritten {
-		return Outcome{Status: Rejected, Cause: "another record was appended after the writer had read"}, true
+		return Outcome{Status: Rejected, Cause: "something was appended after the writer had read"}, true
 	}
 	for _, c := range pub.Sections {
 		if current, ok := p.state.Section(c.Service); ok && current.By == pub.ID {
