--- a/admission/config.go
+++ b/admission/config.go
@@ -2,41 +2,43 @@
 
 import "time"
 
-// GateConfig of a Gate. Shares are fractions of one.
+// GateConfig configures a Gate. Shares are fractions of one.
 type GateConfig struct {
-	// Interval is how often the level is set at most. It is short against the
-	// time that a new level takes to reach callers' nodes through a chain.
+	// Interval is the least time between two updates of the level. It is shorter than
+	// the time that a new level takes to reach the entry nodes through a chain of
+	// services.
 	Interval time.Duration
-	// Calls is the number of served calls that an interval holds before it
-	// ends, unless it lasts for Stretch intervals: the counts of a small
-	// backend server would be all chance.
+	// Calls is the number of served calls after which an interval may end; otherwise it
+	// ends after Stretch intervals. With fewer calls the counts of a small backend
+	// server are mostly chance.
 	Calls   float64
 	Stretch int
-	// Queue times the square root of the limit is the number of calls that
-	// should wait: what it takes to keep the slots busy through the chance
-	// gaps between arrivals. More would only hold the slots of the callers.
+	// Queue times the square root of the limit is the target queue length: enough to
+	// keep the slots busy through random gaps between arrivals. A longer queue only
+	// delays callers.
 	Queue float64
-	// Settle is the number of intervals in which the queue is brought to its
-	// target.
+	// Settle is the number of intervals in which the queue is brought to its target
+	// length.
 	Settle float64
-	// Surplus is how much more the node itself admits than it tells callers'
-	// nodes to send, so that a request admitted there on slightly old news
-	// is not refused here after work was spent on it.
+	// Surplus is the extra share of calls that the node itself admits beyond the
+	// published level, so that a request that its entry node admitted by a slightly old
+	// level is not refused here after work was spent on it.
 	Surplus float64
-	// Probe is the factor by which more may be admitted from one interval to
-	// the next while the limit is not in use.
+	// Probe bounds the growth of the admitted rate from one interval to the next while
+	// the limit is not in use.
 	Probe float64
-	// Fade is what an arrival counts for one interval later. The level follows the
-	// mean of some three hundred milliseconds: taken from the last hundred, the
-	// arrivals at one of many nodes are mostly chance.
+	// Fade is the weight that an arrival keeps after one interval. It averages over
+	// several intervals, since the arrivals of one interval at one of many nodes are
+	// mostly chance.
 	Fade float64
-	// Memory is the half-life of the arrival rates of closed importances.
+	// Memory is the half-life of the estimated arrival rate of an importance of which
+	// nothing is admitted.
 	Memory time.Duration
-	// RetryMin and RetryMax bound the time to come back that is proposed.
+	// RetryMin and RetryMax bound the Retry-After time proposed to callers.
 	RetryMin, RetryMax time.Duration
 }
 
-// DefaultGateConfig is what the policy bench was tuned to.
+// DefaultGateConfig returns the settings of a node on the platform.
 func DefaultGateConfig() GateConfig {
 	return GateConfig{
 		Interval: 50 * time.Millisecond,
@@ -53,25 +55,25 @@
 	}
 }
 
-// LevelsConfig of Levels.
+// LevelsConfig configures Levels.
 type LevelsConfig struct {
-	// Fresh is how long a learned level holds without being heard again.
+	// Fresh is how long a reported level stays in force without another report.
 	Fresh time.Duration
-	// Decay is the time in which it then falls to zero.
+	// Decay is the time in which the level then falls to zero.
 	Decay time.Duration
-	// Quantile of the nodes' levels that stands for a service. Below one
-	// half, so that a straggler does not close its service.
+	// Quantile of the levels of a service's nodes that is taken as the level of the
+	// service. At one half or below, so that a slow node does not close its service.
 	Quantile float64
-	// Services bounds the number of services remembered, of which the graph
-	// is meant to hold 200, and Nodes that of nodes for each.
+	// Services bounds the number of services remembered, and Nodes the number of nodes
+	// remembered for each.
 	Services, Nodes int
-	// Report bounds the number of levels passed on.
+	// Report bounds the number of levels that a reply carries.
 	Report int
-	// RetryMin and RetryMax bound the time to come back that is proposed.
+	// RetryMin and RetryMax bound the Retry-After time proposed to callers.
 	RetryMin, RetryMax time.Duration
 }
 
-// DefaultLevelsConfig is what the policy bench was tuned to.
+// DefaultLevelsConfig returns the settings of a node on the platform.
 func DefaultLevelsConfig() LevelsConfig {
 	return LevelsConfig{
 		Fresh:    500 * time.Millisecond,
--- a/admission/flow.go
+++ b/admission/flow.go
@@ -2,43 +2,44 @@
 
 import "math"
 
-// flow estimates how many calls of one importance arrive per interval, from
-// the part of them that the level lets see.
-type flow struct {
-	// seen calls in exposure, which counts intervals times the open share;
-	// both fade.
-	seen, exposure float64
+// rateEstimate estimates how many calls of one importance arrive per interval,
+// including those that the level rejects, from the calls that it admits.
+type rateEstimate struct {
+	// counted is the number of calls counted; exposure is the number of intervals times
+	// the admitted share. Both decay.
+	counted, exposure float64
 }
 
-func (f *flow) rate() float64 {
+func (f *rateEstimate) rate() float64 {
 	if f.exposure <= 0 {
 		return 0
 	}
-	return f.seen / f.exposure
+	return f.counted / f.exposure
 }
 
-// learn adds an interval (part of one, or several) in which a share of the
-// importance was let in and some of it arrived: a lower bound in any case.
-func (f *flow) learn(cfg *GateConfig, part, share, arrived float64) {
-	exposure := part * share
+// addArrivals adds the arrivals of some intervals, possibly a fraction of one, in which
+// a share of the importance was admitted. The estimate is never below the observed
+// rate.
+func (f *rateEstimate) addArrivals(cfg *GateConfig, intervals, admittedShare, arrived float64) {
+	exposure := intervals * admittedShare
 	if f.changed(arrived, exposure) {
-		*f = flow{}
+		*f = rateEstimate{}
 	}
-	fade := math.Pow(cfg.Fade, part)
-	f.seen = f.seen*fade + arrived
-	f.exposure = f.exposure*fade + exposure
-	if share == 0 {
-		f.seen *= math.Pow(0.5, part*float64(cfg.Interval)/float64(cfg.Memory))
+	decay := math.Pow(cfg.Fade, intervals)
+	f.counted = f.counted*decay + arrived
+	f.exposure = f.exposure*decay + exposure
+	if admittedShare == 0 {
+		f.counted *= math.Pow(0.5, intervals*float64(cfg.Interval)/float64(cfg.Memory))
 	}
-	if arrived > f.rate()*part {
-		*f = flow{seen: arrived, exposure: part}
+	if arrived > f.rate()*intervals {
+		*f = rateEstimate{counted: arrived, exposure: intervals}
 	}
 }
 
-// changed reports whether a count differs from the estimate by more than
-// chance: then what was seen before no longer holds.
-func (f *flow) changed(arrived, exposure float64) bool {
-	const deviations = 3
+// changed reports whether a count differs from the estimate by more than chance. Then
+// the earlier counts no longer hold.
+func (f *rateEstimate) changed(arrived, exposure float64) bool {
+	const standardDeviations = 3
 	expected := f.rate() * exposure
-	return math.Abs(arrived-expected) > deviations*math.Sqrt(max(expected, 1))
+	return math.Abs(arrived-expected) > standardDeviations*math.Sqrt(max(expected, 1))
 }
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -8,10 +8,10 @@
 	"github.com/cassialoom/cassialoom/importance"
 )
 
-// Event is what happened to one call at the node's queue.
+// Event tells how a call left the node's queue.
 type Event uint8
 
-// The events.
+// Events of a call.
 const (
 	// Served: the call was handed to the backend server.
 	Served Event = iota
@@ -19,182 +19,184 @@
 	Shed
 )
 
-// Sample is one call that left the queue.
+// Sample describes one call that left the queue.
 type Sample struct {
 	Event Event
-	// Queued is the number of calls that still wait.
+	// Queued is the number of calls still waiting.
 	Queued int
-	// InFlight counts the calls at the backend server without this one.
+	// InFlight is the number of other calls at the backend server.
 	InFlight int
-	// Limit is what InFlight is kept below.
+	// Limit is the concurrency limit of the backend server.
 	Limit int
 }
 
-// Gate sets the level of one node. Within an importance the hash is uniform, so
-// the arrivals above a level are known from four rates, and the level that
-// admits a given rate is found in one step instead of by trial. It is not safe
-// for concurrent use.
+// Gate sets the admission level of one node. Hashes are uniform within an importance,
+// so the arrival rate above any level follows from the four estimated rates, and the
+// level that admits a given rate is computed in one step. A Gate is not safe for
+// concurrent use.
 type Gate struct {
-	cfg   GateConfig
-	start time.Time
-	last  time.Time
-	seen  counts
-	// arrivals of each importance.
-	arrivals [importance.Count]flow
-	// capacity is the number of calls served per interval when full.
-	capacity  float64
-	published float64
-	admit     float64
-	recovery  recovery
+	cfg           GateConfig
+	intervalStart time.Time
+	lastUpdate    time.Time
+	counts        intervalCounts
+	// arrivals estimates the arrival rate of each importance.
+	arrivals [importance.Count]rateEstimate
+	// capacity is the number of calls served per interval at full load.
+	capacity       float64
+	publishedLevel float64
+	ownLevel       float64
+	recovery       recovery
 }
 
-// counts of one interval.
-type counts struct {
-	// arrived counts by importance, open sums up for each the share that the
-	// levels let in by which those that arrived came in.
-	arrived, open [importance.Count]float64
-	served, shed  float64
-	queue         queueCounts
+// intervalCounts holds the counts of one interval.
+type intervalCounts struct {
+	// arrived counts the calls of each importance. admittedShare sums, over all
+	// arrivals, the share of each importance that their admitted levels let through.
+	arrived, admittedShare [importance.Count]float64
+	served, shed           float64
+	queue                  queueCounts
 }
 
-// queueCounts sums up the state of the queue over the calls that left it, shed
-// ones too: those are all there is to see while the backend server is frozen.
+// queueCounts sums the state of the queue over the calls that left it. Shed calls count
+// too: while the backend server is frozen there are no others.
 type queueCounts struct {
-	calls, full     float64
-	queued          float64
-	limit, inFlight float64
-	shortest        int
+	calls, limitReached float64
+	queued              float64
+	limit, inFlight     float64
+	minQueued           int
 }
 
 func (q *queueCounts) add(s Sample) {
-	if q.calls == 0 || s.Queued < q.shortest {
-		q.shortest = s.Queued
+	if q.calls == 0 || s.Queued < q.minQueued {
+		q.minQueued = s.Queued
 	}
 	q.calls++
 	q.queued += float64(s.Queued)
 	q.limit += float64(s.Limit)
 	q.inFlight += float64(s.InFlight)
 	if s.InFlight+1 >= s.Limit {
-		q.full++
+		q.limitReached++
 	}
 }
 
 // NewGate returns a Gate that admits everything.
 func NewGate(cfg GateConfig) *Gate { return &Gate{cfg: cfg} }
 
-// Admit counts an arrival and reports whether the node takes it. bar is the level
-// by which the request was let in where it entered.
-func (g *Gate) Admit(now time.Time, priority, bar uint16) bool {
-	g.roll(now)
-	g.seen.arrived[Importance(priority)]++
-	for i := range g.seen.open {
-		g.seen.open[i] += openShare(float64(bar), i)
+// Admit counts an arrival and reports whether the node admits it. admittedLevel is this
+// service's level when the request was admitted at its entry node.
+func (g *Gate) Admit(now time.Time, priority, admittedLevel uint16) bool {
+	g.advance(now)
+	g.counts.arrived[Importance(priority)]++
+	for i := range g.counts.admittedShare {
+		g.counts.admittedShare[i] += shareAbove(float64(admittedLevel), i)
 	}
-	return float64(priority) >= g.admit
+	return float64(priority) >= g.ownLevel
 }
 
 // Observe counts a call that left the queue.
 func (g *Gate) Observe(now time.Time, s Sample) {
-	g.roll(now)
-	g.seen.queue.add(s)
+	g.advance(now)
+	g.counts.queue.add(s)
 	if s.Event == Shed {
-		g.seen.shed++
+		g.counts.shed++
 		return
 	}
-	g.seen.served++
+	g.counts.served++
 }
 
-// Level is what callers' nodes are told; zero admits everything.
+// Level returns the level published to callers' nodes; zero admits everything.
 func (g *Gate) Level(now time.Time) uint16 {
-	g.roll(now)
-	return toLevel(g.published)
+	g.advance(now)
+	return toLevel(g.publishedLevel)
 }
 
-// Own is the level that the node itself applies; never above Level. When it
-// rises the node also sheds what waits below it.
+// Own returns the level that the node itself applies, which is never above Level. When
+// it rises, the node also sheds waiting calls below it.
 func (g *Gate) Own(now time.Time) uint16 {
-	g.roll(now)
-	return toLevel(g.admit)
+	g.advance(now)
+	return toLevel(g.ownLevel)
 }
 
-// RetryAfter is when a refused caller should come back. The source of random
-// numbers spreads them out.
+// RetryAfter returns the time after which a refused caller should retry. rng adds
+// jitter.
 func (g *Gate) RetryAfter(now time.Time, rng *rand.Rand) time.Duration {
-	g.roll(now)
+	g.advance(now)
 	return g.recovery.retryAfter(now, g.cfg.RetryMin, g.cfg.RetryMax, rng)
 }
 
 func toLevel(v float64) uint16 { return uint16(min(math.Ceil(v), math.MaxUint16)) }
 
-// roll sets the level at the end of an interval.
-func (g *Gate) roll(now time.Time) {
-	if g.start.IsZero() {
-		g.start = now
+// advance sets the level if the interval has ended.
+func (g *Gate) advance(now time.Time) {
+	if g.intervalStart.IsZero() {
+		g.intervalStart = now
 	}
-	if !now.After(g.last) {
-		// One level at one time.
+	if !now.After(g.lastUpdate) {
+		// The level changes at most once at any time.
 		return
 	}
-	g.last = now
-	span := now.Sub(g.start)
-	if span < g.cfg.Interval {
+	g.lastUpdate = now
+	elapsed := now.Sub(g.intervalStart)
+	if elapsed < g.cfg.Interval {
 		return
 	}
-	if g.seen.served < g.cfg.Calls && span < time.Duration(g.cfg.Stretch)*g.cfg.Interval {
+	if g.counts.served < g.cfg.Calls && elapsed < time.Duration(g.cfg.Stretch)*g.cfg.Interval {
 		return
 	}
-	part := float64(span) / float64(g.cfg.Interval)
-	g.learn(part)
-	g.set(part)
-	g.recovery.follow(now, g.published > 0)
-	g.start = now
-	g.seen = counts{}
+	intervals := float64(elapsed) / float64(g.cfg.Interval)
+	g.addArrivals(intervals)
+	g.updateLevel(intervals)
+	g.recovery.update(now, g.publishedLevel > 0)
+	g.intervalStart = now
+	g.counts = intervalCounts{}
 }
 
-// learn estimates what arrives of each importance, let in or not. What comes now was
-// let in by the levels of a while ago, since a request works at other services
-// before it calls here: taken for those of now, arrivals would look many after a
-// level rose and few after it fell, and it would swing between all and nothing.
-func (g *Gate) learn(part float64) {
-	all := 0.0
-	for _, n := range g.seen.arrived {
-		all += n
+// addArrivals updates the estimated arrival rates, which include rejected calls. Calls
+// that arrive now were admitted under earlier levels, since a request works at other
+// services first. So each call counts with its admitted level: with the present one,
+// the estimate would be too high after the level rose and too low after it fell, and
+// the level would oscillate.
+func (g *Gate) addArrivals(intervals float64) {
+	total := 0.0
+	for _, n := range g.counts.arrived {
+		total += n
 	}
 	for i := range g.arrivals {
-		share := g.seen.open[i] / max(all, 1) // none arrived: nothing is known
-		g.arrivals[i].learn(&g.cfg, part, share, g.seen.arrived[i])
+		share := g.counts.admittedShare[i] / max(total, 1) // without arrivals the share is zero: nothing is known
+		g.arrivals[i].addArrivals(&g.cfg, intervals, share, g.counts.arrived[i])
 	}
 }
 
-// openShare is the share of an importance's hashes above a level.
-func openShare(level float64, imp int) float64 {
-	low := float64(imp * band)
-	return min(max((low+band-level)/band, 0), 1)
+// shareAbove returns the share of an importance's hashes that a level admits.
+func shareAbove(level float64, imp int) float64 {
+	low := float64(imp * importanceRange)
+	return min(max((low+importanceRange-level)/importanceRange, 0), 1)
 }
 
-// set moves the level so that what is admitted is what is served, plus or
-// minus what brings the queue to its target.
-func (g *Gate) set(part float64) {
-	served := g.seen.served / part
-	q := &g.seen.queue
-	full := q.full > q.calls/2 || g.seen.shed > 0
-	g.measure(served, full)
-	if !full {
+// updateLevel sets the level so that the admitted rate is the service rate plus or
+// minus what brings the queue to its target length.
+func (g *Gate) updateLevel(intervals float64) {
+	served := g.counts.served / intervals
+	q := &g.counts.queue
+	limitReached := q.limitReached > q.calls/2 || g.counts.shed > 0
+	g.updateCapacity(served, limitReached)
+	if !limitReached {
 		g.lower(g.headroom(served))
 		return
 	}
 	queued := q.queued / max(q.calls, 1)
-	wanted := g.cfg.Queue * math.Sqrt(q.limit/max(q.calls, 1))
-	target := g.capacity + (wanted-queued)/g.cfg.Settle
-	target = max(target, g.capacity/2)
-	if queued > wanted && q.shortest > 0 {
-		g.raise(target)
+	targetQueue := g.cfg.Queue * math.Sqrt(q.limit/max(q.calls, 1))
+	targetRate := g.capacity + (targetQueue-queued)/g.cfg.Settle
+	targetRate = max(targetRate, g.capacity/2)
+	if queued > targetQueue && q.minQueued > 0 {
+		g.raise(targetRate)
 		return
 	}
-	g.lower(target)
+	g.lower(targetRate)
 }
 
-func (g *Gate) measure(served float64, full bool) {
+// updateCapacity updates the estimate of the service rate at full load.
+func (g *Gate) updateCapacity(served float64, full bool) {
 	const gain = 0.3
 	switch {
 	case served > g.capacity && (!full || g.capacity == 0):
@@ -204,56 +206,56 @@
 	}
 }
 
-// headroom is what may be admitted while the limit is not in use: as much more
-// as there are places free, by at most Probe at a time, or what was served
-// before if that was more.
+// headroom returns the rate to admit while the limit is not in use: the served rate
+// scaled by the free slots, at most by Probe, or the known capacity if that is more.
 func (g *Gate) headroom(served float64) float64 {
-	free := g.seen.queue.limit / max(g.seen.queue.inFlight, 1)
+	free := g.counts.queue.limit / max(g.counts.queue.inFlight, 1)
 	return max(g.capacity, served*min(free, g.cfg.Probe))
 }
 
-// raise sets the level while more wait than should. It may fall as well as rise: each
-// interval's estimate has its chance, and a level that kept the highest of the second
-// that a queue takes to shrink would refuse the most important requests, empty the
-// queue and leave slots idle.
-func (g *Gate) raise(target float64) {
-	g.published = stepDown(g.published, g.levelFor(target))
-	g.setOwn(target)
+// raise sets the level while the queue is too long. The level may also fall here: the
+// estimates are noisy, and keeping the highest of them until the queue has shrunk would
+// refuse the most important requests and leave slots idle.
+func (g *Gate) raise(rate float64) {
+	g.publishedLevel = stepDown(g.publishedLevel, g.levelFor(rate))
+	g.setOwnLevel(rate)
 }
 
-func (g *Gate) lower(target float64) {
-	g.published = min(g.published, stepDown(g.published, g.levelFor(target)))
-	g.setOwn(target)
+// lower sets the level while the queue is not too long. The published level never rises
+// here.
+func (g *Gate) lower(rate float64) {
+	g.publishedLevel = min(g.publishedLevel, stepDown(g.publishedLevel, g.levelFor(rate)))
+	g.setOwnLevel(rate)
 }
 
-func (g *Gate) setOwn(target float64) {
-	own := g.levelFor(target * (1 + g.cfg.Surplus))
-	g.admit = min(g.published, stepDown(g.admit, own))
+// setOwnLevel sets the level that the node itself applies.
+func (g *Gate) setOwnLevel(rate float64) {
+	own := g.levelFor(rate * (1 + g.cfg.Surplus))
+	g.ownLevel = min(g.publishedLevel, stepDown(g.ownLevel, own))
 }
 
-// stepDown lowers a level, at most to the lower end of its importance: the next
-// one is admitted only once nothing of this one has been refused for a whole
-// interval. Without it a level that falls through several importances at once
-// admits the least of them a moment after it refused the most important.
+// stepDown lowers a level by at most one importance: the next one is admitted only
+// after a whole interval in which nothing of this one was refused. Otherwise a level
+// that falls through several importances would admit the least of them just after
+// refusing the most important.
 func stepDown(from, to float64) float64 {
-	end := math.Floor((from-1)/band) * band
+	end := math.Floor((from-1)/importanceRange) * importanceRange
 	return max(to, end, 0)
 }
 
-// levelFor is the level above which arrives the given number of calls per
-// interval.
+// levelFor returns the level that admits the given number of calls per interval.
 func (g *Gate) levelFor(target float64) float64 {
 	for i := importance.Count - 1; i >= 0; i-- {
 		rate := g.arrivals[i].rate()
 		if rate > target {
-			return float64(i*band) + (1-target/rate)*band
+			return float64(i*importanceRange) + (1-target/rate)*importanceRange
 		}
 		target -= rate
 	}
 	return 0
 }
 
-// GateState is the state dump of a Gate.
+// GateState is the diagnostic state of a Gate.
 type GateState struct {
 	Level    uint16                    `json:"level"`
 	Own      uint16                    `json:"own_level"`
@@ -262,11 +264,11 @@
 	Recovery string                    `json:"mean_recovery"`
 }
 
-// Dump returns the state for people.
+// Dump returns the state for diagnostics.
 func (g *Gate) Dump() GateState {
 	s := GateState{
-		Level:    toLevel(g.published),
-		Own:      toLevel(g.admit),
+		Level:    toLevel(g.publishedLevel),
+		Own:      toLevel(g.ownLevel),
 		Capacity: g.capacity,
 		Recovery: g.recovery.mean.String(),
 	}
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -16,13 +16,14 @@
 
 const step = time.Millisecond
 
-// drive offers perMS calls of each importance every millisecond to a gate whose
-// backend server serves served of them, and reports each decision.
+// drive offers perMS calls of each importance to g for one millisecond. The backend
+// server serves at most served of them. decided, if not nil, receives the priority of
+// each call and whether it was admitted.
 func drive(g *Gate, rng *rand.Rand, now time.Time, perMS [importance.Count]int, served, queued int, decided func(uint16, bool)) {
 	full := queued > 0
 	for imp, n := range perMS {
 		for range n {
-			p := uint16(imp)<<HashBits | uint16(rng.IntN(band))
+			p := uint16(imp)<<HashBits | uint16(rng.IntN(importanceRange))
 			ok := g.Admit(now, p, 0)
 			if decided != nil {
 				decided(p, ok)
@@ -44,11 +45,9 @@
 	}
 }
 
-// The caller sees: a rescue crew's request refused, and an archive read let in,
-// at one node within a moment. Random load with random queues goes through the
-// gate: at one time it must admit everything above the least refused priority,
-// and within one interval after a refusal nothing of a lesser importance.
-func TestGateKeepsTheOrder(t *testing.T) {
+// Guards against admitting a less important request while a more important one is
+// refused, at one time or within an interval after the refusal.
+func TestGateAdmitsInOrderOfPriority(t *testing.T) {
 	proptest.Check(t, func(r *rapid.T) {
 		cfg := DefaultGateConfig()
 		g := NewGate(cfg)
@@ -90,11 +89,9 @@
 	})
 }
 
-// The caller sees: a second of refusals after the surge has ended, or a second
-// of useless waiting after it began. Ten times what can be served arrives; two
-// intervals later the level must let in about what is served. Then the surge
-// ends, and each importance may take until callers' nodes have heard to open.
-func TestGateFindsTheLevelInOneStep(t *testing.T) {
+// Guards against a level that follows the load too slowly: after a surge begins,
+// requests wait in vain; after it ends, they are still refused.
+func TestGateFollowsSurgeWithoutDelay(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultGateConfig()
 	g := NewGate(cfg)
@@ -106,9 +103,9 @@
 		drive(g, rng, now, surge, 10, 30, nil)
 	}
 	level := float64(g.Level(now))
-	want := float64(2*band) + (1-5.0/15)*band // critical and a third of high
-	is.True(level > want-0.15*band)
-	is.True(level < want+0.25*band)
+	want := float64(2*importanceRange) + (1-5.0/15)*importanceRange // critical and a third of high
+	is.True(level > want-0.15*importanceRange)
+	is.True(level < want+0.25*importanceRange)
 
 	calm := [importance.Count]int{1, 1, 1, 1}
 	took := time.Duration(0)
@@ -124,10 +121,8 @@
 	is.True(after < 2*time.Second)
 }
 
-// The caller sees: its request waits at a frozen backend server for its whole
-// deadline instead of being refused at once. Nothing is served any more and the
-// queue sheds what comes; the level must rise although no call that was served
-// tells of the queue.
+// Guards against a gate that stays open while the backend server is frozen, so that
+// requests wait for their whole deadline instead of being refused at once.
 func TestGateClosesWhenNothingIsServed(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(DefaultGateConfig())
@@ -143,44 +138,40 @@
 		now = now.Add(step)
 		drive(g, rng, now, load, 0, 40, nil)
 	}
-	is.True(g.Level(now) > 2*band)
+	is.True(g.Level(now) > 2*importanceRange)
 }
 
-// The caller sees: refused, though slots stand idle, or let in and failed half way,
-// by turns of a second. A request calls here half a second after it was let in: what
-// comes now tells of the levels of then. The load that waits for nobody goes through
-// a gate by way of a delay; once it has settled the level must stay near the one that
-// lets in what is served, where it was taken for that of now it swung by more than a
-// whole importance.
-func TestLevelStaysWhereRequestsComeLate(t *testing.T) {
+// Guards against an oscillating level when calls arrive long after their requests were
+// admitted: slots are idle and requests fail under way in turns.
+func TestLevelDoesNotOscillateWhenCallsArriveLate(t *testing.T) {
 	is := is.New(t)
 	const (
 		offered, served = 20, 10 // calls in a millisecond
-		late            = 500
-		settled         = 5000
+		late            = 500    // milliseconds from the entry node
+		settled         = 5000   // milliseconds
 	)
 	cfg := DefaultGateConfig()
 	cfg.Queue, cfg.Settle = 4, 20
 	g := NewGate(cfg)
 	rng := rand.New(rand.NewPCG(1, 2))
-	type call struct{ priority, bar uint16 }
-	var way [][]call
-	queued, lowest, highest := 0, uint16(band), uint16(0)
+	type call struct{ priority, admittedLevel uint16 }
+	var inTransit [][]call
+	queued, lowest, highest := 0, uint16(importanceRange), uint16(0)
 	now := start
 	for ms := range 10000 {
 		now = now.Add(step)
 		var sent []call
 		for range offered {
-			if p := uint16(rng.IntN(band)); p >= g.Level(now) {
+			if p := uint16(rng.IntN(importanceRange)); p >= g.Level(now) {
 				sent = append(sent, call{p, g.Level(now)})
 			}
 		}
-		way = append(way, sent)
+		inTransit = append(inTransit, sent)
 		if ms < late {
 			continue
 		}
-		for _, c := range way[ms-late] {
-			g.Admit(now, c.priority, c.bar)
+		for _, c := range inTransit[ms-late] {
+			g.Admit(now, c.priority, c.admittedLevel)
 			queued++
 		}
 		for range min(served, queued) {
@@ -191,36 +182,33 @@
 			lowest, highest = min(lowest, g.Level(now)), max(highest, g.Level(now))
 		}
 	}
-	t.Logf("level between %d and %d, %d wait", lowest, highest, queued)
-	is.True(lowest > band/3)
-	is.True(highest < 2*band/3)
+	t.Logf("level between %d and %d, %d waiting", lowest, highest, queued)
+	is.True(lowest > importanceRange/3)
+	is.True(highest < 2*importanceRange/3)
 }
 
-// The caller sees: one of the most important refused while slots stand idle a second
-// later. One of ten backend servers gets a few dozen calls an interval, by chance more
-// or fewer, half a second after they were let in; a burst of half as much again as it
-// can serve begins. A level that keeps the highest estimate while the queue is too long
-// climbs far above the one needed, and the queue runs dry.
-func TestLevelIsNotTheHighestOfItsEstimates(t *testing.T) {
+// Guards against a level that keeps its highest noisy estimate while the queue is too
+// long: the most important requests are refused and the queue runs empty.
+func TestNoisyEstimatesDoNotRaiseLevelTooFar(t *testing.T) {
 	is := is.New(t)
 	const (
-		served = 30 // calls in an interval
-		late   = 10 // intervals
-		slots  = 33
-		whole  = 200 // intervals
+		served    = 30 // calls in an interval
+		late      = 10 // intervals
+		slots     = 33
+		intervals = 200
 	)
 	cfg := DefaultGateConfig()
 	cfg.Queue, cfg.Settle = 4, 20
 	offered := [importance.Count]float64{importance.Normal: 25, importance.Critical: 20}
-	var dry, refused, highest int
+	var emptied, refused, highest int
 	for seed := range uint64(5) {
 		g := NewGate(cfg)
 		rng := rand.New(rand.NewPCG(seed, 2))
-		type arrival struct{ priority, bar uint16 }
-		var way [][]arrival
+		type arrival struct{ priority, admittedLevel uint16 }
+		var inTransit [][]arrival
 		queued := 0
 		now := start
-		for i := range whole {
+		for i := range intervals {
 			level := g.Level(now)
 			if i > late && level > importanceFloor(importance.Critical) {
 				refused++
@@ -228,18 +216,18 @@
 			var sent []arrival
 			for imp, mean := range offered {
 				for range poisson(rng, mean) {
-					if p := uint16(imp)<<HashBits | uint16(rng.IntN(band)); p >= level {
+					if p := uint16(imp)<<HashBits | uint16(rng.IntN(importanceRange)); p >= level {
 						sent = append(sent, arrival{p, level})
 					}
 				}
 			}
-			way = append(way, sent)
+			inTransit = append(inTransit, sent)
 			if i < late {
 				now = now.Add(cfg.Interval)
 				continue
 			}
-			for _, a := range way[i-late] {
-				g.Admit(now, a.priority, a.bar)
+			for _, a := range inTransit[i-late] {
+				g.Admit(now, a.priority, a.admittedLevel)
 				queued++
 			}
 			for k := range served {
@@ -250,20 +238,20 @@
 				queued--
 				g.Observe(now, Sample{Event: Served, Queued: queued, InFlight: slots - 1, Limit: slots})
 				if k == served-1 && i > 3*late && queued == 0 {
-					dry++
+					emptied++
 				}
 			}
 			highest = max(highest, queued)
 		}
 	}
-	t.Logf("of %d intervals %d with the most important refused, %d dry, at most %d wait", 5*whole, refused, dry, highest)
-	is.True(refused < 5*whole/8)
-	is.True(dry < 5*whole/20)
+	t.Logf("of %d intervals %d with the most important refused, %d with an empty queue, at most %d waiting", 5*intervals, refused, emptied, highest)
+	is.True(refused < 5*intervals/8)
+	is.True(emptied < 5*intervals/20)
 }
 
 func importanceFloor(i importance.Importance) uint16 { return uint16(i) << HashBits }
 
-// poisson draws how many of many independent events happen.
+// poisson draws the number of independent events with the given mean.
 func poisson(rng *rand.Rand, mean float64) int {
 	n := 0
 	for at := rng.ExpFloat64(); at < mean; at += rng.ExpFloat64() {
--- a/admission/levels.go
+++ b/admission/levels.go
@@ -11,199 +11,205 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// learned is one node's word about one service.
-type learned struct {
+// nodeReport is the latest level of a service that one node reported.
+type nodeReport struct {
 	node wire.NodeID
-	// speaker is the service that the node belongs to.
-	speaker string
-	level   uint16
-	at      time.Time
+	// reporter is the service that the node belongs to.
+	reporter   string
+	level      uint16
+	receivedAt time.Time
 }
 
-// service is what is known about one service.
-type service struct {
-	nodes    []learned
+// serviceLevels holds the reported levels of one service.
+type serviceLevels struct {
+	reports  []nodeReport
 	recovery recovery
-	// straight counts the words since the last Speak that came from the service's
-	// own nodes; speaks says that there were enough before it for the node to
-	// speak for the service.
-	straight int
-	speaks   bool
-	// combined is the level until valid, unless a word changes.
-	combined uint16
-	valid    time.Time
+	// directReports counts the reports of the service's own nodes since the last Speak.
+	// reliable is set if there were enough of them before the last Speak for this node
+	// to publish the level as gossip.
+	directReports int
+	reliable      bool
+	// combined is the cached level of all nodes. It holds until validUntil, unless a
+	// report changes a level.
+	combined   uint16
+	validUntil time.Time
 }
 
-// Levels holds the levels of other services as learned from replies. A node has
-// two: one for the requests that enter at it, and one for the calls of its own
-// backend server, which alone is reported upwards. In a common one the node
-// would hear its own report again by way of the services above it. It is not
+// Levels holds the levels of other services, as reported by replies and gossip. A node
+// has two: one for the requests that enter at it, and one for the calls of its own
+// backend server. Only the latter is reported to callers' nodes; with a shared one, the
+// node would receive its own reports again through the services above it. Levels is not
 // safe for concurrent use.
 type Levels struct {
-	cfg      LevelsConfig
-	rng      *rand.Rand
-	news     *News
-	services map[string]*service
-	passOn   []string
-	scratch  []uint16
+	cfg       LevelsConfig
+	rng       *rand.Rand
+	gossip    *News
+	services  map[string]*serviceLevels
+	forwarded []string
+	scratch   []uint16
 }
 
-// NewLevels returns Levels that admit everything. Where the news are fresh they go
-// before words that came with replies. The seed spreads the times to come back.
-func NewLevels(cfg LevelsConfig, news *News, seed uint64) *Levels {
+// NewLevels returns Levels that admit everything. Fresh gossip takes precedence over
+// levels that replies forwarded. The seed randomizes Retry-After times.
+func NewLevels(cfg LevelsConfig, gossip *News, seed uint64) *Levels {
 	return &Levels{
 		cfg:      cfg,
-		news:     news,
+		gossip:   gossip,
 		rng:      rand.New(rand.NewPCG(seed, 0)),
-		services: make(map[string]*service),
+		services: make(map[string]*serviceLevels),
 	}
 }
 
-// PassOn sets the services whose levels Report passes on: those that the node's
-// own service reaches, without any that reaches back to it. If levels were
-// passed on in a circle, each node would take the echo of its own word for news
-// and a level would never fall again.
+// PassOn sets the services whose levels Report forwards: those that the node's own
+// service reaches, without any that reaches back to it. If levels were forwarded in a
+// cycle, nodes would keep renewing their own old reports and a level would never fall.
 func (l *Levels) PassOn(services []string) {
-	l.passOn = slices.Clone(services)
+	l.forwarded = slices.Clone(services)
 }
 
-// Learn notes the level of a service as told by one of its nodes.
+// Learn records the level of a service as reported by one of its nodes.
 func (l *Levels) Learn(now time.Time, name string, node wire.NodeID, level uint16) {
-	l.learn(now, name, learned{node: node, speaker: name, level: level, at: now})
+	l.record(now, name, nodeReport{node: node, reporter: name, level: level, receivedAt: now})
 }
 
-func (l *Levels) learn(now time.Time, name string, word learned) {
+func (l *Levels) record(now time.Time, name string, report nodeReport) {
 	s, ok := l.services[name]
 	if !ok {
-		if !l.room(now) {
+		if !l.hasCapacity(now) {
 			return
 		}
-		s = &service{}
+		s = &serviceLevels{}
 		l.services[name] = s
 	}
-	s.learn(word, l.cfg.Nodes)
-	if word.speaker == name {
-		s.straight++
+	s.record(report, l.cfg.Nodes)
+	if report.reporter == name {
+		s.directReports++
 	}
-	l.follow(now, name, s)
+	l.update(now, name, s)
 }
 
-// Speak notes in the news what is known here of services whose own nodes were heard
-// often since it was last called.
+// Speak publishes as gossip the levels of the services whose own nodes reported often
+// since the last call.
 func (l *Levels) Speak(now time.Time) {
 	for name, s := range l.services {
-		s.speaks = s.straight >= l.news.cfg.Words
-		s.straight = 0
-		if s.speaks {
-			l.news.note(now, name, l.level(now, s), now)
+		s.reliable = s.directReports >= l.gossip.cfg.Words
+		s.directReports = 0
+		if s.reliable {
+			l.gossip.record(now, name, l.level(now, s), now)
 		}
 	}
 }
 
-// room reports whether another service can be remembered. A peer could name any
-// number of them; those not heard of any more make room.
-func (l *Levels) room(now time.Time) bool {
+// hasCapacity reports whether another service can be remembered. It first removes
+// services without a recent report if the bound is reached, since a faulty peer could
+// name any number of services.
+func (l *Levels) hasCapacity(now time.Time) bool {
 	if len(l.services) < l.cfg.Services {
 		return true
 	}
-	maps.DeleteFunc(l.services, func(_ string, s *service) bool {
-		return !slices.ContainsFunc(s.nodes, func(n learned) bool {
-			return now.Sub(n.at) < l.cfg.Fresh+l.cfg.Decay
+	maps.DeleteFunc(l.services, func(_ string, s *serviceLevels) bool {
+		return !slices.ContainsFunc(s.reports, func(n nodeReport) bool {
+			return now.Sub(n.receivedAt) < l.cfg.Fresh+l.cfg.Decay
 		})
 	})
 	return len(l.services) < l.cfg.Services
 }
 
-// Heard notes all levels of one reply of a node of the given service. What the
-// reply does not name is admitted: the node's own service, and the services
-// that this or another node of that service has named before. Without the
-// nodes that have nothing to say, one straggler would speak for all.
-func (l *Levels) Heard(now time.Time, speaker string, node wire.NodeID, levels []call.Level) {
-	word := learned{node: node, speaker: speaker, at: now}
-	if speaker != "" && !names(levels, speaker) {
-		l.learn(now, speaker, word)
+// Heard records all levels of one reply from a node of the service reporter. A level of
+// zero is recorded for what the reply doesn't name: the reporter itself, and the
+// services that any of its nodes has named before. Without these zeros, a single
+// overloaded node would determine the level of its service.
+func (l *Levels) Heard(now time.Time, reporter string, node wire.NodeID, levels []call.Level) {
+	report := nodeReport{node: node, reporter: reporter, receivedAt: now}
+	if reporter != "" && !contains(levels, reporter) {
+		l.record(now, reporter, report)
 	}
 	for name, s := range l.services {
-		if name != speaker && s.spokenBy(speaker) && !names(levels, name) {
-			l.learn(now, name, word)
+		if name != reporter && s.reportedBy(reporter) && !contains(levels, name) {
+			l.record(now, name, report)
 		}
 	}
 	for _, lv := range levels {
-		word.level = lv.Priority
-		l.learn(now, lv.Service, word)
+		report.level = lv.Priority
+		l.record(now, lv.Service, report)
 	}
 }
 
-func names(levels []call.Level, name string) bool {
+// contains reports whether levels has an entry for the named service.
+func contains(levels []call.Level, name string) bool {
 	return slices.ContainsFunc(levels, func(lv call.Level) bool { return lv.Service == name })
 }
 
-func (s *service) spokenBy(speaker string) bool {
-	return slices.ContainsFunc(s.nodes, func(n learned) bool { return n.speaker == speaker })
+// reportedBy reports whether a node of the given service has reported on s.
+func (s *serviceLevels) reportedBy(reporter string) bool {
+	return slices.ContainsFunc(s.reports, func(n nodeReport) bool { return n.reporter == reporter })
 }
 
-func (s *service) learn(word learned, most int) {
-	for i := range s.nodes {
-		if s.nodes[i].node != word.node {
+// record stores the report of a node. With maxNodes nodes known, it replaces the oldest
+// report.
+func (s *serviceLevels) record(report nodeReport, maxNodes int) {
+	for i := range s.reports {
+		if s.reports[i].node != report.node {
 			continue
 		}
-		if s.nodes[i].level != word.level {
-			s.valid = time.Time{}
+		if s.reports[i].level != report.level {
+			s.validUntil = time.Time{}
 		}
-		s.nodes[i] = word
+		s.reports[i] = report
 		return
 	}
-	s.valid = time.Time{}
-	if len(s.nodes) < most {
-		s.nodes = append(s.nodes, word)
+	s.validUntil = time.Time{}
+	if len(s.reports) < maxNodes {
+		s.reports = append(s.reports, report)
 		return
 	}
 	oldest := 0
-	for i := range s.nodes {
-		if s.nodes[i].at.Before(s.nodes[oldest].at) {
+	for i := range s.reports {
+		if s.reports[i].receivedAt.Before(s.reports[oldest].receivedAt) {
 			oldest = i
 		}
 	}
-	s.nodes[oldest] = word
+	s.reports[oldest] = report
 }
 
-// current is a node's level, which decays when it is not heard again: if
-// nothing is admitted, no reply can say that the overload is over.
-func (l *Levels) current(now time.Time, n learned) uint16 {
-	stale := now.Sub(n.at) - l.cfg.Fresh
-	if stale <= 0 {
+// decayedLevel returns a node's level, which decays without new reports: while nothing
+// is admitted, no reply can report the end of the overload.
+func (l *Levels) decayedLevel(now time.Time, n nodeReport) uint16 {
+	decaying := now.Sub(n.receivedAt) - l.cfg.Fresh
+	if decaying <= 0 {
 		return n.level
 	}
-	if stale >= l.cfg.Decay {
+	if decaying >= l.cfg.Decay {
 		return 0
 	}
-	left := 1 - float64(stale)/float64(l.cfg.Decay)
-	return uint16(float64(n.level) * left)
+	remaining := 1 - float64(decaying)/float64(l.cfg.Decay)
+	return uint16(float64(n.level) * remaining)
 }
 
-// level combines the nodes of a service. The result holds until a word changes
-// or may have to decay: each call asks for the levels of all services that it
-// reaches.
-func (l *Levels) level(now time.Time, s *service) uint16 {
-	if now.Before(s.valid) {
+// level combines the levels of a service's nodes. The result is cached until a report
+// changes it or a report begins to decay, as each call asks for the levels of all
+// services that it reaches.
+func (l *Levels) level(now time.Time, s *serviceLevels) uint16 {
+	if now.Before(s.validUntil) {
 		return s.combined
 	}
-	s.valid = now.Add(l.cfg.Fresh)
+	s.validUntil = now.Add(l.cfg.Fresh)
 	l.scratch = l.scratch[:0]
-	for _, n := range s.nodes {
-		stale := n.at.Add(l.cfg.Fresh)
-		if now.Sub(stale) >= l.cfg.Decay {
+	for _, n := range s.reports {
+		decayStart := n.receivedAt.Add(l.cfg.Fresh)
+		if now.Sub(decayStart) >= l.cfg.Decay {
 			continue
 		}
-		if stale.Before(s.valid) {
-			s.valid = stale
+		if decayStart.Before(s.validUntil) {
+			s.validUntil = decayStart
 		}
-		l.scratch = append(l.scratch, l.current(now, n))
+		l.scratch = append(l.scratch, l.decayedLevel(now, n))
 	}
 	s.combined = l.quantile()
 	return s.combined
 }
 
+// quantile returns the configured quantile of the levels in scratch.
 func (l *Levels) quantile() uint16 {
 	if len(l.scratch) == 0 {
 		return 0
@@ -212,57 +218,57 @@
 	return l.scratch[int(l.cfg.Quantile*float64(len(l.scratch)-1))]
 }
 
-// follow is the level that counts: what was heard from the service's own nodes, else
-// the news, else what replies passed on. It keeps count of how long that stays above
-// zero.
-func (l *Levels) follow(now time.Time, name string, s *service) uint16 {
+// update returns the level in force: from frequent reports of the service's own nodes
+// if there are any, else from gossip, else from forwarded reports. It also records how
+// long the level stays above zero.
+func (l *Levels) update(now time.Time, name string, s *serviceLevels) uint16 {
 	level := l.level(now, s)
-	if told, ok := l.news.Level(now, name); ok && !s.speaks {
-		level = told
+	if gossiped, ok := l.gossip.Level(now, name); ok && !s.reliable {
+		level = gossiped
 	}
-	s.recovery.follow(now, level > 0)
+	s.recovery.update(now, level > 0)
 	return level
 }
 
-// Level is the present level of a service.
+// Level returns the level in force of a service.
 func (l *Levels) Level(now time.Time, name string) uint16 {
 	s, ok := l.services[name]
 	if !ok {
-		if told, _ := l.news.Level(now, name); told == 0 || !l.room(now) {
+		if gossiped, _ := l.gossip.Level(now, name); gossiped == 0 || !l.hasCapacity(now) {
 			return 0
 		}
-		s = &service{}
+		s = &serviceLevels{}
 		l.services[name] = s
 	}
-	return l.follow(now, name, s)
+	return l.update(now, name, s)
 }
 
-// Entry is the decision about one request that would enter.
+// Entry is the decision whether to admit a new request.
 type Entry struct {
-	// BlockedBy names the service that does not admit the request, empty if all
-	// do; RetryAfter is when to come back.
+	// BlockedBy names the service that does not admit the request, and is empty if all
+	// do. RetryAfter is the time after which the caller should retry.
 	BlockedBy  string
 	RetryAfter time.Duration
 	// Bars are the levels above zero that were applied.
 	Bars []call.Level
 }
 
-// Admitted reports whether the request may be started.
+// Admitted reports whether the request may start.
 func (e Entry) Admitted() bool { return e.BlockedBy == "" }
 
-// Admit decides whether a request of a priority may be started that will reach the
-// services. If it may not, the one with the highest level is named.
+// Admit decides whether a request of a priority may start that will reach the services.
+// If not, Entry names the blocking service with the highest level.
 func (l *Levels) Admit(now time.Time, services []string, prio uint16) Entry {
 	var entry Entry
-	var blocked uint16
+	var blockingLevel uint16
 	for _, name := range services {
 		level := l.Level(now, name)
 		if level == 0 {
 			continue
 		}
 		entry.Bars = append(entry.Bars, call.Level{Service: name, Priority: level})
-		if level > prio && level > blocked {
-			blocked, entry.BlockedBy = level, name
+		if level > prio && level > blockingLevel {
+			blockingLevel, entry.BlockedBy = level, name
 		}
 	}
 	if !entry.Admitted() {
@@ -272,10 +278,10 @@
 	return entry
 }
 
-// Report lists the levels to pass on, the highest first if there are too many.
+// Report returns the levels to forward, highest first, at most LevelsConfig.Report.
 func (l *Levels) Report(now time.Time) []call.Level {
 	var out []call.Level
-	for _, name := range l.passOn {
+	for _, name := range l.forwarded {
 		if level := l.Level(now, name); level > 0 {
 			out = append(out, call.Level{Service: name, Priority: level})
 		}
@@ -286,7 +292,7 @@
 	return out[:min(len(out), l.cfg.Report)]
 }
 
-// LevelState is one service in the state dump of Levels.
+// LevelState is the diagnostic state of one service.
 type LevelState struct {
 	Service  string `json:"service"`
 	Level    uint16 `json:"level"`
@@ -294,14 +300,14 @@
 	Recovery string `json:"mean_recovery"`
 }
 
-// Dump returns the services with a history, by name.
+// Dump returns the state of all known services for diagnostics, ordered by name.
 func (l *Levels) Dump(now time.Time) []LevelState {
 	var out []LevelState
 	for name, s := range l.services {
 		out = append(out, LevelState{
 			Service:  name,
-			Level:    l.follow(now, name, s),
-			Nodes:    len(s.nodes),
+			Level:    l.update(now, name, s),
+			Nodes:    len(s.reports),
 			Recovery: s.recovery.mean.String(),
 		})
 	}
--- a/admission/levels_test.go
+++ b/admission/levels_test.go
@@ -16,11 +16,9 @@
 
 func node(i int) wire.NodeID { return wire.NodeID{byte(i)} }
 
-// The caller sees: whether its request is let in depends on the order of other
-// requests instead of on its worth. Random words of random nodes are learned;
-// at any time the oracle sorts all priorities that are offered, and those let
-// in must be exactly the upper end.
-func TestLevelsKeepTheOrder(t *testing.T) {
+// Guards against admission that depends on the order of arrival: at any time the
+// admitted priorities must be exactly the upper end of those offered.
+func TestLevelsAdmitInOrderOfPriority(t *testing.T) {
 	services := []string{"a", "b", "c"}
 	proptest.Check(t, func(r *rapid.T) {
 		l := NewLevels(DefaultLevelsConfig(), NewNews(NewsConfig{}), 1)
@@ -28,8 +26,8 @@
 		for range rapid.IntRange(1, 40).Draw(r, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(r, "ms")) * time.Millisecond)
 			name := rapid.SampledFrom(services).Draw(r, "service")
-			word := rapid.Uint16().Draw(r, "level")
-			l.Learn(now, name, node(rapid.IntRange(1, 4).Draw(r, "node")), word)
+			level := rapid.Uint16().Draw(r, "level")
+			l.Learn(now, name, node(rapid.IntRange(1, 4).Draw(r, "node")), level)
 
 			reach := services[:rapid.IntRange(1, len(services)).Draw(r, "reach")]
 			offered := rapid.SliceOfN(rapid.Uint16(), 1, 20).Draw(r, "priorities")
@@ -43,7 +41,7 @@
 				}
 				most = max(most, int(p))
 				if after <= 0 {
-					r.Fatalf("refused without a time to come back")
+					r.Fatalf("refused without a Retry-After time")
 				}
 			}
 			if int(least) < most {
@@ -53,11 +51,9 @@
 	})
 }
 
-// The caller sees: all of a service refused because one of its five backend
-// servers is slow, or refused for good because nothing is admitted that could
-// bring better news. One straggler of five must not close the service; when all
-// five are closed it must be; and without news it must open within a second.
-func TestLevelsStragglerAndSilence(t *testing.T) {
+// Guards against a service that is closed by one slow node of five, and against a level
+// that stays in force without further reports.
+func TestOneSlowNodeDoesNotCloseService(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultLevelsConfig()
 	l := NewLevels(cfg, NewNews(NewsConfig{}), 1)
@@ -87,10 +83,9 @@
 	is.True(ok)
 }
 
-// The caller sees: requests refused for a service that has recovered, because
-// the node at the entry keeps hearing its own old word. A reply that no longer
-// names a service takes its level back, and only services below are passed on.
-func TestLevelsForgetAndPassOn(t *testing.T) {
+// Guards against refusals for a service that has recovered: a reply that no longer
+// names it resets its level, and only services below are forwarded.
+func TestRecoveredServiceIsAdmitted(t *testing.T) {
 	is := is.New(t)
 	l := NewLevels(DefaultLevelsConfig(), NewNews(NewsConfig{}), 1)
 	l.PassOn([]string{"fieldlog", "stationlog"})
@@ -102,10 +97,8 @@
 	is.Equal(l.Level(start, "alertdesk"), uint16(0))
 }
 
-// The caller sees: a node out of memory after a day of replaced instances, or
-// because a faulty peer names a new service each time; or a service that can no
-// longer be learned because of such names. Only the latest nodes are kept, and
-// names that are not heard again make room.
+// Guards against unbounded memory for replaced instances and invented service names,
+// and against such names blocking a real service.
 func TestLevelsStayBounded(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultLevelsConfig()
--- a/admission/news.go
+++ b/admission/news.go
@@ -9,22 +9,23 @@
 	"github.com/cassialoom/cassialoom/call"
 )
 
-// NewsConfig of News. The zero value takes in and tells nothing.
+// NewsConfig configures News. With the zero value, News neither accepts nor publishes
+// anything.
 type NewsConfig struct {
-	// Interval is the time between two rounds of gossip. It is short against the
-	// time in which a level settles, one second.
+	// Interval is the time between two rounds of gossip. It is shorter than the time in
+	// which a level settles.
 	Interval time.Duration
-	// Words is the number of replies that a node must have had from a service's
-	// own nodes in an interval to speak for the service: those of a few of its
-	// nodes alone would stand for all.
+	// Words is the number of replies that a node must have received from a service's
+	// own nodes in one interval to publish the level of the service. Fewer replies may
+	// come from a few nodes that don't represent the service.
 	Words int
-	// Fresh is how long news holds: several intervals, since a node may be missed
-	// by a few rounds in a row.
+	// Fresh is how long a level is valid: several intervals, since random gossip may
+	// miss a node for some rounds in a row.
 	Fresh time.Duration
-	// Linger is how long a level is told on after it fell to zero: the others
-	// hear of that, too, before they fall back on older words.
+	// Linger is how long a level is published after it fell to zero, so that other
+	// nodes receive the zero before they fall back to older reports.
 	Linger time.Duration
-	// Services bounds those that are known.
+	// Services bounds the number of services remembered.
 	Services int
 }
 
@@ -39,98 +40,99 @@
 	}
 }
 
-// News is the gossip of nodes about the levels of services, besides what comes with
-// replies.
+// News spreads the levels of services from node to node by gossip, in addition to the
+// levels that replies carry.
 //
-// The load that it answers: a service deep in the graph is short, and requests enter
-// at hundreds of nodes. Each has a few replies a second, which passed through a
-// chain of nodes with a few replies a second of their own; what they say of the deep
-// service is a second old and differs from node to node. By then its queues hold
-// several times what they should, and requests that were let in fail under way. Those
-// that call the service itself hear of it a hundred times a second.
-// They tell a few peers, who tell others, the latest word only: all of some hundred
-// nodes have it within three intervals, of thousands within six, and a node sends as
-// many messages at any size of the fleet.
+// It handles overload deep in the graph when requests enter at hundreds of nodes. An
+// entry node receives few replies, each forwarded through several nodes, so what it
+// knows of the deep service is late and differs from node to node; it would admit
+// requests that fail at the deep service after work was spent on them. The nodes that
+// call the deep service directly receive its level often. They publish it to a few
+// peers, which publish the latest level further. The rounds needed grow with the
+// logarithm of the number of nodes, and the messages sent by each node do not grow.
 //
-// The time of a word is that of the nodes that heard the service itself. So no word
-// becomes newer by going round. It is not safe for concurrent use.
+// Each level carries the time at which it was observed at the service itself, so
+// forwarding does not make it newer. News is not safe for concurrent use.
 type News struct {
 	cfg      NewsConfig
-	services map[string]*headline
+	services map[string]*gossipEntry
 }
 
-// headline is the latest word about one service.
-type headline struct {
+// gossipEntry is the latest level of one service.
+type gossipEntry struct {
 	level uint16
-	// at is when nodes that heard the service itself said so.
-	at time.Time
-	// above is when the level was last above zero.
-	above time.Time
+	// observedAt is when a node that calls the service directly observed the level.
+	observedAt time.Time
+	// lastNonZero is when a level above zero was last received.
+	lastNonZero time.Time
 }
 
-// NewNews returns News that knows nothing.
+// NewNews returns an empty News.
 func NewNews(cfg NewsConfig) *News {
-	return &News{cfg: cfg, services: make(map[string]*headline)}
+	return &News{cfg: cfg, services: make(map[string]*gossipEntry)}
 }
 
-// Level returns the latest word about a service, if it is fresh.
+// Level returns the latest level of a service, and false if none is fresh.
 func (n *News) Level(now time.Time, service string) (uint16, bool) {
-	h := n.services[service]
-	if h == nil || now.Sub(h.at) > n.cfg.Fresh {
+	e := n.services[service]
+	if e == nil || now.Sub(e.observedAt) > n.cfg.Fresh {
 		return 0, false
 	}
-	return h.level, true
+	return e.level, true
 }
 
-// Hear takes what another node tells.
-func (n *News) Hear(now time.Time, told []call.LevelNews) {
-	for _, t := range told {
-		n.note(now, t.Service, t.Priority, now.Add(-time.Duration(t.AgeMillis)*time.Millisecond))
+// Hear records the levels that another node published.
+func (n *News) Hear(now time.Time, levels []call.LevelNews) {
+	for _, t := range levels {
+		n.record(now, t.Service, t.Priority, now.Add(-time.Duration(t.AgeMillis)*time.Millisecond))
 	}
 }
 
-// note takes a word of a time; an older one than is known changes nothing.
-func (n *News) note(now time.Time, service string, level uint16, at time.Time) {
-	if now.Sub(at) > n.cfg.Fresh {
+// record stores a level observed at a time, unless it is too old or a newer one is
+// known.
+func (n *News) record(now time.Time, service string, level uint16, observedAt time.Time) {
+	if now.Sub(observedAt) > n.cfg.Fresh {
 		return
 	}
-	h := n.services[service]
-	if h == nil {
+	e := n.services[service]
+	if e == nil {
 		if len(n.services) >= n.cfg.Services {
-			n.forget(now)
+			n.removeExpired(now)
 		}
 		if len(n.services) >= n.cfg.Services {
 			return
 		}
-		h = &headline{}
-		n.services[service] = h
+		e = &gossipEntry{}
+		n.services[service] = e
 	}
-	if !at.After(h.at) {
+	if !observedAt.After(e.observedAt) {
 		return
 	}
-	h.level, h.at = level, at
+	e.level, e.observedAt = level, observedAt
 	if level > 0 {
-		h.above = now
+		e.lastNonZero = now
 	}
 }
 
-func (n *News) forget(now time.Time) {
-	for service, h := range n.services {
-		if now.Sub(h.at) > n.cfg.Fresh {
+// removeExpired removes services whose level is no longer fresh.
+func (n *News) removeExpired(now time.Time) {
+	for service, e := range n.services {
+		if now.Sub(e.observedAt) > n.cfg.Fresh {
 			delete(n.services, service)
 		}
 	}
 }
 
-// Tell returns what to tell other nodes now; nothing while all is well.
+// Tell returns the levels to publish to other nodes, ordered by service. It is empty
+// while no service is or recently was overloaded.
 func (n *News) Tell(now time.Time) []call.LevelNews {
 	var out []call.LevelNews
-	for service, h := range n.services {
-		age := now.Sub(h.at)
-		if age > n.cfg.Fresh || now.Sub(h.above) > n.cfg.Linger {
+	for service, e := range n.services {
+		age := now.Sub(e.observedAt)
+		if age > n.cfg.Fresh || now.Sub(e.lastNonZero) > n.cfg.Linger {
 			continue
 		}
-		out = append(out, call.LevelNews{Service: service, Priority: h.level, AgeMillis: uint16(min(age.Milliseconds(), math.MaxUint16))})
+		out = append(out, call.LevelNews{Service: service, Priority: e.level, AgeMillis: uint16(min(age.Milliseconds(), math.MaxUint16))})
 	}
 	slices.SortFunc(out, func(a, b call.LevelNews) int { return cmp.Compare(a.Service, b.Service) })
 	return out
--- a/admission/news_test.go
+++ b/admission/news_test.go
@@ -11,107 +11,107 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// crowd is a fleet whose nodes tell each other levels, in modelled time. The first
-// sources of them hear the service itself.
-type crowd struct {
+// fleet is a number of nodes that gossip in simulated time. The first sources of them
+// observe the service directly.
+type fleet struct {
 	rng     *rand.Rand
 	now     time.Time
 	nodes   []*News
 	sources int
-	told    int
+	// published counts the messages sent.
+	published int
 }
 
-func newCrowd(nodes, sources int) *crowd {
-	c := &crowd{rng: rand.New(rand.NewPCG(1, 2)), now: start, sources: sources}
+func newFleet(nodes, sources int) *fleet {
+	f := &fleet{rng: rand.New(rand.NewPCG(1, 2)), now: start, sources: sources}
 	for range nodes {
-		c.nodes = append(c.nodes, NewNews(DefaultNewsConfig()))
+		f.nodes = append(f.nodes, NewNews(DefaultNewsConfig()))
 	}
-	return c
+	return f
 }
 
-// round is one interval; each node tells three others.
-func (c *crowd) round(level uint16) {
+// round runs one gossip interval, in which the sources observe the given level.
+func (f *fleet) round(level uint16) {
 	const fanOut = 3
-	c.now = c.now.Add(DefaultNewsConfig().Interval)
-	for _, n := range c.nodes[:c.sources] {
-		n.note(c.now, "deep", level, c.now)
+	f.now = f.now.Add(DefaultNewsConfig().Interval)
+	for _, n := range f.nodes[:f.sources] {
+		n.record(f.now, "deep", level, f.now)
 	}
-	for _, n := range c.nodes {
-		told := n.Tell(c.now)
-		if len(told) == 0 {
+	for _, n := range f.nodes {
+		published := n.Tell(f.now)
+		if len(published) == 0 {
 			continue
 		}
 		for range fanOut {
-			c.told++
-			c.nodes[c.rng.IntN(len(c.nodes))].Hear(c.now, told)
+			f.published++
+			f.nodes[f.rng.IntN(len(f.nodes))].Hear(f.now, published)
 		}
 	}
 }
 
-func (c *crowd) know(level uint16) (n int) {
-	for _, node := range c.nodes {
-		if known, ok := node.Level(c.now, "deep"); ok && known == level {
+func (f *fleet) countInformed(level uint16) (n int) {
+	for _, node := range f.nodes {
+		if known, ok := node.Level(f.now, "deep"); ok && known == level {
 			n++
 		}
 	}
 	return n
 }
 
-// A deep service becomes short. Twenty nodes call it; the requests enter at all 194,
-// few of which have a reply from there in a second. They know its level after three
-// rounds, of 3,500 nodes after six, and nobody tells anything before or long after.
-func TestNewsReachesEveryNode(t *testing.T) {
+// Guards against gossip that leaves nodes uninformed about a deep service after a few
+// rounds, or that sends messages without overload.
+func TestGossipReachesEveryNode(t *testing.T) {
 	is := is.New(t)
 	for nodes, rounds := range map[int]int{60: 3, 194: 3, 3500: 6} {
-		c := newCrowd(nodes, 20)
+		f := newFleet(nodes, 20)
 		for range 10 {
-			c.round(0)
+			f.round(0)
 		}
-		is.Equal(c.told, 0)
+		is.Equal(f.published, 0)
 		for range rounds {
-			c.round(30000)
+			f.round(30000)
 		}
-		t.Log(nodes, rounds, c.know(30000))
-		is.True(c.know(30000) > nodes*95/100)
+		t.Log(nodes, rounds, f.countInformed(30000))
+		is.True(f.countInformed(30000) > nodes*95/100)
 		for range 40 {
-			c.round(0)
+			f.round(0)
 		}
-		c.told = 0
-		c.round(0)
-		is.Equal(c.told, 0)
+		f.published = 0
+		f.round(0)
+		is.Equal(f.published, 0)
 	}
 }
 
-// The nodes that hear the service are gone. What the others go on telling each other
-// must not keep its level in force: no word becomes newer by going round.
-func TestNewsFadesWithoutSources(t *testing.T) {
+// Guards against gossip that renews itself: without nodes that observe the service, its
+// level expires.
+func TestGossipExpiresWithoutSources(t *testing.T) {
 	is := is.New(t)
-	c := newCrowd(194, 20)
+	f := newFleet(194, 20)
 	for range 10 {
-		c.round(30000)
+		f.round(30000)
 	}
-	is.True(c.know(30000) > 185)
-	c.sources = 0
+	is.True(f.countInformed(30000) > 185)
+	f.sources = 0
 	for range DefaultNewsConfig().Fresh/DefaultNewsConfig().Interval + 1 {
-		c.round(0)
+		f.round(0)
 	}
-	is.Equal(c.know(30000), 0)
+	is.Equal(f.countInformed(30000), 0)
 }
 
-// A word that comes late, after a newer one, changes nothing; neither does one that
-// is too old, nor one about more services than a node remembers.
-func TestNewsTakesTheLatestWord(t *testing.T) {
+// Guards against levels that arrive late replacing newer ones, levels that are too old,
+// and unbounded memory for services.
+func TestLateGossipDoesNotReplaceNewer(t *testing.T) {
 	is := is.New(t)
 	n := NewNews(DefaultNewsConfig())
-	hear := func(level, age uint16) {
+	receive := func(level, age uint16) {
 		n.Hear(start, []call.LevelNews{{Service: "deep", Priority: level, AgeMillis: age}})
 	}
 	level := func() uint16 { l, _ := n.Level(start, "deep"); return l }
-	hear(10, 5000)
+	receive(10, 5000)
 	is.Equal(level(), uint16(0))
-	hear(10, 300)
-	hear(20, 100)
-	hear(30, 200)
+	receive(10, 300)
+	receive(20, 100)
+	receive(30, 200)
 	is.Equal(level(), uint16(20))
 	for i := range 1000 {
 		n.Hear(start, []call.LevelNews{{Service: string(rune('a' + i)), Priority: 1}})
@@ -120,10 +120,9 @@
 	is.Equal(level(), uint16(20))
 }
 
-// A node at which requests enter has a reply in a second, which passed on what was
-// true a second ago. The news counts; a node that calls the service itself trusts
-// what it hears there.
-func TestNewsGoesBeforeWordsPassedOn(t *testing.T) {
+// Guards against old forwarded levels taking precedence over gossip, and gossip over
+// frequent replies of the service's own nodes.
+func TestGossipTakesPrecedenceOverForwardedLevels(t *testing.T) {
 	is := is.New(t)
 	news := NewNews(DefaultNewsConfig())
 	entry := NewLevels(DefaultLevelsConfig(), news, 1)
@@ -135,7 +134,7 @@
 	is.Equal(entry.Level(now, "deep"), uint16(30000))
 	is.Equal(entry.Level(now, "other"), uint16(0))
 	fresh := NewLevels(DefaultLevelsConfig(), news, 1)
-	is.Equal(fresh.Level(now, "deep"), uint16(30000)) // also before any reply
+	is.Equal(fresh.Level(now, "deep"), uint16(30000)) // without any reply
 
 	for i := range DefaultNewsConfig().Words {
 		entry.Heard(now, "deep", wire.NodeID{byte(i)}, []call.Level{{Service: "deep", Priority: 20000}})
@@ -143,7 +142,7 @@
 	entry.Speak(now)
 	is.Equal(entry.Level(now, "deep"), uint16(20000))
 	now = now.Add(100 * time.Millisecond)
-	entry.Speak(now) // it heard nothing meanwhile
+	entry.Speak(now) // without replies since the last call
 	told, ok := news.Level(now, "deep")
 	is.True(ok)
 	is.Equal(told, uint16(20000))
--- a/admission/outlook.go
+++ b/admission/outlook.go
@@ -7,36 +7,35 @@
 	"time"
 )
 
-// OutlookConfig of an Outlook. The zero value defers nothing.
+// OutlookConfig configures an Outlook. With the zero value, nothing is deferred.
 type OutlookConfig struct {
-	// Poor is the share of successes below which requests are deferred. With
-	// one in four or less, a caller that can still come back does better than
-	// one that is tried now.
+	// Poor is the success rate below which requests are deferred: a caller that can
+	// still retry then does better to wait.
 	Poor float64
-	// Memory is the half-life of what was seen: short against the troubles that
-	// callers can wait out.
+	// Memory is the half-life of recorded outcomes. It is shorter than the failures
+	// that callers can wait out.
 	Memory time.Duration
-	// Samples is the number of ended requests, faded, that make an outlook.
+	// Samples is the least number of completed requests, decayed, on which a decision
+	// is based.
 	Samples float64
-	// Early is the share of its time that a request must have left to be
-	// deferred. A caller that waits for a third of what it has left is deferred
-	// once with three quarters; deferred twice, one that comes back no more
-	// than once would never be tried.
+	// Early is the least remaining deadline for a request to be deferred, as a share of
+	// the longest recent one of its route. It is high enough that a caller is deferred only once: after two
+	// deferrals, a caller that retries only once would never be tried.
 	Early float64
-	// WaitMin and WaitMax bound the time to come back as shares of what is
-	// left.
+	// WaitMin and WaitMax bound the proposed Retry-After time as shares of the
+	// remaining deadline.
 	WaitMin, WaitMax float64
-	// Routes bounds the routes that are watched.
+	// Routes bounds the number of routes that are tracked.
 	Routes int
 }
 
-// DefaultOutlookConfig returns the settings of a node on the platform, whose
-// callers wait for at most a third of what they have left.
+// DefaultOutlookConfig returns the settings of a node on the platform, whose callers
+// wait for at most a third of their remaining deadline.
 func DefaultOutlookConfig() OutlookConfig {
 	return OutlookConfig{
 		Poor:    0.25,
 		Memory:  time.Second,
-		Samples: 4, // what six requests a second leave
+		Samples: 4,
 		Early:   0.75,
 		WaitMin: 0.2,
 		WaitMax: 1.0 / 3,
@@ -44,115 +43,116 @@
 	}
 }
 
-// Outlook watches how the requests of each route end that were admitted here, and
-// defers new ones while hardly any ends well: the caller is told that its request
-// has not run and when to come back.
+// Outlook tracks the route health: the recent success rate of the requests of each
+// route that were admitted at this node. It defers new requests of a route while nearly
+// all fail: the caller is told that its request has not run and when to retry.
 //
-// The failure that it answers: a service deep in the graph turns away half of its
-// calls, whatever the load. A request that needs eight of them fails after all the
-// work above was done, and a caller whose request is not idempotent may not send
-// it again. Deferred, it comes back to a service that may be well by then; when its
-// time grows short it is tried in any case, which also shows when the trouble is
-// over. It is not safe for concurrent use.
+// This handles failures of a service deep in the graph that don't depend on load. A
+// request that needs several calls there fails after work was spent on it, and if it is
+// not idempotent its caller may not send it again. A deferred request may be retried
+// after the service has recovered. A request with little time remaining is tried in any
+// case, which also detects the recovery. An Outlook is not safe for concurrent use.
 type Outlook struct {
 	cfg    OutlookConfig
 	rng    *rand.Rand
-	routes map[string]*course
+	routes map[string]*routeHealth
 }
 
-// course is how the requests of one route went lately.
-type course struct {
-	at          time.Time
-	good, ended float64
-	// patience is the longest time that callers of the route had lately.
-	patience   time.Duration
-	patienceAt time.Time
+// routeHealth holds the recent outcomes of the requests of one route.
+type routeHealth struct {
+	updatedAt             time.Time
+	successful, completed float64
+	// remaining is the longest remaining deadline of a recent request of the route,
+	// received at remainingAt.
+	remaining   time.Duration
+	remainingAt time.Time
 }
 
-// patienceFor is how long the longest patience of a route's callers is remembered:
-// many requests of a rare route.
-const patienceFor = 10 * time.Second
+// remainingTTL is how long the longest remaining deadline of a route is remembered:
+// long enough to see many requests of a rarely used route.
+const remainingTTL = 10 * time.Second
 
-// NewOutlook returns an Outlook that has seen nothing. The seed spreads the times to
-// come back.
+// NewOutlook returns an Outlook without recorded outcomes. The seed randomizes
+// Retry-After times.
 func NewOutlook(cfg OutlookConfig, seed uint64) *Outlook {
-	return &Outlook{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 3)), routes: make(map[string]*course)}
+	return &Outlook{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 3)), routes: make(map[string]*routeHealth)}
 }
 
-// Ended notes how a request of the route ended that was tried.
-func (o *Outlook) Ended(now time.Time, route string, good bool) {
-	c := o.course(now, route)
-	if c == nil {
+// Ended records whether an admitted request of the route succeeded.
+func (o *Outlook) Ended(now time.Time, route string, successful bool) {
+	h := o.routeHealth(now, route)
+	if h == nil {
 		return
 	}
-	c.fade(now, o.cfg.Memory)
-	c.ended++
-	if good {
-		c.good++
+	h.decay(now, o.cfg.Memory)
+	h.completed++
+	if successful {
+		h.successful++
 	}
 }
 
-// Defer reports whether a request of the route should come back later, and when.
-// patience is the time that its caller has left, zero if it does not say: such a
+// Defer reports whether the caller should retry a request of the route later, and after
+// what time. remaining is the caller's remaining deadline, zero if it has none; such a
 // request is always tried.
-func (o *Outlook) Defer(now time.Time, route string, patience time.Duration) (after time.Duration, yes bool) {
-	c := o.course(now, route)
-	if c == nil || patience <= 0 {
+func (o *Outlook) Defer(now time.Time, route string, remaining time.Duration) (after time.Duration, deferred bool) {
+	h := o.routeHealth(now, route)
+	if h == nil || remaining <= 0 {
 		return 0, false
 	}
-	c.expect(now, patience)
-	c.fade(now, o.cfg.Memory)
-	if c.ended < o.cfg.Samples || c.good >= o.cfg.Poor*c.ended {
+	h.recordRemaining(now, remaining)
+	h.decay(now, o.cfg.Memory)
+	if h.completed < o.cfg.Samples || h.successful >= o.cfg.Poor*h.completed {
 		return 0, false
 	}
-	if float64(patience) < o.cfg.Early*float64(c.patience) {
+	if float64(remaining) < o.cfg.Early*float64(h.remaining) {
 		return 0, false
 	}
 	share := o.cfg.WaitMin + (o.cfg.WaitMax-o.cfg.WaitMin)*o.rng.Float64()
-	return time.Duration(share * float64(patience)), true
+	return time.Duration(share * float64(remaining)), true
 }
 
-// course finds what is known of a route; nil if it is not watched.
-func (o *Outlook) course(now time.Time, route string) *course {
+// routeHealth returns what is recorded for a route, and nil if the route is not tracked.
+func (o *Outlook) routeHealth(now time.Time, route string) *routeHealth {
 	if o.cfg.Poor == 0 {
 		return nil
 	}
-	c, ok := o.routes[route]
+	h, ok := o.routes[route]
 	if ok {
-		return c
+		return h
 	}
-	if !o.room(now) {
+	if !o.hasCapacity(now) {
 		return nil
 	}
-	c = &course{at: now}
-	o.routes[route] = c
-	return c
+	h = &routeHealth{updatedAt: now}
+	o.routes[route] = h
+	return h
 }
 
-// room makes place for another route, if need be by forgetting those that nothing
-// was heard of.
-func (o *Outlook) room(now time.Time) bool {
+// hasCapacity reports whether another route can be tracked. If the bound is reached, it
+// first removes routes without recent requests.
+func (o *Outlook) hasCapacity(now time.Time) bool {
 	if len(o.routes) < o.cfg.Routes {
 		return true
 	}
-	maps.DeleteFunc(o.routes, func(_ string, c *course) bool { return now.Sub(c.at) > patienceFor })
+	maps.DeleteFunc(o.routes, func(_ string, h *routeHealth) bool { return now.Sub(h.updatedAt) > remainingTTL })
 	return len(o.routes) < o.cfg.Routes
 }
 
-// expect notes the patience of one caller.
-func (c *course) expect(now time.Time, patience time.Duration) {
-	if patience >= c.patience || now.Sub(c.patienceAt) > patienceFor {
-		c.patience, c.patienceAt = patience, now
+// recordRemaining records the remaining deadline of one request.
+func (h *routeHealth) recordRemaining(now time.Time, remaining time.Duration) {
+	if remaining >= h.remaining || now.Sub(h.remainingAt) > remainingTTL {
+		h.remaining, h.remainingAt = remaining, now
 	}
 }
 
-func (c *course) fade(now time.Time, halfLife time.Duration) {
-	passed := now.Sub(c.at)
-	if passed <= 0 {
+// decay reduces the weight of earlier outcomes by the time elapsed.
+func (h *routeHealth) decay(now time.Time, halfLife time.Duration) {
+	elapsed := now.Sub(h.updatedAt)
+	if elapsed <= 0 {
 		return
 	}
-	c.at = now
-	left := math.Exp2(-passed.Seconds() / halfLife.Seconds())
-	c.good *= left
-	c.ended *= left
+	h.updatedAt = now
+	factor := math.Exp2(-elapsed.Seconds() / halfLife.Seconds())
+	h.successful *= factor
+	h.completed *= factor
 }
--- a/admission/priority.go
+++ b/admission/priority.go
@@ -1,12 +1,12 @@
-// Package admission decides which requests are let in while load must be shed.
+// Package admission decides which requests are admitted under overload.
 //
-// Each request has a priority: its importance, then a hash of its id, so that
-// all calls of one request fare alike at every service. A Gate sets the level
-// of one node, the least priority that it admits, from what its queue had to
-// shed. The level travels back on every reply; Levels is what a node has learned
-// about the services that a request will reach, and refuses at entry, before
-// work is spent. A level is one threshold, so at one place and time nothing is
-// refused while something less important is admitted.
+// Each request has a priority: its importance, then a hash of its id, so that all calls
+// of one request are treated alike by every service. A Gate sets the admission level of
+// one node, the least priority that it admits, from the state of its queue. Every reply
+// carries the level back to the caller's node. Levels holds the levels of the services
+// that a request will reach, and rejects a request at its entry node, before work is
+// spent on it. A level is one threshold, so at one place and time nothing is refused
+// while something less important is admitted.
 package admission
 
 import (
@@ -19,12 +19,12 @@
 const HashBits = 14
 
 const (
-	band     = 1 << HashBits
-	hashMask = band - 1
+	importanceRange = 1 << HashBits
+	hashMask        = importanceRange - 1
 )
 
-// Priority of a request. Within one importance the hash spreads requests
-// evenly, so that a level can admit any share of them.
+// Priority returns the priority of a request. Within one importance the hash spreads
+// requests evenly, so that a level can admit any share of them.
 func Priority(imp importance.Importance, requestID string) uint16 {
 	if imp >= importance.Count {
 		imp = importance.Count - 1
@@ -33,7 +33,7 @@
 	return uint16(imp)<<HashBits | hash
 }
 
-// Importance is the importance that a priority belongs to.
+// Importance returns the importance encoded in a priority.
 func Importance(priority uint16) importance.Importance {
 	return importance.Importance(priority >> HashBits)
 }
--- a/admission/recovery.go
+++ b/admission/recovery.go
@@ -5,39 +5,42 @@
 	"time"
 )
 
-// recovery measures how long a level stays above zero.
+// recovery measures how long overload lasts, that is, how long a level stays above
+// zero.
 type recovery struct {
-	raised time.Time
-	mean   time.Duration
+	// overloadedSince is zero while the level is zero.
+	overloadedSince time.Time
+	// mean is the moving average of earlier overloads.
+	mean time.Duration
 }
 
-// follow notes whether the level is above zero.
-func (r *recovery) follow(now time.Time, above bool) {
+// update records whether the level is above zero.
+func (r *recovery) update(now time.Time, overloaded bool) {
 	switch {
-	case above && r.raised.IsZero():
-		r.raised = now
-	case !above && !r.raised.IsZero():
-		r.add(now.Sub(r.raised))
-		r.raised = time.Time{}
+	case overloaded && r.overloadedSince.IsZero():
+		r.overloadedSince = now
+	case !overloaded && !r.overloadedSince.IsZero():
+		r.add(now.Sub(r.overloadedSince))
+		r.overloadedSince = time.Time{}
 	}
 }
 
-func (r *recovery) add(took time.Duration) {
-	const memory = 4
+func (r *recovery) add(duration time.Duration) {
+	const smoothing = 4
 	if r.mean == 0 {
-		r.mean = took
+		r.mean = duration
 	}
-	r.mean += (took - r.mean) / memory
+	r.mean += (duration - r.mean) / smoothing
 }
 
-// retryAfter is the time that recovery took before, less what has passed of it;
-// beyond that, half as long again as it has already lasted. The jitter keeps
-// refused callers from coming back together.
-func (r *recovery) retryAfter(now time.Time, least, most time.Duration, rng *rand.Rand) time.Duration {
-	lasted := time.Duration(0)
-	if !r.raised.IsZero() {
-		lasted = now.Sub(r.raised)
+// retryAfter returns the mean duration of earlier overloads less the time elapsed in
+// this one, or half of the elapsed time if that is more. Jitter keeps refused callers
+// from retrying together.
+func (r *recovery) retryAfter(now time.Time, minDelay, maxDelay time.Duration, rng *rand.Rand) time.Duration {
+	elapsed := time.Duration(0)
+	if !r.overloadedSince.IsZero() {
+		elapsed = now.Sub(r.overloadedSince)
 	}
-	left := min(max(r.mean-lasted, lasted/2, least), most)
-	return left/2 + time.Duration(rng.Int64N(int64(left)))
+	remaining := min(max(r.mean-elapsed, elapsed/2, minDelay), maxDelay)
+	return remaining/2 + time.Duration(rng.Int64N(int64(remaining)))
 }
