--- a/limit/config.go
+++ b/limit/config.go
@@ -2,73 +2,71 @@
 
 import "time"
 
-// Config of a Limiter. All shares are fractions of one.
+// Config configures a Limiter. All shares are fractions of one.
 type Config struct {
-	// Initial is the limit before anything was measured: the slots of a
-	// small backend server, so that a cold one is not flooded.
+	// Initial is the limit before anything is measured: low enough not to flood a
+	// backend server that has just started.
 	Initial int
-	// Min is the least limit. One call in flight is what it takes to notice
-	// that the backend server has recovered.
+	// Min is the least limit. One call in flight is enough to detect that the backend
+	// server has recovered.
 	Min int
-	// Max bounds the limit, and so what a wrong measurement can do.
+	// Max bounds the limit in case of wrong measurements.
 	Max int
-	// Window is the shortest time over which the load is measured. A window
-	// also spans WindowLatencies mean latencies and WindowCalls calls.
+	// Window is the least duration of a measurement window. A window also spans
+	// WindowLatencies mean latencies and WindowCalls calls.
 	Window time.Duration
-	// WindowMax ends a window that sees too few calls, so that a slow
-	// backend server is still judged.
+	// WindowMax ends a window with fewer calls, so that a slow backend server is still
+	// measured.
 	WindowMax time.Duration
-	// WindowCalls is the number of calls that make a mean latency usable:
-	// 60 calls with exponential latencies are known to about 13%.
+	// WindowCalls is the number of calls in a window that make its mean latency precise
+	// enough.
 	WindowCalls int
-	// WindowLatencies is the least length of a window in mean latencies.
+	// WindowLatencies is the least duration of a window as a multiple of the mean
+	// latency.
 	WindowLatencies float64
-	// Headroom times the square root of the measured concurrency is what
-	// the limit stands above it: enough to find more slots, and about the
-	// size of the measurement's own noise.
+	// Headroom times the square root of the measured concurrency is how far the limit
+	// stands above it: enough to find more slots, and about the noise of the
+	// measurement.
 	Headroom float64
-	// MaxGrowth is the factor by which the limit grows in one window at most.
+	// MaxGrowth is the greatest factor by which the limit grows in one window.
 	MaxGrowth float64
-	// Tolerance is by how much the latency may exceed the floor. Noise is
-	// added to it, over the square root of the calls in the window, so that
-	// a few slow calls at a small backend server are not taken for a queue.
+	// Tolerance is the share by which the latency may exceed the floor. Noise divided
+	// by the square root of the calls in the window is added to it, so that a few slow
+	// calls at a small backend server are not taken for queueing.
 	Tolerance, Noise float64
-	// Jump is the ratio of latency to floor from which the limit is not
-	// trimmed but an experiment decides between a queue and a new floor.
+	// Jump is the ratio of latency to floor above which an experiment decides between
+	// queueing and a new floor. Below it the limit is reduced directly.
 	Jump float64
-	// CutTo is the share of the calls in flight that an experiment leaves: the
-	// difference must stand out from the noise of TestCalls calls.
+	// CutTo is the share of the calls in flight that remains in an experiment. The cut
+	// must be large enough for its effect to exceed the noise of TestCalls calls.
 	CutTo float64
-	// Unqueued is the elasticity of the latency up to which no call queued
-	// before an experiment, Queued that from which calls still queue after
-	// it.
+	// Unqueued is the elasticity of the latency below which no call queued before the
+	// experiment. Queued is the elasticity from which calls still queue after it.
 	Unqueued, Queued float64
-	// TestCalls is the number of calls after a cut that decide.
+	// TestCalls is the number of calls measured after the cut of an experiment.
 	TestCalls int
-	// RecheckAfter is how long the limit may be in use before the floor is
-	// measured again with fewer calls in flight. It doubles up to
-	// RecheckMax while the check finds nothing.
+	// RecheckAfter is how long the limit may be in use before an experiment checks the
+	// floor again. The time doubles up to RecheckMax while the floor proves right.
 	RecheckAfter, RecheckMax time.Duration
-	// LowUse is the share of the limit up to which calls in flight are held
-	// to meet no queue, so that their latency is the floor. The limit may
-	// stand too high by half after it has grown.
+	// LowUse is the share of the limit up to which calls in flight are assumed not to
+	// queue, so that their latency updates the floor. It leaves a margin for a limit
+	// that has grown too high.
 	LowUse float64
 	// FloorCalls is the number of calls over which a floor is averaged.
 	FloorCalls int
-	// Classes bounds the number of classes with a floor of their own; the
-	// rest share one.
+	// Classes bounds the number of classes with their own floor. All others share one.
 	Classes int
-	// RefusedShare is the share of refused calls that counts as overload, and
-	// RefusedTo the share of the calls in flight without them that is left.
+	// RefusedShare is the share of refused calls that counts as overload. RefusedTo is
+	// the new limit as a share of the calls in flight that were not refused.
 	RefusedShare, RefusedTo float64
-	// HoldMin and HoldMax bound the time for which the limit does not grow
-	// after the backend server refused calls; it doubles each time and is
-	// halved by each growth that leads to no refusal.
+	// HoldMin and HoldMax bound the time in which the limit does not grow after the
+	// backend server refused calls. The time doubles with each overload, and decreases
+	// with each growth.
 	HoldMin, HoldMax time.Duration
 }
 
-// DefaultConfig suits backend servers of 5 to 500 slots and calls of 1 ms to
-// 1 s.
+// DefaultConfig returns settings for backend servers of 5 to 500 slots and calls that
+// take one millisecond to one second.
 func DefaultConfig() Config {
 	return Config{
 		Initial:         20,
--- a/limit/experiment.go
+++ b/limit/experiment.go
@@ -5,108 +5,109 @@
 	"time"
 )
 
+// phase is the state of an experiment.
 type phase uint8
 
 const (
 	steady phase = iota
-	// settling waits for the calls that began under the old limit.
+	// settling waits until the calls that began under the old limit have ended.
 	settling
-	// measuring sees the effect of an experiment.
+	// measuring measures the effect of an experiment.
 	measuring
 )
 
-// reference is what an experiment is judged against.
+// reference is the state before an experiment, which its result is compared with.
 type reference struct {
-	measure
+	measurement
 	limit float64
-	// refusals says that the cut was made because of refusals.
+	// refusals is set if the limit was cut because of refusals.
 	refusals bool
 	// next is the phase after settling.
 	next phase
 }
 
-// experiment decreases the limit by so much that the latency must show it if
-// calls queue.
-func (l *Limiter) experiment(now time.Time, m measure) {
-	l.ref = reference{measure: m, limit: l.limit}
-	l.set(min(l.limit, m.inFlight) * l.cfg.CutTo)
+// experiment cuts the limit by so much that the latency must fall if calls queue.
+func (l *Limiter) experiment(now time.Time, m measurement) {
+	l.ref = reference{measurement: m, limit: l.limit}
+	l.setLimit(min(l.limit, m.inFlight) * l.cfg.CutTo)
 	l.growth.streak = 0
-	l.settleInto(now, measuring)
+	l.settleThen(now, measuring)
 }
 
-// settleInto waits until the surplus has left and the calls that began beside
-// it have ended.
-func (l *Limiter) settleInto(now time.Time, next phase) {
+// settleThen waits until the calls in flight are within the limit and those that began
+// before have ended, and then starts the next phase.
+func (l *Limiter) settleThen(now time.Time, next phase) {
 	l.phase = settling
 	l.ref.next = next
-	l.settled = now.Add(l.latency)
+	l.settledAt = now.Add(l.latency)
 }
 
+// settle ends the phase settling when it is over.
 func (l *Limiter) settle(now time.Time) {
 	if l.inFlight > l.Limit() {
-		l.settled = now.Add(l.latency)
+		l.settledAt = now.Add(l.latency)
 	}
-	if now.Before(l.settled) {
+	if now.Before(l.settledAt) {
 		return
 	}
 	l.phase = l.ref.next
-	l.restart(now)
+	l.startWindow(now)
 }
 
-// judge compares the measurement after an experiment with the one before. What
-// counts is the elasticity, the share of the decrease that the latency followed.
-// None: no call queued before, and latency above the floor means that the
-// backend server is slower. Without this, each further cut would be answered by
-// the same latency until the limit is at its least. All: calls still queue.
-// Between: the queue has just gone. The floor itself may be wrong and is not
-// asked; unless calls still queue it is set to what was measured.
-func (l *Limiter) judge(now time.Time, m measure) {
+// judge compares the measurement after an experiment with the one before by the
+// elasticity, the share of the cut by which the latency fell. A low elasticity means
+// that no call queued before, so latency above the floor means a slower backend server;
+// further cuts would only close the limit. A high elasticity means that calls still
+// queue. Between them the queue has just drained. The floor may be wrong and is not
+// used here. Unless calls still queue, it is set to the measured latency.
+func (l *Limiter) judge(now time.Time, m measurement) {
 	if l.ref.refusals {
 		l.judgeRefusals(now, m)
 		return
 	}
 	m.ratio = m.ended
-	surprise := math.Abs(m.ratio-1) > l.slack(m)
-	l.schedule(now, surprise)
+	floorWrong := math.Abs(m.ratio-1) > l.slack(m)
+	l.schedule(now, floorWrong)
 	fell, elasticity, ok := l.elasticity(m)
 	switch {
 	case !ok:
-		l.set(l.ref.limit)
+		l.setLimit(l.ref.limit)
 		return
 	case elasticity >= l.cfg.Queued:
 		l.experiment(now, m)
 		return
 	case elasticity >= l.cfg.Unqueued:
 		slots := l.ref.waiting + l.ref.own()*math.Exp(-fell)
-		l.set(min(l.ref.limit, slots+l.room(slots)))
+		l.setLimit(min(l.ref.limit, slots+l.headroom(slots)))
 	default:
-		l.set(l.ref.limit)
+		l.setLimit(l.ref.limit)
 	}
-	if !surprise {
+	if !floorWrong {
 		m.ratio = 1
 	}
 	l.floors.adopt(m.ratio)
 	l.ratio = 1
 }
 
-// elasticity compares how much the latency fell with how much it would have if
-// calls had queued, both as logarithms. It goes by Little's law on both sides:
-// calls that ended tell how many were in flight when they began, and while that
-// grows they make every cut look as if it did nothing. It is false if the calls
-// in flight hardly changed.
-func (l *Limiter) elasticity(m measure) (fell, share float64, ok bool) {
-	const least = 0.15
+// elasticity returns the logarithm by which the latency fell, and its share of the fall
+// expected if calls had queued. Both follow from Little's law and not from the
+// latencies of ended calls: those depend on the calls in flight when they began, so
+// while load grows every cut would seem to have no effect. ok is false if the number of
+// calls in flight hardly changed.
+func (l *Limiter) elasticity(m measurement) (fell, share float64, ok bool) {
+	const minExpected = 0.15
 	fell = math.Log(l.ref.little / m.little)
 	expected := math.Log(l.ref.own() / m.own())
-	return fell, fell / expected, expected >= least
+	return fell, fell / expected, expected >= minExpected
 }
 
-// schedule sets the next experiment: soon if this one found the floor wrong.
-func (l *Limiter) schedule(now time.Time, surprise bool) {
-	l.check.at = now
-	l.check.limit = 0
-	l.check.after = min(2*l.check.after, l.cfg.RecheckMax)
-	if surprise {
-		l.check.after = l.cfg.RecheckAfter
+// schedule sets the time of the next experiment: soon if this one found the floor
+// wrong.
+func (l *Limiter) schedule(now time.Time, floorWrong bool) {
+	l.experiments.lastAt = now
+	l.experiments.limit = 0
+	l.experiments.interval = min(2*l.experiments.interval, l.cfg.RecheckMax)
+	if floorWrong {
+		l.experiments.interval = l.cfg.RecheckAfter
 	}
 }
--- a/limit/floor.go
+++ b/limit/floor.go
@@ -2,88 +2,90 @@
 
 import "time"
 
-// sharedClass collects the classes beyond Config.Classes.
+// sharedClass stands for all classes beyond Config.Classes.
 const sharedClass = ^uint32(0)
 
-// knownCalls is how many calls make the floor of a class known. Until then all
-// its calls are averaged and none counts for the ratio. Of the calls that begin
-// together the short ones end first, so a few would give too low a floor.
+// knownCalls is the number of calls after which the floor of a class is known. Until
+// then its calls don't count for the ratio: of calls that begin together the short ones
+// end first, so a few calls would give too low a floor.
 const knownCalls = 60
 
-// floor is the mean own latency of one class of calls without queueing.
+// floor is the mean own latency of one class of calls without queueing. The own latency
+// is the time at the backend server itself, without downstream calls.
 type floor struct {
 	seconds float64
 	calls   int
-	// recent sums up the own latencies of the current window.
+	// recent is the sum of the own latencies in the current window, in seconds.
 	recent      float64
 	recentCalls float64
 }
 
 func (f *floor) known() bool { return f.calls >= knownCalls }
 
-// mean of the current window, which must have calls of the class.
+// mean returns the mean own latency in the current window, which must have calls of the
+// class.
 func (f *floor) mean() float64 { return f.recent / f.recentCalls }
 
-// floors keeps one floor for each class, so that a change in the mix of cheap
-// and costly calls is not taken for queueing.
+// floors holds one floor for each class, so that a change in the mix of cheap and
+// costly calls is not taken for queueing.
 type floors struct {
-	of    map[uint32]*floor
-	max   int
-	calls int
+	byClass map[uint32]*floor
+	max     int
+	calls   int
 }
 
 func newFloors(cfg Config) floors {
-	return floors{of: make(map[uint32]*floor), max: cfg.Classes, calls: cfg.FloorCalls}
+	return floors{byClass: make(map[uint32]*floor), max: cfg.Classes, calls: cfg.FloorCalls}
 }
 
-// get returns the floor of a class. A new class starts at its first latency
-// without the share that the present ratio puts down to queueing.
+// get returns the floor of a class. A new class starts at the own latency of its first
+// call, corrected for queueing by the present ratio.
 func (f *floors) get(class uint32, own, ratio float64) *floor {
-	if fl, ok := f.of[class]; ok {
+	if fl, ok := f.byClass[class]; ok {
 		return fl
 	}
-	if len(f.of) >= f.max {
+	if len(f.byClass) >= f.max {
 		class = sharedClass
-		if fl, ok := f.of[class]; ok {
+		if fl, ok := f.byClass[class]; ok {
 			return fl
 		}
 	}
 	fl := &floor{seconds: own / max(ratio, 1)}
-	f.of[class] = fl
+	f.byClass[class] = fl
 	return fl
 }
 
-// learn averages a latency that met no queue.
-func (f *floors) learn(fl *floor, own float64) {
+// update averages the own latency of a call that did not queue into a floor.
+func (f *floors) update(fl *floor, own float64) {
 	if fl.calls < f.calls {
 		fl.calls++
 	}
 	fl.seconds += (own - fl.seconds) / float64(fl.calls)
 }
 
-// restart begins a window.
-func (f *floors) restart() {
-	for _, fl := range f.of {
+// startWindow resets the sums of the current window.
+func (f *floors) startWindow() {
+	for _, fl := range f.byClass {
 		fl.recent, fl.recentCalls = 0, 0
 	}
 }
 
-// adopt sets the floors to the current window, in which no call queued. A
-// class that it saw little of follows the ratio of all.
+// adopt sets the floors from the current window, in which no call queued. A class with
+// few calls follows the ratio of all calls.
 func (f *floors) adopt(ratio float64) {
 	const prior = 20
-	for _, fl := range f.of {
+	for _, fl := range f.byClass {
 		fl.seconds = (fl.seconds*ratio*prior + fl.recent) / (prior + fl.recentCalls)
 	}
 }
 
-// balance moves the floors of the classes against each other by a window in
-// which calls may have queued: the ratio leaves their sum as it was. Without
-// it a class that is only seen under load would keep a wrong floor, and a
-// change in the mix would look like a queue.
+// balance adjusts the floors relative to each other by a window in which calls may have
+// queued; dividing by the ratio keeps their weighted sum. Without it a class that is
+// only seen under load would keep a wrong floor, and a change in the mix would look
+// like queueing.
 func (f *floors) balance(ratio float64) {
 	const gain, prior = 0.2, 50
-	for _, fl := range f.of {
+	for _, fl := range f.byClass {
 		if fl.recentCalls == 0 {
 			continue
 		}
@@ -92,17 +94,18 @@
 	}
 }
 
-// scale multiplies every floor: all classes are served by the same slots.
+// scale multiplies every floor, as all classes use the same slots.
 func (f *floors) scale(by float64) {
-	for _, fl := range f.of {
+	for _, fl := range f.byClass {
 		fl.seconds *= by
 	}
 }
 
+// expect returns the floor of a class, and zero if it has none.
 func (f *floors) expect(class uint32) time.Duration {
-	fl, ok := f.of[class]
+	fl, ok := f.byClass[class]
 	if !ok {
-		fl, ok = f.of[sharedClass]
+		fl, ok = f.byClass[sharedClass]
 	}
 	if !ok {
 		return 0
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// server is a backend server with slots, an endless backlog behind them, and
-// callers that always want more.
+// server simulates a backend server with slots, an unbounded backlog, and callers that
+// always use the whole limit up to demand.
 type server struct {
 	l       *Limiter
 	rng     *rand.Rand
@@ -21,14 +21,15 @@
 	refuse  func(busy int) bool
 	frozen  time.Time
 	timeout time.Duration
-	ends    ends
-	backlog []begun
+	endHeap endHeap
+	backlog []pendingCall
 	busy    int
 	done    int
 	refused int
 }
 
-type begun struct {
+// pendingCall is a call in flight at the simulated server.
+type pendingCall struct {
 	at       time.Time
 	end      time.Time
 	inFlight int
@@ -37,13 +38,14 @@
 	refused  bool
 }
 
-type ends []begun
+// endHeap orders running calls by their end.
+type endHeap []pendingCall
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].end.Before(e[j].end) }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(begun)) }
-func (e *ends) Pop() any {
+func (e endHeap) Len() int           { return len(e) }
+func (e endHeap) Less(i, j int) bool { return e[i].end.Before(e[j].end) }
+func (e endHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *endHeap) Push(x any)        { *e = append(*e, x.(pendingCall)) }
+func (e *endHeap) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -63,8 +65,8 @@
 	return s
 }
 
-// setWork makes calls take a mean time with a coefficient of variation of 0.7:
-// the mean of two exponential times.
+// setWork sets the mean time of a call. The coefficient of variation is 0.7, from the
+// mean of two exponential times.
 func (s *server) setWork(mean time.Duration) {
 	s.work = func() (time.Duration, uint32) { return s.draw(mean), 0 }
 }
@@ -73,6 +75,7 @@
 	return time.Duration((s.rng.ExpFloat64() + s.rng.ExpFloat64()) / 2 * float64(mean))
 }
 
+// fill begins calls up to the limit.
 func (s *server) fill() {
 	for s.l.Free() && s.l.InFlight() < s.demand {
 		s.begin()
@@ -80,11 +83,11 @@
 }
 
 func (s *server) begin() {
-	c := begun{at: s.now, inFlight: s.l.Begin(s.now)}
+	c := pendingCall{at: s.now, inFlight: s.l.Begin(s.now)}
 	if s.refuse != nil && s.refuse(s.busy) {
 		c.outcome, c.refused = Overload, true
 		c.end = s.now.Add(time.Millisecond)
-		heap.Push(&s.ends, c)
+		heap.Push(&s.endHeap, c)
 		return
 	}
 	if s.busy >= s.slots {
@@ -94,7 +97,7 @@
 	s.run(c)
 }
 
-func (s *server) run(c begun) {
+func (s *server) run(c pendingCall) {
 	s.busy++
 	d, class := s.work()
 	c.class = class
@@ -105,15 +108,15 @@
 	if c.end.Before(s.frozen) {
 		c.end = s.frozen.Add(d)
 	}
-	heap.Push(&s.ends, c)
+	heap.Push(&s.endHeap, c)
 }
 
-// pass lets time pass and returns the time-weighted mean limit.
-func (s *server) pass(d time.Duration) float64 {
+// advance simulates a time span and returns the time-weighted mean limit.
+func (s *server) advance(d time.Duration) float64 {
 	until, weighted, from := s.now.Add(d), 0.0, s.now
 	s.done, s.refused = 0, 0
-	for len(s.ends) > 0 && !s.ends[0].end.After(until) {
-		c := heap.Pop(&s.ends).(begun)
+	for len(s.endHeap) > 0 && !s.endHeap[0].end.After(until) {
+		c := heap.Pop(&s.endHeap).(pendingCall)
 		weighted += float64(s.l.Limit()) * c.end.Sub(s.now).Seconds()
 		s.now = c.end
 		s.end(c)
@@ -124,7 +127,7 @@
 	return weighted / until.Sub(from).Seconds()
 }
 
-func (s *server) end(c begun) {
+func (s *server) end(c pendingCall) {
 	if c.refused {
 		s.refused++
 	} else {
@@ -139,16 +142,14 @@
 	}
 }
 
-// The caller sees: slow answers, as the backend server queues inside, or
-// refusals while slots are idle. Nobody tells the limiter the slots; after a few
-// seconds of full load it must stand a little above them, whether it started
-// below or above.
-func TestFindsTheSlots(t *testing.T) {
+// Guards against a limit far from the number of slots after some seconds of full load:
+// calls queue inside the backend server, or are refused while slots are idle.
+func TestLimitFollowsSlots(t *testing.T) {
 	for _, slots := range []int{5, 20, 60, 110, 280} {
 		is := is.New(t)
 		s := newServer(slots, 30*time.Millisecond)
-		s.pass(8 * time.Second)
-		mean := s.pass(20 * time.Second)
+		s.advance(8 * time.Second)
+		mean := s.advance(20 * time.Second)
 		t.Logf("%d slots: mean limit %.1f, %d calls in 20 s", slots, mean, s.done)
 		is.True(mean >= 0.95*float64(slots))
 		is.True(mean <= 1.5*float64(slots))
@@ -156,20 +157,19 @@
 	}
 }
 
-// The caller sees: a slowdown that never ends. A deep service becomes three
-// times slower for good; its latency is three times the known floor, as with a
-// queue. A limit that follows the ratio falls to its least and stays there.
-func TestFloorThatShiftsDoesNotCloseTheLimit(t *testing.T) {
+// Guards against taking a slower backend server for queueing, which would reduce the
+// limit to its minimum.
+func TestSlowerServerDoesNotCloseLimit(t *testing.T) {
 	is := is.New(t)
 	s := newServer(60, 30*time.Millisecond)
-	s.pass(5 * time.Second)
+	s.advance(5 * time.Second)
 	s.setWork(90 * time.Millisecond)
-	s.pass(2 * time.Second)
-	slow := s.pass(10 * time.Second)
+	s.advance(2 * time.Second)
+	slow := s.advance(10 * time.Second)
 	slowDone := float64(s.done)
 	s.setWork(30 * time.Millisecond)
-	s.pass(time.Second)
-	again := s.pass(10 * time.Second)
+	s.advance(time.Second)
+	again := s.advance(10 * time.Second)
 	t.Logf("60 slots: mean limit %.1f when slow, %.1f after", slow, again)
 	is.True(slowDone >= 0.9*60*10/0.09)
 	is.True(slow <= 1.6*60)
@@ -177,10 +177,8 @@
 	is.True(again <= 1.6*60)
 }
 
-// The caller sees: refusals whenever costly calls become more frequent. Calls
-// of 10 ms and of 100 ms change from nine to one into one to nine; the mean
-// latency rises fivefold without any queue.
-func TestMixOfCostsIsNoQueue(t *testing.T) {
+// Guards against taking a higher share of costly calls for queueing.
+func TestCostlierCallsAreNotTakenForQueueing(t *testing.T) {
 	is := is.New(t)
 	s := newServer(40, 0)
 	costly := 0.1
@@ -190,39 +188,36 @@
 		}
 		return s.draw(10 * time.Millisecond), 1
 	}
-	s.pass(5 * time.Second)
+	s.advance(5 * time.Second)
 	costly = 0.9
-	s.pass(time.Second)
-	mean := s.pass(10 * time.Second)
+	s.advance(time.Second)
+	mean := s.advance(10 * time.Second)
 	t.Logf("40 slots: mean limit %.1f after the mix changed", mean)
 	is.True(mean >= 0.9*40)
 	is.True(mean <= 1.6*40)
 }
 
-// The caller sees: a flood that the limit lets through, because it had grown
-// while hardly anything was asked of the backend server.
+// Guards against a limit that grows without demand and then admits a flood.
 func TestGrowsOnlyWhenInUse(t *testing.T) {
 	is := is.New(t)
 	s := newServer(40, 30*time.Millisecond)
-	s.pass(time.Second)
+	s.advance(time.Second)
 	s.demand = 10
-	s.pass(2 * time.Second)
+	s.advance(2 * time.Second)
 	before := s.l.Limit()
-	s.pass(20 * time.Second)
+	s.advance(20 * time.Second)
 	is.True(s.l.Limit() <= before)
 	is.True(s.l.Limit() >= 10)
 }
 
-// The caller sees: call after call refused by the backend server, or, when it
-// refuses one in twenty whatever the load, a limit that closes for nothing. A
-// server without a backlog refuses beyond its slots; the limit must settle at
-// them. One that refuses at random must keep its limit.
-func TestRefusals(t *testing.T) {
+// Guards against a limit that stays above the slots of a server that refuses calls
+// beyond them, and against one that closes when refusals are random.
+func TestLimitFollowsRefusalsBeyondSlotsOnly(t *testing.T) {
 	is := is.New(t)
 	full := newServer(50, 30*time.Millisecond)
 	full.refuse = func(busy int) bool { return busy >= 50 }
-	full.pass(5 * time.Second)
-	mean := full.pass(20 * time.Second)
+	full.advance(5 * time.Second)
+	mean := full.advance(20 * time.Second)
 	share := float64(full.refused) / float64(full.refused+full.done)
 	t.Logf("50 slots, no backlog: mean limit %.1f, refused %.2f%%", mean, 100*share)
 	is.True(mean >= 0.9*50)
@@ -230,50 +225,47 @@
 
 	random := newServer(50, 30*time.Millisecond)
 	random.refuse = func(int) bool { return random.rng.Float64() < 0.05 }
-	random.pass(5 * time.Second)
-	mean = random.pass(20 * time.Second)
+	random.advance(5 * time.Second)
+	mean = random.advance(20 * time.Second)
 	t.Logf("50 slots, one in twenty refused at random: mean limit %.1f", mean)
 	is.True(mean >= 0.85*50)
 }
 
-// The caller sees: a slow service that also gets fewer calls than it could
-// serve. One call in ten times out at the backend server; that is no refusal.
+// Guards against taking timeouts of a slow backend server for refusals.
 func TestTimeoutsDoNotCut(t *testing.T) {
 	is := is.New(t)
 	s := newServer(50, 30*time.Millisecond)
 	s.timeout = 60 * time.Millisecond
-	s.pass(5 * time.Second)
-	mean := s.pass(20 * time.Second)
+	s.advance(5 * time.Second)
+	mean := s.advance(20 * time.Second)
 	t.Logf("50 slots, one in ten times out: mean limit %.1f", mean)
 	is.True(mean >= 0.95*50)
 	is.True(mean <= 1.5*50)
 }
 
-// The caller sees: nothing for two seconds, while the backend server is frozen,
-// and then slow answers for long, because the calls that were stuck looked like
-// a queue. Throughput must be back within a second after it thaws.
-func TestFreeze(t *testing.T) {
+// Guards against taking calls stuck in a frozen backend server for queueing: the
+// throughput must recover within a second.
+func TestThroughputRecoversAfterFreeze(t *testing.T) {
 	is := is.New(t)
 	s := newServer(40, 30*time.Millisecond)
-	s.pass(5 * time.Second)
+	s.advance(5 * time.Second)
 	s.frozen = s.now.Add(2 * time.Second)
-	s.pass(3 * time.Second)
-	mean := s.pass(5 * time.Second)
+	s.advance(3 * time.Second)
+	mean := s.advance(5 * time.Second)
 	t.Logf("40 slots: mean limit %.1f after the freeze, %d calls in 5 s", mean, s.done)
 	is.True(float64(s.done) >= 0.9*40*5/0.03)
 }
 
-// The caller sees: everything refused at a node whose backend server waits for
-// a slow service further down. With Waiting the time spent there is not taken
-// for a queue here, so the limit stays.
-func TestTimeSpentBelowIsNoQueue(t *testing.T) {
+// Guards against taking time spent waiting for a slow downstream service for queueing
+// at this backend server.
+func TestDownstreamTimeIsNotTakenForQueueing(t *testing.T) {
 	is := is.New(t)
 	l := New(DefaultConfig())
 	now := time.Unix(1_000_000_000, 0)
-	own, below := 20*time.Millisecond, 20*time.Millisecond
+	own, downstream := 20*time.Millisecond, 20*time.Millisecond
 	for range 400 {
 		if now.Sub(time.Unix(1_000_000_000, 0)) > 2*time.Second {
-			below = 500 * time.Millisecond
+			downstream = 500 * time.Millisecond
 		}
 		n := 0
 		for l.Free() && n < 30 {
@@ -282,10 +274,10 @@
 		}
 		now = now.Add(own)
 		l.Waiting(now, n)
-		now = now.Add(below)
+		now = now.Add(downstream)
 		l.Waiting(now, -n)
 		for range n {
-			l.End(now, Sample{Latency: own + below, Downstream: below, InFlight: n})
+			l.End(now, Sample{Latency: own + downstream, Downstream: downstream, InFlight: n})
 		}
 	}
 	is.True(l.Limit() >= 30)
