--- a/queue/config.go
+++ b/queue/config.go
@@ -2,41 +2,37 @@
 
 import "time"
 
-// Config of a Queue.
+// Config configures a Queue.
 type Config struct {
-	// MaxItems bounds the memory that waiting calls take.
+	// MaxItems bounds the number of waiting items, and so their memory.
 	MaxItems int
-	// MinItems is the bound before the service rate is known and for slow
-	// backend servers: a few calls must be able to wait, or every short
-	// burst would be shed.
+	// MinItems is the bound while the service rate is unknown, and the least bound for
+	// slow backend servers: a few calls must be able to wait, or every short burst
+	// would be shed.
 	MinItems int
-	// MaxWait bounds the queue by time: it holds at most what the measured
-	// service rate serves in this time. A longer queue only makes answers
-	// later, not more.
+	// MaxWait bounds the queue by time: it holds at most what the measured service rate
+	// serves in this time. A longer queue adds latency and no throughput.
 	MaxWait time.Duration
-	// OverloadAfter is how long the queue must have been non-empty for its
-	// order to change from oldest first to newest first. A burst is gone
-	// sooner; under overload the oldest items are the ones whose callers
-	// are about to give up.
+	// OverloadAfter is how long the queue must have been non-empty to change its order
+	// from oldest first to newest first. A burst has drained by then; under overload
+	// the oldest items are about to expire.
 	OverloadAfter time.Duration
-	// WaitShare is the share of its spare time that an item may wait. One that
-	// is served with only the usual service time left fails half the time,
-	// after the work was done.
+	// WaitShare is the share of its spare time that an item may wait. The rest is a
+	// margin for calls that take longer than Item.Need.
 	WaitShare float64
-	// SoonerShare of its spare time is how long an item lets later ones go first
-	// that have less: those are nearer to the end of their request, and what was
-	// done for it is lost if they come too late.
+	// SoonerShare is the share of its spare time for which an item yields to later
+	// items with less spare time. Those are closer to the deadline of their request,
+	// and the work spent on it is lost if they are late.
 	SoonerShare float64
 	// RateSpan is the busy time over which the service rate is averaged.
 	RateSpan time.Duration
-	// RateCalls is the number of served items that make the rate known.
+	// RateCalls is the number of served items from which the service rate is known.
 	RateCalls int
-	// ImportanceShift is the number of low bits of a priority that do not
-	// belong to the importance.
+	// ImportanceShift is the number of low bits of a priority below the importance.
 	ImportanceShift uint
 }
 
-// DefaultConfig matches package admission's priorities.
+// DefaultConfig returns settings that match the priorities of package admission.
 func DefaultConfig() Config {
 	return Config{
 		MaxItems:        1024,
--- a/queue/heap.go
+++ b/queue/heap.go
@@ -1,19 +1,19 @@
 package queue
 
-// place is an index into the positions that an entry keeps, one for each heap.
-type place int
+// heapIndex selects one of the heap positions of an entry.
+type heapIndex int
 
 const (
-	byWorth place = iota
+	byDropOrder heapIndex = iota
 	byExpiry
-	byTurn
-	places
+	byYieldEnd
+	heapCount
 )
 
-// entryHeap is a binary heap of entries that know their position, so that any
-// of them can be removed in O(log n).
+// entryHeap is a binary heap of entries that know their position, so that any of them
+// can be removed in O(log n).
 type entryHeap[T any] struct {
-	at      place
+	index   heapIndex
 	before  func(a, b *entry[T]) bool
 	entries []*entry[T]
 }
@@ -27,12 +27,12 @@
 
 func (h *entryHeap[T]) add(e *entry[T]) {
 	h.entries = append(h.entries, e)
-	e.position[h.at] = len(h.entries) - 1
+	e.position[h.index] = len(h.entries) - 1
 	h.up(len(h.entries) - 1)
 }
 
 func (h *entryHeap[T]) remove(e *entry[T]) {
-	i := e.position[h.at]
+	i := e.position[h.index]
 	last := len(h.entries) - 1
 	h.swap(i, last)
 	h.entries[last] = nil
@@ -73,6 +73,6 @@
 
 func (h *entryHeap[T]) swap(i, j int) {
 	h.entries[i], h.entries[j] = h.entries[j], h.entries[i]
-	h.entries[i].position[h.at] = i
-	h.entries[j].position[h.at] = j
+	h.entries[i].position[h.index] = i
+	h.entries[j].position[h.index] = j
 }
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -13,19 +13,19 @@
 
 var start = time.Unix(1_000_000_000, 0)
 
-// naive holds the same items in a slice and looks through all of them.
-type naive struct {
+// sliceQueue is a reference implementation that searches a slice. Item.Value holds the
+// time that the item may wait, and Deadline when that starts.
+type sliceQueue struct {
 	cfg   Config
 	items []Item[int]
 	since time.Time
 }
 
-// Value holds the time that the item may wait, its deadline when that starts.
-func (n *naive) expired(now time.Time, item Item[int]) bool {
+func (n *sliceQueue) expired(now time.Time, item Item[int]) bool {
 	return !item.Deadline.IsZero() && !now.Before(item.Deadline.Add(time.Duration(item.Value)))
 }
 
-func (n *naive) push(now time.Time, item Item[int]) (dropped []uint64) {
+func (n *sliceQueue) push(now time.Time, item Item[int]) (dropped []uint64) {
 	item.Value = int(float64(item.Deadline.Sub(now)-item.Need) * n.cfg.WaitShare)
 	if !item.Deadline.IsZero() && item.Value <= 0 {
 		return []uint64{item.ID}
@@ -50,7 +50,7 @@
 	return dropped
 }
 
-func (n *naive) pop(now time.Time) (uint64, bool) {
+func (n *sliceQueue) pop(now time.Time) (uint64, bool) {
 	newest := now.Sub(n.since) >= n.cfg.OverloadAfter
 	best := -1
 	for i := range n.items {
@@ -71,7 +71,7 @@
 	return id, true
 }
 
-func (n *naive) remove(match func(Item[int]) bool) (ids []uint64) {
+func (n *sliceQueue) remove(match func(Item[int]) bool) (ids []uint64) {
 	n.items = slices.DeleteFunc(n.items, func(item Item[int]) bool {
 		if match(item) {
 			ids = append(ids, item.ID)
@@ -89,18 +89,15 @@
 	return out
 }
 
-// The caller sees: its call is served in another order than promised, is lost,
-// or is answered twice. Random pushes, pops, removals, expiries and level rises
-// run against a slice that is searched from end to end; both must agree on
-// every item that leaves and why. The rate is kept unknown here, as it has its
-// own test.
+// Guards against items that are lost, duplicated or served in the wrong order, by
+// comparison with a reference queue. The service rate stays unknown here.
 func TestQueueAgainstSlice(t *testing.T) {
 	proptest.Check(t, func(r *rapid.T) {
 		cfg := DefaultConfig()
 		cfg.MinItems = rapid.IntRange(1, 30).Draw(r, "bound")
 		cfg.RateCalls = 1 << 30
 		q := New[int](cfg)
-		n := &naive{cfg: cfg}
+		n := &sliceQueue{cfg: cfg}
 		now := start
 		next := uint64(0)
 		var late []uint64
@@ -168,11 +165,9 @@
 	})
 }
 
-// The caller sees: its rescue crew's call is shed and an archive read is not.
-// The schedule that broke a first-in-first-out queue of the same bound: three
-// lesser calls fill it, an important one comes, and one call is served. The
-// plain queue turns the newcomer away; this one drops the least of the lesser.
-func TestFullQueueKeepsTheImportant(t *testing.T) {
+// Guards against shedding an important call while a full queue holds less important
+// ones.
+func TestFullQueueDropsLeastImportant(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.MinItems = 3
@@ -186,16 +181,13 @@
 	is.True(ok)
 	is.Equal(first.ID, uint64(9))
 	lesser := q.Push(start, Item[int]{ID: 10, Priority: 5})
-	is.Equal(len(lesser), 0) // there is room again
+	is.Equal(len(lesser), 0) // below the bound again
 	is.Equal(ids(q.Push(start, Item[int]{ID: 11, Priority: 4})), []uint64{11})
 }
 
-// The caller sees: its call waits for its whole deadline and is then told that
-// it expired. Items are served every 10 ms; one that would need 50 ms of
-// waiting but has 40 is refused when it comes, one with 100 ms waits. Then the
-// backend server stops for a second: that counts too, so that 100 ms are no longer
-// enough although nothing was served more slowly.
-func TestRefusesWhatCannotBeServedInTime(t *testing.T) {
+// Guards against calls that wait for their whole deadline and then expire, also when
+// the backend server has stopped serving.
+func TestCallThatWouldExpireIsRefusedOnArrival(t *testing.T) {
 	is := is.New(t)
 	q := New[int](DefaultConfig())
 	now := start
@@ -226,11 +218,9 @@
 	is.Equal(push(2002, 200*time.Millisecond), 1)
 }
 
-// The caller sees: its request fails at the last of four calls, after all the others
-// were made. Calls with much time wait beside calls with little: those go first, but
-// only for a part of the spare time of what they pass, and when the queue is full what
-// was not begun leaves.
-func TestLessTimeGoesFirst(t *testing.T) {
+// Guards against a request that fails at a late call after work was spent on it: calls
+// with less spare time are served first, and new requests are dropped first.
+func TestLessSpareTimeIsServedFirst(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.SoonerShare = 0.25
@@ -245,7 +235,7 @@
 		return item.ID
 	}
 	q := New[int](cfg)
-	push(q, start, 1, 2*time.Second, false)                                  // lets others go first until 500 ms
+	push(q, start, 1, 2*time.Second, false)                                  // yields until 500 ms
 	push(q, start.Add(200*time.Millisecond), 2, 800*time.Millisecond, true)  // until 400 ms
 	push(q, start.Add(400*time.Millisecond), 3, 800*time.Millisecond, false) // until 600 ms
 	now := start.Add(410 * time.Millisecond)
@@ -253,7 +243,7 @@
 
 	push(q, now, 4, 2*time.Second, true)
 	push(q, now, 5, 2*time.Second, false)
-	q.Push(now, Item[int]{ID: 6}) // without a deadline in order of arrival
+	q.Push(now, Item[int]{ID: 6}) // no deadline: doesn't yield
 	is.Equal([]uint64{pop(q, now), pop(q, now), pop(q, now)}, []uint64{6, 4, 5})
 
 	full := New[int](cfg)
--- a/queue/rate.go
+++ b/queue/rate.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// rate measures how many items are served per second while items wait.
+// rate measures the service rate: how many items are served per second while items
+// wait.
 type rate struct {
-	cfg    Config
-	since  time.Time
-	last   time.Time
-	busy   time.Duration
-	served float64
+	cfg        Config
+	busySince  time.Time
+	lastServed time.Time
+	busy       time.Duration
+	served     float64
 }
 
-// minWait is the least time for which the queue must have been non-empty: an
-// item that passes through an idle queue says nothing about the service rate.
+// minWait is the least time for which the queue must have been non-empty: an item that
+// passes through an idle queue tells nothing about the service rate.
 const minWait = time.Millisecond
 
-// start notes that the queue becomes non-empty.
+// start records that the queue becomes non-empty.
 func (r *rate) start(now time.Time) {
-	r.since = now
-	r.last = now
+	r.busySince = now
+	r.lastServed = now
 }
 
-func (r *rate) serve(now time.Time) {
-	if now.Sub(r.since) < minWait {
+// recordServed records that an item is served.
+func (r *rate) recordServed(now time.Time) {
+	if now.Sub(r.busySince) < minWait {
 		return
 	}
-	r.busy += now.Sub(r.last)
-	r.last = now
+	r.busy += now.Sub(r.lastServed)
+	r.lastServed = now
 	r.served++
 	if r.busy > r.cfg.RateSpan {
 		r.busy /= 2
@@ -34,18 +36,19 @@
 	}
 }
 
-// wait estimates how long n items take; zero while the rate is unknown. The
-// time since the last item counts too, so that a backend server that has
-// stopped is noticed before it serves again.
+// wait estimates how long it takes to serve n items, and returns zero while the rate is
+// unknown. The time since the last item counts, so that a stopped backend server is
+// detected before it serves again.
 func (r *rate) wait(now time.Time, n int) time.Duration {
 	if r.served < float64(r.cfg.RateCalls) {
 		return 0
 	}
-	busy := r.busy + max(0, now.Sub(r.last))
+	busy := r.busy + max(0, now.Sub(r.lastServed))
 	return time.Duration(float64(busy) / r.served * float64(n))
 }
 
-// within is the number of items served in a time; false if unknown.
+// within returns the number of items served in a time span, and false if the rate is
+// unknown.
 func (r *rate) within(d time.Duration) (int, bool) {
 	if r.served < float64(r.cfg.RateCalls) || r.busy <= 0 {
 		return 0, false
