--- a/importance/importance.go
+++ b/importance/importance.go
@@ -1,14 +1,15 @@
-// Package importance orders requests by what they are worth to the users.
+// Package importance orders requests by their value to the users.
 package importance
 
 import "fmt"
 
-// Importance of a request; a greater one is shed later. It is declared for
-// each operation in the graph text; every call made for a request carries the
-// importance of the request, so that all its calls fare alike.
+// Importance is the importance of a request. Under overload, requests of greater
+// importance are shed later. It is declared for each operation in the graph text. Every
+// call made for a request carries the importance of the request, so that all its calls
+// are treated alike.
 type Importance uint8
 
-// The four levels.
+// The importances, in increasing order.
 const (
 	Low Importance = iota
 	Normal
@@ -16,7 +17,7 @@
 	Critical
 )
 
-// Count is the number of levels.
+// Count is the number of importances.
 const Count = 4
 
 var names = [Count]string{"low", "normal", "high", "critical"}
@@ -29,7 +30,7 @@
 	return names[i]
 }
 
-// Parse reads a name as String writes it.
+// Parse returns the importance with the given name, as written by String.
 func Parse(s string) (Importance, error) {
 	for i, name := range names {
 		if s == name {
