--- a/balancer/choose.go
+++ b/balancer/choose.go
@@ -7,7 +7,7 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// class orders the candidates by how willingly they are used.
+// class ranks the candidates of a Pick. Lower classes are preferred.
 type class int
 
 const (
@@ -17,10 +17,10 @@
 	fullRemote
 	straggling
 	ejected
-	classes
+	numClasses
 )
 
-// pool is the candidates of one class at one Pick, with their shares.
+// pool holds the candidates of one class during one Pick, with their shares and loads.
 type pool struct {
 	members []*member
 	shares  []float64
@@ -50,7 +50,9 @@
 	p.total += share
 }
 
-// draw returns a random place by share; skip is left out (-1 for none).
+// draw returns the index of a member chosen at random in proportion to its share.
+// at is a uniform random number in [0, 1); the index skip is never returned (-1
+// skips none).
 func (p *pool) draw(at float64, skip int) int {
 	total := p.total
 	if skip >= 0 {
@@ -71,25 +73,25 @@
 	return last
 }
 
-// choose takes the better of two random candidates of the best class. The
-// least loaded of all would be the same one for every node until the next
-// report arrives, and all would send to it.
+// choose takes the less loaded of two random candidates of the best class. Taking the
+// least loaded of all would send the calls of all nodes to the same candidate until
+// the next load report.
 func (p *Picker) choose(now time.Time, exclude []wire.NodeID) *member {
 	p.classify(now, exclude)
-	free, ok := p.dataCentreOf(freeLocal, freeRemote)
+	free, ok := p.localOrRemote(freeLocal, freeRemote)
 	if ok {
 		return p.betterOfTwo(free)
 	}
-	if full := p.allFull(); len(full.members) > 0 {
+	if full := p.mergeFull(); len(full.members) > 0 {
 		return p.betterOfTwo(full)
 	}
 	if slow := &p.pools[straggling]; len(slow.members) > 0 {
 		return p.betterOfTwo(slow)
 	}
-	return earliest(p.pools[ejected].members)
+	return earliestEjectionEnd(p.pools[ejected].members)
 }
 
-// classify sorts the candidates into the pools.
+// classify sorts the active candidates that are not excluded into the pools.
 func (p *Picker) classify(now time.Time, exclude []wire.NodeID) {
 	for i := range p.pools {
 		p.pools[i].reset()
@@ -98,16 +100,16 @@
 		if len(exclude) > 0 && slices.Contains(exclude, m.ID) {
 			continue
 		}
-		load := m.load(p.usualLimit)
+		load := m.load(p.medianLimit)
 		p.pools[m.class(now, load)].add(m, m.share, load)
 	}
 }
 
 func (m *member) class(now time.Time, load float64) class {
 	switch {
-	case m.resting(now):
+	case m.isEjected(now):
 		return ejected
-	case m.left:
+	case m.straggler:
 		return straggling
 	}
 	c := freeLocal
@@ -120,10 +122,10 @@
 	return c
 }
 
-// dataCentreOf chooses between the own data centre and the others. The own one
-// is preferred; while all that it has is starting up, it gets no more calls
-// than the share of its candidates, and warm ones elsewhere the rest.
-func (p *Picker) dataCentreOf(local, remote class) (*pool, bool) {
+// localOrRemote returns the pool to use, and false if both are empty. The local data
+// centre is preferred. While all its candidates are in slow start, it gets no more
+// calls than the sum of their shares; warm candidates elsewhere get the others.
+func (p *Picker) localOrRemote(local, remote class) (*pool, bool) {
 	here, there := &p.pools[local], &p.pools[remote]
 	switch {
 	case len(here.members) == 0:
@@ -137,12 +139,11 @@
 	return there, true
 }
 
-// allFull joins the full candidates of all data centres. The load that it answers: a
-// service is short, and its backend servers are spread unevenly over the data
-// centres. Kept to their own one, callers beside few backend servers wait there for
-// hundreds of milliseconds while others elsewhere have shorter queues; another data
-// centre costs a millisecond.
-func (p *Picker) allFull() *pool {
+// mergeFull returns the full candidates of all data centres in one pool. It handles an
+// overloaded service whose backend servers are spread unevenly over the data centres:
+// callers in a data centre with few of them would wait much longer than the delay to
+// another data centre.
+func (p *Picker) mergeFull() *pool {
 	all, remote := &p.pools[fullLocal], &p.pools[fullRemote]
 	for i, m := range remote.members {
 		all.add(m, remote.shares[i], remote.loads[i]+p.cfg.RemoteLoad)
@@ -162,9 +163,9 @@
 	return from.members[a]
 }
 
-// earliest returns the ejected candidate whose rest ends first: when every one
-// failed, trying one is better than refusing everything.
-func earliest(members []*member) *member {
+// earliestEjectionEnd returns the candidate whose ejection ends first. When all
+// candidates are ejected, trying one is better than rejecting every call.
+func earliestEjectionEnd(members []*member) *member {
 	var best *member
 	for _, m := range members {
 		if best == nil || m.ejectedUntil.Before(best.ejectedUntil) {
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -2,88 +2,86 @@
 
 import "time"
 
-// Config holds the choices of a Picker.
+// Config configures a Picker.
 type Config struct {
-	// Subset is the most candidates in use at one time. It bounds the
-	// connections of a node whatever the size of a service: 24 are above the
-	// 17 nodes that a service has on average at 3,500 nodes in 200 services.
+	// Subset is the maximum number of candidates in use. It bounds the connections of
+	// a node, whatever the size of the service.
 	Subset int
-	// SubsetRemote is the part of the subset kept for other data centres, so
-	// that there is somewhere to go when the own one is lost. Either part
-	// takes what the other cannot fill.
+	// SubsetRemote is the part of Subset reserved for other data centres, so that
+	// calls can move there when the local data centre fails. Either part may use
+	// what the other cannot fill.
 	SubsetRemote int
 
-	// SlowStart is the time over which the share of a new candidate grows:
-	// ten seconds let caches fill and code warm up.
+	// SlowStart is how long the share of a new candidate grows to that of a warm one,
+	// while its caches fill.
 	SlowStart time.Duration
-	// ReturnRamp is the same after a straggler recovered; it never stopped
-	// serving probes, so a shorter one is enough.
+	// ReturnRamp is the same for a straggler that recovered. It may be shorter than
+	// SlowStart, since the candidate has served probes all along.
 	ReturnRamp time.Duration
-	// MinShare is the share at the start of a ramp, relative to a warm
-	// candidate: enough to measure it.
+	// MinShare is the share at the start of a ramp, relative to a warm candidate. It
+	// must be large enough for latencies to be measured.
 	MinShare float64
 
-	// LeaveFactor is how many times the median latency of the candidates one
-	// must exceed to be left as a straggler. Below 3 the usual spread of a
-	// healthy service is mistaken for one.
+	// LeaveFactor is the multiple of the median latency above which a candidate is a
+	// straggler.
 	LeaveFactor float64
-	// SlowRun latencies in a row above SlowRunFactor times the median are
-	// enough as well: a caller with few calls would need many seconds for
-	// its average to move.
+	// SlowRun consecutive latencies above SlowRunFactor times the median also make a
+	// candidate a straggler. This detects one quickly when there are few calls and
+	// the average moves slowly.
 	SlowRun       int
 	SlowRunFactor float64
-	// FastRun probes in a row below ReturnFactor times the median let a
-	// straggler return; the gap between the factors keeps a candidate from
-	// changing to and fro.
+	// FastRun consecutive probes below ReturnFactor times the median readmit a
+	// straggler. ReturnFactor is below LeaveFactor so that a candidate doesn't
+	// alternate between the two states.
 	FastRun      int
 	ReturnFactor float64
-	// LeaveFaults is how much the share of requests that a candidate's backend
-	// server fails must exceed the median of the candidates to leave it: a request
-	// of ten calls fails two times in three at a tenth. Probes let it return once
-	// it is below ReturnFaults.
+	// LeaveFaults is the excess of a candidate's failure rate over the median failure
+	// rate, from 0 to 1, above which it is a straggler. Probes readmit it once the
+	// excess is at most ReturnFaults.
 	LeaveFaults  float64
 	ReturnFaults float64
-	// LeaveGap is the least difference to the median, so that fast services
-	// are not judged by noise of the network.
+	// LeaveGap is the minimum excess over the median latency. It keeps network jitter
+	// from making stragglers in a service with short latencies.
 	LeaveGap time.Duration
-	// LeaveShare bounds the part of the candidates left at one time. If more
-	// are slow, the load is the cause and leaving makes it worse.
+	// LeaveShare is the maximum share of candidates that are stragglers at one time.
+	// If more are slow, overload is the cause, and removing them makes it worse.
 	LeaveShare float64
-	// MinSamples is the number of latencies before a candidate is judged.
+	// MinSamples is the number of latencies measured before a candidate is compared
+	// with the median.
 	MinSamples int
-	// EvaluateEvery is the time between two judgements of all candidates.
+	// EvaluateEvery is the interval between evaluations of all candidates.
 	EvaluateEvery time.Duration
-	// ProbeEvery and ProbePicks bound the probes of stragglers: at most one
-	// in each interval and one in so many picks. A probe is a real request:
-	// 1 in 50 costs 2% even if every probe comes too late.
+	// ProbeEvery and ProbePicks limit probes of stragglers: at most one per
+	// straggler in each interval, and one in ProbePicks picks. A probe is a real
+	// request, which may be slow or fail.
 	ProbeEvery time.Duration
 	ProbePicks int
-	// MaxLeft ends the time as a straggler even without probes, for services
-	// with few calls.
+	// MaxLeft is the longest time that a candidate stays a straggler. It readmits
+	// candidates of services with too few calls for probes.
 	MaxLeft time.Duration
 
-	// EjectBase is the time for which a candidate is not used after a failed
-	// call, jittered by half; it doubles with each further failure up to
-	// EjectMax. Membership takes over when the node is really gone.
+	// EjectBase is how long a candidate is ejected after a failed call, with a jitter
+	// of half of it. It doubles with each consecutive failure, up to EjectMax.
+	// Membership removes a node that has stopped.
 	EjectBase time.Duration
 	EjectMax  time.Duration
-	// RefusedFor is the time, jittered by half, for which a candidate that
-	// refused counts as full. Without it a candidate that refuses everything
-	// at once has the shortest queue and draws all calls.
+	// RefusedFor is how long a candidate that refused a call counts as full, with a
+	// jitter of half of it. Otherwise a candidate that refuses every call at once
+	// would have the shortest queue and attract all calls.
 	RefusedFor time.Duration
 
-	// ReportFor is the time over which the load that a candidate reported
-	// fades away.
+	// ReportFor is how long a reported load counts; its weight falls to zero
+	// linearly over this time.
 	ReportFor time.Duration
-	// RemoteLoad is how much shorter, as a share of its limit, the queue of a full
-	// candidate of another data centre must be to be chosen: half a limit is a
-	// wait of half a call, and fewer calls leave their data centre in a shortage.
+	// RemoteLoad is added to the load of full candidates of other data centres, as a
+	// fraction of their limit. It keeps calls in the local data centre unless its
+	// queues are longer by more than that.
 	RemoteLoad float64
-	// DefaultLimit is assumed while no candidate has reported a limit.
+	// DefaultLimit is the concurrency limit assumed until a candidate reports one.
 	DefaultLimit int
 }
 
-// DefaultConfig returns the defaults explained at Config.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		Subset:        24,
--- a/balancer/dump.go
+++ b/balancer/dump.go
@@ -6,21 +6,22 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Counters count events since the start.
+// Counters are totals since the Picker was created.
 type Counters struct {
 	Picks       uint64 `json:"picks"`
 	NoCandidate uint64 `json:"no_candidate"`
-	// Remote counts picks in other data centres.
+	// Remote counts picks of candidates in other data centres.
 	Remote    uint64 `json:"remote"`
 	Refused   uint64 `json:"refused"`
 	Ejections uint64 `json:"ejections"`
-	// Leaves and Returns count stragglers; Probes the calls sent to them.
+	// Leaves and Returns count candidates that became stragglers and that were
+	// readmitted; Probes counts the calls sent to stragglers.
 	Leaves  uint64 `json:"leaves"`
 	Returns uint64 `json:"returns"`
 	Probes  uint64 `json:"probes"`
 }
 
-// MemberDump is one candidate in use.
+// MemberDump is the state of one candidate in use.
 type MemberDump struct {
 	ID         wire.NodeID   `json:"id"`
 	DataCentre string        `json:"data_centre"`
@@ -39,16 +40,16 @@
 
 // Dump is the state of a Picker.
 type Dump struct {
-	// Known is the number of candidates; Members are those in use.
+	// Known is the number of all candidates; Members are those in use.
 	Known    int           `json:"known"`
 	Median   time.Duration `json:"median_latency_ns"`
 	Members  []MemberDump  `json:"members"`
 	Counters Counters      `json:"counters"`
 }
 
-// Dump returns the state as of now.
+// Dump returns the state at the time now.
 func (p *Picker) Dump(now time.Time) Dump {
-	d := Dump{Known: p.known, Median: time.Duration(p.median), Counters: p.counters}
+	d := Dump{Known: p.knownCandidates, Median: time.Duration(p.medianLatency), Counters: p.counters}
 	for _, m := range p.active {
 		d.Members = append(d.Members, p.dumpMember(now, m))
 	}
@@ -56,7 +57,7 @@
 }
 
 func (p *Picker) dumpMember(now time.Time, m *member) MemberDump {
-	load := m.load(p.usualLimit)
+	load := m.load(p.medianLimit)
 	c := m.class(now, load)
 	d := MemberDump{
 		ID:         m.ID,
@@ -66,8 +67,8 @@
 		Load:       load,
 		Share:      m.share,
 		Samples:    m.samples,
-		Faults:     m.faults,
-		Straggler:  m.left,
+		Faults:     m.errorRate,
+		Straggler:  m.straggler,
 		Ejected:    c == ejected,
 		Full:       c == fullLocal || c == fullRemote,
 		Failures:   m.failures,
--- a/balancer/model_test.go
+++ b/balancer/model_test.go
@@ -8,13 +8,14 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// chooser is what the model drives: a Picker or a naive version.
+// chooser is the part of a Picker that the model uses; the naive strategies implement
+// it too.
 type chooser interface {
 	Pick(now time.Time, exclude []wire.NodeID) (wire.NodeID, bool)
 	Done(now time.Time, id wire.NodeID, r Result)
 }
 
-// server is a backend server with slots and a first-in-first-out queue.
+// server is a simulated backend server with slots and a FIFO queue.
 type server struct {
 	id      wire.NodeID
 	slots   int
@@ -22,25 +23,25 @@
 	outcome Outcome
 	running int
 	queue   []*job
-	taken   int
+	calls   int
 }
 
 type job struct {
 	from    chooser
-	at      *server
+	target  *server
 	arrived time.Time
-	ends    time.Time
+	endsAt  time.Time
 }
 
-// model is a service under open-loop load: arrivals don't wait for answers.
+// model simulates a service under open-loop load: arrivals don't wait for answers.
 type model struct {
-	now     time.Time
-	rng     *rand.Rand
-	servers []*server
-	senders []chooser
-	running []*job
-	done    int
-	latency time.Duration // of all that are done
+	now       time.Time
+	rng       *rand.Rand
+	servers   []*server
+	senders   []chooser
+	running   []*job
+	completed int
+	latency   time.Duration // sum over the completed jobs
 }
 
 func newModel(seed uint64, servers int) *model {
@@ -59,7 +60,7 @@
 	return cs
 }
 
-// addPickers adds senders that each have a Picker of their own.
+// addPickers adds n senders, each with its own Picker.
 func (m *model) addPickers(n int) {
 	for i := range n {
 		p := New(DefaultConfig(), node(1000+i), "a", rand.NewPCG(m.rng.Uint64(), 2))
@@ -68,12 +69,12 @@
 	}
 }
 
-// run sends at the given rate from random senders and returns the share of the
-// calls that went to each server.
+// run sends calls at the given rate from random senders and returns the share of the
+// calls that each server received.
 func (m *model) run(perSecond float64, d time.Duration) []float64 {
 	total := 0
 	for _, s := range m.servers {
-		s.taken = 0
+		s.calls = 0
 	}
 	end := m.now.Add(d)
 	next := m.now
@@ -85,7 +86,7 @@
 	}
 	var shares []float64
 	for _, s := range m.servers {
-		shares = append(shares, float64(s.taken)/float64(total))
+		shares = append(shares, float64(s.calls)/float64(total))
 	}
 	return shares
 }
@@ -94,8 +95,8 @@
 	id, _ := from.Pick(m.now, nil)
 	for _, s := range m.servers {
 		if s.id == id {
-			s.taken++
-			s.queue = append(s.queue, &job{from: from, at: s, arrived: m.now})
+			s.calls++
+			s.queue = append(s.queue, &job{from: from, target: s, arrived: m.now})
 			m.start(s)
 		}
 	}
@@ -106,28 +107,28 @@
 		j := s.queue[0]
 		s.queue = s.queue[1:]
 		s.running++
-		j.ends = m.now.Add(time.Duration((0.5 + m.rng.Float64()) * float64(s.service)))
-		at, _ := slices.BinarySearchFunc(m.running, j, func(a, b *job) int { return a.ends.Compare(b.ends) })
+		j.endsAt = m.now.Add(time.Duration((0.5 + m.rng.Float64()) * float64(s.service)))
+		at, _ := slices.BinarySearchFunc(m.running, j, func(a, b *job) int { return a.endsAt.Compare(b.endsAt) })
 		m.running = slices.Insert(m.running, at, j)
 	}
 }
 
 func (m *model) finishUntil(t time.Time) {
-	for len(m.running) > 0 && !m.running[0].ends.After(t) {
+	for len(m.running) > 0 && !m.running[0].endsAt.After(t) {
 		j := m.running[0]
 		m.running = m.running[1:]
-		m.now = j.ends
-		j.at.running--
+		m.now = j.endsAt
+		j.target.running--
 		m.latency += m.now.Sub(j.arrived)
-		m.done++
-		m.start(j.at)
-		load := j.at.running + len(j.at.queue)
-		j.from.Done(m.now, j.at.id, Result{Latency: m.now.Sub(j.arrived), Outcome: j.at.outcome, InFlight: load, Limit: j.at.slots})
+		m.completed++
+		m.start(j.target)
+		load := j.target.running + len(j.target.queue)
+		j.from.Done(m.now, j.target.id, Result{Latency: m.now.Sub(j.arrived), Outcome: j.target.outcome, InFlight: load, Limit: j.target.slots})
 	}
 	m.now = t
 }
 
-// roundRobin is the naive version that knows nothing.
+// roundRobin ignores load, latency and failures.
 type roundRobin struct {
 	ids  []wire.NodeID
 	next int
@@ -140,7 +141,7 @@
 
 func (r *roundRobin) Done(time.Time, wire.NodeID, Result) {}
 
-// leastLoaded is the naive version that trusts the last report.
+// leastLoaded trusts the last load report of each candidate.
 type leastLoaded struct {
 	ids  []wire.NodeID
 	load map[wire.NodeID]int
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -1,7 +1,6 @@
-// Package balancer chooses the node that a call is sent to, among the
-// candidates of one service. It knows them by its own calls: how many are in
-// flight, how long they took, how they ended, and the load that came back with
-// each answer.
+// Package balancer chooses the node that receives a call, among the candidates of one
+// service. It relies on this node's own calls: how many are in flight, their latency
+// and outcome, and the load reported with each answer.
 package balancer
 
 import (
@@ -12,34 +11,34 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Outcome says how a call ended for the choice of candidates.
+// Outcome is the result of a call as far as it matters for the choice of candidates.
 type Outcome uint8
 
 const (
-	// Success: the backend server answered, whatever its answer was.
+	// Success: the backend server answered, even with an error.
 	Success Outcome = iota
-	// Refused: the node had no room or could not serve; others may.
+	// Refused: the node was at capacity or could not serve; other nodes may.
 	Refused
 	// Failed: the call was lost or could not be sent.
 	Failed
-	// Abandoned: the deadline passed or the caller went away first. The
-	// latency is what the call took at least.
+	// Abandoned: the deadline passed or the caller cancelled before the answer. The
+	// latency is a lower bound.
 	Abandoned
-	// Neutral: the answer says nothing about the node's load, like a refusal
-	// for the content of the request.
+	// Neutral: the answer says nothing about the node's load, for example a refusal
+	// because of the content of the request.
 	Neutral
 )
 
-// Result of one call.
+// Result describes a finished call.
 type Result struct {
 	Latency time.Duration
 	Outcome Outcome
-	// InFlight and Limit are the node's own measure as it came with the
-	// reply; Limit is zero if there was none.
+	// InFlight and Limit are the load report that came with the reply; Limit is zero
+	// if there was none.
 	InFlight int
 	Limit    int
-	// Faults is the share of the backend server's latest requests that it failed,
-	// by the node beside it; it comes with Limit.
+	// Faults is the failure rate of the backend server's recent requests, from 0 to
+	// 1, as measured by its node. It is valid only if Limit is set.
 	Faults float64
 }
 
@@ -52,23 +51,24 @@
 	rng        *rand.Rand
 
 	members map[wire.NodeID]*member
-	// active are the members of the subset, the own data centre first.
-	active []*member
-	known  int
-
-	median      float64
-	usualLimit  float64
-	usualFaults float64
-	evaluatedAt time.Time
-	leftNow     int
-	sinceProbe  int
-
-	pools    [classes]pool
+	// active are the members in use, those of the local data centre first.
+	active          []*member
+	knownCandidates int
+
+	medianLatency   float64
+	medianLimit     float64
+	medianErrorRate float64
+	evaluatedAt     time.Time
+	stragglers      int
+	picksSinceProbe int
+
+	pools    [numClasses]pool
 	scratch  []float64
 	counters Counters
 }
 
-// New returns a Picker for the node self in the given data centre.
+// New returns a Picker for the node self in the given data centre. src makes the random
+// choices reproducible.
 func New(cfg Config, self wire.NodeID, dataCentre string, src rand.Source) *Picker {
 	p := &Picker{
 		cfg:        cfg,
@@ -85,8 +85,8 @@
 	return p
 }
 
-// Pick chooses a candidate that is not excluded and counts a call in flight
-// there until Done. False if there is none.
+// Pick returns a candidate that is not excluded and counts a call in flight there until
+// Done. It returns false if there is no such candidate.
 func (p *Picker) Pick(now time.Time, exclude []wire.NodeID) (wire.NodeID, bool) {
 	if now.Sub(p.evaluatedAt) >= p.cfg.EvaluateEvery {
 		p.evaluate(now)
@@ -100,7 +100,7 @@
 		return wire.NodeID{}, false
 	}
 	m.inFlight++
-	p.sinceProbe++
+	p.picksSinceProbe++
 	p.counters.Picks++
 	if !m.local {
 		p.counters.Remote++
@@ -108,14 +108,14 @@
 	return m.ID, true
 }
 
-// probe returns a straggler whose turn it is to show whether it recovered.
+// probe returns the straggler that is due for a probe, or nil.
 func (p *Picker) probe(now time.Time, exclude []wire.NodeID) *member {
-	if p.leftNow == 0 || p.sinceProbe < p.cfg.ProbePicks {
+	if p.stragglers == 0 || p.picksSinceProbe < p.cfg.ProbePicks {
 		return nil
 	}
 	var due *member
 	for _, m := range p.active {
-		if !m.left || m.inFlight > 0 || m.resting(now) || slices.Contains(exclude, m.ID) {
+		if !m.straggler || m.inFlight > 0 || m.isEjected(now) || slices.Contains(exclude, m.ID) {
 			continue
 		}
 		if now.Sub(m.probedAt) < p.cfg.ProbeEvery {
@@ -129,23 +129,23 @@
 		return nil
 	}
 	due.probedAt = now
-	p.sinceProbe = 0
+	p.picksSinceProbe = 0
 	p.counters.Probes++
 	return due
 }
 
-// Done tells how a picked call ended.
+// Done records the result of a call to a picked candidate.
 func (p *Picker) Done(now time.Time, id wire.NodeID, r Result) {
 	m := p.members[id]
 	if m == nil || m.inFlight == 0 {
 		return
 	}
 	m.inFlight--
-	m.report(now, r)
+	m.applyReport(now, r)
 	switch r.Outcome {
 	case Success:
 		m.failures = 0
-		p.measure(m, r.Latency, false)
+		p.recordLatency(m, r.Latency, false)
 	case Refused:
 		m.failures = 0
 		m.refused = true
@@ -156,24 +156,25 @@
 	case Neutral:
 		m.failures = 0
 	case Abandoned:
-		p.measure(m, r.Latency, true)
+		p.recordLatency(m, r.Latency, true)
 	}
 	if !m.active && m.inFlight == 0 {
 		delete(p.members, id)
 	}
 }
 
-// Unreachable tells that a candidate gives no sign on its connection: it rests as
-// after a failed call, before the calls that wait there have ended.
+// Unreachable ejects a candidate whose connection has gone silent, before the calls
+// that wait there have failed.
 func (p *Picker) Unreachable(now time.Time, id wire.NodeID) {
 	if m := p.members[id]; m != nil {
 		p.eject(now, m)
 	}
 }
 
-// eject rests a candidate after a failure, longer with each one in a row.
+// eject stops the use of a candidate for a time that doubles with each consecutive
+// failure.
 func (p *Picker) eject(now time.Time, m *member) {
-	// Calls that were in flight together fail together: they count once.
+	// Calls in flight to a failed candidate fail together and count as one failure.
 	if now.Before(m.ejectedUntil) {
 		return
 	}
@@ -186,8 +187,8 @@
 // maxDoublings keeps the shift in eject from overflowing.
 const maxDoublings = 10
 
-// jitter returns between half and one and a half of d, so that the nodes that
-// saw the same failure do not come back at the same moment.
+// jitter returns a random duration from d/2 to 3d/2, so that the nodes that saw the same
+// failure don't all retry at the same moment.
 func (p *Picker) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(p.rng.Int64N(int64(d)+1))
 }
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -17,24 +17,22 @@
 
 func node(i int) wire.NodeID { return wire.NodeID{byte(i), byte(i >> 8), 1} }
 
-// One of five backend servers becomes 20 (or 4) times slower. With round robin every
-// fifth caller waits for it; with a Picker it is left after its first slow
-// answers and gets probes only. When it recovers the probes show it and it
-// gets its part again.
-func TestPropStragglerIsLeftAndReturns(t *testing.T) {
+// Guards against waiting for a backend server that became slow: it gets only probes
+// until it recovers, then its share again. Round robin would send it every fifth call.
+func TestPropSlowServerIsRemovedAndReadmitted(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		m := newModel(rapid.Uint64().Draw(t, "seed"), 5)
 		slow := rapid.IntRange(0, 4).Draw(t, "slow")
 		m.addPickers(rapid.IntRange(1, 20).Draw(t, "senders"))
 		is := is.New(t)
-		is.True(m.run(1000, 2*time.Second)[slow] > 0.1) // before
+		is.True(m.run(1000, 2*time.Second)[slow] > 0.1) // before it is slow
 		factor := rapid.SampledFrom([]time.Duration{4, 20}).Draw(t, "factor")
 		m.servers[slow].service *= factor
 		m.run(1000, 30*time.Second/factor)
-		is.True(m.run(1000, 4*time.Second)[slow] <= 0.03) // left
+		is.True(m.run(1000, 4*time.Second)[slow] <= 0.03) // a straggler, gets probes only
 		m.servers[slow].service /= factor
 		m.run(1000, 8*time.Second)
-		is.True(m.run(1000, 2*time.Second)[slow] > 0.1) // back
+		is.True(m.run(1000, 2*time.Second)[slow] > 0.1) // readmitted
 
 		naive := newModel(1, 5)
 		naive.senders = []chooser{&roundRobin{ids: ids(naive)}}
@@ -43,10 +41,9 @@
 	})
 }
 
-// A surge makes all backend servers slow, some more than others. Leaving the
-// slow ones would put their load on the rest and leave those next. At most a
-// third is left, whatever the latencies are.
-func TestPropNeverLeavesMoreThanAThird(t *testing.T) {
+// Guards against marking too many candidates as stragglers when overload makes all of
+// them slow, which would move their load to the others.
+func TestPropAtMostAThirdAreStragglers(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		m := newModel(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 9).Draw(t, "servers"))
 		m.addPickers(1)
@@ -69,19 +66,18 @@
 			_, ok := m.senders[0].Pick(m.now, others)
 			is := is.New(t)
 			is.True(left <= len(some)/3)
-			is.Equal(ok, left > 0) // better than nothing
+			is.Equal(ok, left > 0) // stragglers are used if no other is allowed
 		}
 	})
 }
 
-// A backend server of five was replaced and reports no load. Forty callers that
-// trust reports all send to it until its first answers come back, and its cold
-// cache meets the whole load. With a Picker it gets a small part that grows.
-func TestNewServerIsNotHerdedOn(t *testing.T) {
+// Guards against a thundering herd on a new backend server that has reported no load
+// yet; callers that trust load reports alone would all send to it.
+func TestNewServerIsNotOverloaded(t *testing.T) {
 	is := is.New(t)
 	const senders, fresh = 40, 4
 	run := func(m *model) float64 {
-		m.servers[fresh].service *= 10 // cold
+		m.servers[fresh].service *= 10 // cold cache
 		return m.run(2000, 100*time.Millisecond)[fresh]
 	}
 	naive := newModel(1, 5)
@@ -102,16 +98,14 @@
 		s.(*Picker).Update(m.now, cold)
 	}
 	is.True(run(m) < 0.05)
-	m.servers[fresh].service /= 10 // warm
+	m.servers[fresh].service /= 10 // warm cache
 	m.run(2000, 9*time.Second)
 	is.True(m.run(2000, 2*time.Second)[fresh] > 0.15)
 }
 
-// A backend server refuses (or loses) every call at once, so it never has calls
-// in flight and looks the least loaded. Least in flight would send it nearly
-// everything; a Picker lets it rest. One that never answers is left as well,
-// though all that is known of it is how long its callers waited.
-func TestFastFailureDrawsNoCalls(t *testing.T) {
+// Guards against sending most calls to a backend server that refuses, loses or never
+// answers them: it has few calls in flight and so looks least loaded.
+func TestFastFailureAttractsNoCalls(t *testing.T) {
 	for _, outcome := range []Outcome{Refused, Failed, Abandoned} {
 		m := newModel(1, 5)
 		m.addPickers(1)
@@ -125,25 +119,22 @@
 	}
 }
 
-// Twenty callers load a service near its capacity, of which one backend server
-// has a fifth of the slots of the others. Each caller has few calls in flight
-// and would overrun the small one if it looked at those alone; the load that
-// comes back with the answers shows what the others do.
-func TestSmallServerGetsItsPart(t *testing.T) {
+// Guards against overloading a backend server with fewer slots than the others when
+// each caller has only a few calls in flight there.
+func TestSmallServerGetsLoadForItsSlots(t *testing.T) {
 	m := newModel(1, 5)
 	m.servers[0].slots = 4
 	m.addPickers(20)
 	is := is.New(t)
 	is.True(m.run(4000, 3*time.Second)[0] < 0.08) // 4 of 84 slots
-	m.done, m.latency = 0, 0
-	m.run(8000, 3*time.Second)                                     // of 8400
-	is.True(m.latency/time.Duration(m.done) < 13*time.Millisecond) // 10 of service
+	m.completed, m.latency = 0, 0
+	m.run(8000, 3*time.Second)                                          // the capacity is 8400 per second
+	is.True(m.latency/time.Duration(m.completed) < 13*time.Millisecond) // 10 ms without queueing
 }
 
-// Ten calls in flight are lost together with their backend server. That is one
-// failure, so the rest is short; after it one call tries the candidate, not all
-// that wait, and its answer brings the others back.
-func TestLostTogetherThenTriedOnce(t *testing.T) {
+// Guards against counting calls that were lost together as several failures, and
+// against sending all waiting calls to the candidate when its ejection ends.
+func TestCallsLostTogetherCountAsOneFailure(t *testing.T) {
 	is := is.New(t)
 	p := New(DefaultConfig(), node(99), "a", rand.NewPCG(1, 1))
 	p.Update(start, []Candidate{{ID: node(1)}, {ID: node(2)}})
@@ -169,9 +160,9 @@
 	is.True(picked(later) > 5)
 }
 
-// The callers' own data centre is used while it has room; its overload spills
-// over, its loss moves all calls, and its return takes them back.
-func TestOwnDataCentreFirst(t *testing.T) {
+// The local data centre is used while it has capacity; calls go elsewhere when it is
+// overloaded or lost, and come back afterwards.
+func TestLocalDataCentreIsPreferred(t *testing.T) {
 	is := is.New(t)
 	p := New(DefaultConfig(), node(99), "a", rand.NewPCG(1, 1))
 	all := []Candidate{{ID: node(1), DataCentre: "a"}, {ID: node(2), DataCentre: "a"}, {ID: node(3), DataCentre: "b"}}
@@ -187,7 +178,7 @@
 		return remote
 	}
 	is.Equal(picked(64), 0)  // the assumed limit is 32 each
-	is.Equal(picked(10), 10) // both are full
+	is.Equal(picked(10), 10) // both local candidates are full
 	for i := range 32 {
 		p.Done(start, node(1+i%2), Result{})
 	}
@@ -200,19 +191,17 @@
 	p = New(DefaultConfig(), node(99), "a", rand.NewPCG(1, 1))
 	all[0].Since = start
 	p.Update(start, []Candidate{all[0], all[2]})
-	is.True(picked(20) > 15) // the only one here is cold
+	is.True(picked(20) > 15) // the only local candidate is in slow start
 	for i := range 40 {
 		all = append(all, Candidate{ID: node(10 + i), DataCentre: "a"})
 	}
 	p.Update(start, all)
 	is.Equal(len(p.active), p.cfg.Subset)
-	is.Equal(p.active[p.cfg.Subset-1].DataCentre, "b") // somewhere to spill to
+	is.Equal(p.active[p.cfg.Subset-1].DataCentre, "b") // reserved by SubsetRemote
 }
 
-// A Picker against an oracle that knows which candidates are in use and counts
-// the calls in flight, under any mix of views and outcomes: a choice is always
-// made if one is possible, never an excluded or removed candidate, and the
-// number of candidates in use stays bounded.
+// Property: Pick returns a candidate whenever one is allowed, never an excluded or
+// removed one; calls in flight are counted exactly and the subset stays bounded.
 func TestPropPickerAgainstOracle(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -286,11 +275,9 @@
 	return ids
 }
 
-// A service is short, and its four backend servers are spread unevenly: one in the
-// data centre of half of the callers, three in the other. Kept to their own data
-// centre, half of all calls would wait at the lone one, twice its part. All are
-// full, so the shorter queue decides, and the others' part is near a quarter each.
-func TestShortServiceIsSharedAcrossDataCentres(t *testing.T) {
+// Guards against long queues at a lone local backend server when the service is
+// overloaded and the other data centre has three.
+func TestOverloadSpreadsAcrossDataCentres(t *testing.T) {
 	m := newModel(1, 4)
 	cs := m.candidates()
 	for i := range cs[1:] {
@@ -308,10 +295,9 @@
 	is.New(t).True(shares[0] < 0.26)
 }
 
-// The same shortage where the backend servers are spread evenly: nobody has to leave
-// the own data centre, and bytes between data centres are dear. Were the queues alone
-// compared, half of the calls would leave.
-func TestFullServiceStaysNear(t *testing.T) {
+// Guards against needless calls to another data centre when the service is overloaded
+// and its backend servers are spread evenly.
+func TestEvenOverloadStaysInDataCentre(t *testing.T) {
 	is := is.New(t)
 	remote := func(cfg Config) float64 {
 		m := newModel(1, 4)
@@ -335,13 +321,12 @@
 	queuesAlone := DefaultConfig()
 	queuesAlone.RemoteLoad = 0
 	near, even := remote(DefaultConfig()), remote(queuesAlone)
-	t.Logf("%.2f leave, %.2f by queues alone", near, even)
+	t.Logf("remote share: %.2f, %.2f with RemoteLoad 0", near, even)
 	is.True(near < 0.8*even)
 }
 
-// The connection to one of three nodes passes nothing. Its calls are still waiting,
-// so no failure has told of it yet; each further call to it would wait as long. It
-// gets none until half the rest has passed, and some again afterwards.
+// Guards against calls to a node whose connection has gone silent, before any of the
+// waiting calls has failed.
 func TestUnreachableNodeGetsNoCalls(t *testing.T) {
 	is := is.New(t)
 	m := newModel(1, 3)
@@ -369,11 +354,9 @@
 	p.Unreachable(m.now, node(99)) // not a candidate of this service
 }
 
-// One of five backend servers fails two of five requests, as the node beside it says
-// with each answer, and answers as fast as ever. It is left but for probes, and gets
-// its part again once the probes' answers say that it is sound. Where all fail alike,
-// leaving one would only add to the load of the others: none is left.
-func TestFailingServerIsLeftAndReturns(t *testing.T) {
+// Guards against sending calls to a backend server that answers fast but fails more
+// often than the others; if all fail alike, none becomes a straggler.
+func TestFailingServerIsRemovedAndReadmitted(t *testing.T) {
 	is := is.New(t)
 	m := newModel(1, 5)
 	p := New(DefaultConfig(), node(0), "a", rand.NewPCG(1, 2))
--- a/balancer/straggler.go
+++ b/balancer/straggler.go
@@ -5,27 +5,26 @@
 	"time"
 )
 
-// evaluate judges all candidates by their peers: which are stragglers, what a
-// usual limit is.
+// evaluate recomputes the medians and decides which candidates are stragglers.
 func (p *Picker) evaluate(now time.Time) {
 	p.evaluatedAt = now
-	p.usualLimit = p.medianLimit()
-	p.median = p.medianLatency()
-	p.usualFaults = p.medianOf(func(m *member) (float64, bool) { return m.faults, m.limit > 0 })
+	p.medianLimit = p.computeMedianLimit()
+	p.medianLatency = p.computeMedianLatency()
+	p.medianErrorRate = p.medianOf(func(m *member) (float64, bool) { return m.errorRate, m.limit > 0 })
 	p.recover(now)
-	p.leave(now)
+	p.markStragglers(now)
 	for _, m := range p.active {
-		m.age(now, &p.cfg, p.median)
+		m.refresh(now, &p.cfg, p.medianLatency)
 	}
 }
 
-func (p *Picker) medianLatency() float64 {
+func (p *Picker) computeMedianLatency() float64 {
 	return p.medianOf(func(m *member) (float64, bool) {
 		return m.latency(), m.samples >= p.cfg.MinSamples
 	})
 }
 
-func (p *Picker) medianLimit() float64 {
+func (p *Picker) computeMedianLimit() float64 {
 	usual := p.medianOf(func(m *member) (float64, bool) { return m.limit, m.limit > 0 })
 	if usual == 0 {
 		return float64(p.cfg.DefaultLimit)
@@ -33,8 +32,8 @@
 	return usual
 }
 
-// medianOf returns the lower median of what value gives for the candidates,
-// zero if it gives nothing.
+// medianOf returns the lower median of the values for which value returns true, zero
+// if there are none.
 func (p *Picker) medianOf(value func(*member) (float64, bool)) float64 {
 	p.scratch = p.scratch[:0]
 	for _, m := range p.active {
@@ -49,79 +48,79 @@
 	return p.scratch[(len(p.scratch)-1)/2]
 }
 
-// recover takes stragglers back whose probes are fast again, or that were left
-// for so long that the judgement is out of date.
+// recover readmits stragglers that have recovered, or that have been
+// stragglers for so long that the measurement is out of date.
 func (p *Picker) recover(now time.Time) {
-	p.leftNow = 0
+	p.stragglers = 0
 	for _, m := range p.active {
-		if !m.left {
+		if !m.straggler {
 			continue
 		}
-		if p.mayReturn(m) || now.Sub(m.leftSince) >= p.cfg.MaxLeft {
-			p.takeBack(now, m)
+		if p.hasRecovered(m) || now.Sub(m.stragglerSince) >= p.cfg.MaxLeft {
+			p.readmit(now, m)
 			continue
 		}
-		p.leftNow++
+		p.stragglers++
 	}
-	for p.leftNow > p.mayLeave() {
-		p.takeBack(now, p.fastestLeft())
-		p.leftNow--
+	for p.stragglers > p.maxStragglers() {
+		p.readmit(now, p.fastestStraggler())
+		p.stragglers--
 	}
 }
 
-// mayReturn reports whether the probes of a straggler were fast and its backend
-// server fails no more than others.
-func (p *Picker) mayReturn(m *member) bool {
-	return m.fastRun >= p.cfg.FastRun && m.faults <= p.usualFaults+p.cfg.ReturnFaults
+// hasRecovered reports whether the probes of a straggler were fast and its backend
+// server's failure rate is close to the median.
+func (p *Picker) hasRecovered(m *member) bool {
+	return m.fastStreak >= p.cfg.FastRun && m.errorRate <= p.medianErrorRate+p.cfg.ReturnFaults
 }
 
-func (p *Picker) takeBack(now time.Time, m *member) {
-	m.left = false
+func (p *Picker) readmit(now time.Time, m *member) {
+	m.straggler = false
 	m.samples = 0
-	m.slowRun = 0
+	m.slowStreak = 0
 	m.startRamp(now, p.cfg.ReturnRamp)
 	p.counters.Returns++
 }
 
-func (p *Picker) fastestLeft() *member {
+func (p *Picker) fastestStraggler() *member {
 	var best *member
 	for _, m := range p.active {
-		if m.left && (best == nil || m.logLatency < best.logLatency) {
+		if m.straggler && (best == nil || m.logLatency < best.logLatency) {
 			best = m
 		}
 	}
 	return best
 }
 
-// leave leaves the worst stragglers, as many as the bound allows. The
-// latency of a candidate in slow start is not judged: its share is small already, and
-// it is slow because it is new.
-func (p *Picker) leave(now time.Time) {
-	for p.leftNow < p.mayLeave() {
+// markStragglers marks the worst candidates as stragglers, up to maxStragglers.
+func (p *Picker) markStragglers(now time.Time) {
+	for p.stragglers < p.maxStragglers() {
 		m := p.worst(now)
 		if m == nil {
 			return
 		}
-		m.left = true
-		m.fastRun = 0
-		m.leftSince = now
+		m.straggler = true
+		m.fastStreak = 0
+		m.stragglerSince = now
 		m.probedAt = now
-		p.leftNow++
+		p.stragglers++
 		p.counters.Leaves++
 	}
 }
 
-// worst returns the candidate to leave next: one that fails before one that is slow.
+// worst returns the candidate to mark next, or nil: one that fails before one
+// that is slow. The latency of a candidate in slow start is not judged, since a new
+// candidate is expected to be slow and its share is small.
 func (p *Picker) worst(now time.Time) *member {
 	var worst *member
 	for _, m := range p.active {
-		if m.left {
+		if m.straggler {
 			continue
 		}
-		if p.fails(m) {
+		if p.failsTooOften(m) {
 			return m
 		}
-		if now.Sub(m.rampFrom) < m.ramp || !p.straggles(m) {
+		if now.Sub(m.rampStart) < m.rampDuration || !p.isSlow(m) {
 			continue
 		}
 		if worst == nil || m.logLatency > worst.logLatency {
@@ -131,43 +130,45 @@
 	return worst
 }
 
-// fails reports whether a candidate's backend server fails more than others.
-func (p *Picker) fails(m *member) bool {
-	return m.faults > p.usualFaults+p.cfg.LeaveFaults
+// failsTooOften reports whether the backend server's failure rate is well above the
+// median.
+func (p *Picker) failsTooOften(m *member) bool {
+	return m.errorRate > p.medianErrorRate+p.cfg.LeaveFaults
 }
 
-func (p *Picker) straggles(m *member) bool {
-	if m.slowRun >= p.cfg.SlowRun {
+func (p *Picker) isSlow(m *member) bool {
+	if m.slowStreak >= p.cfg.SlowRun {
 		return true
 	}
-	return m.samples >= p.cfg.MinSamples && m.latency() > p.bar(p.cfg.LeaveFactor)
+	return m.samples >= p.cfg.MinSamples && m.latency() > p.latencyThreshold(p.cfg.LeaveFactor)
 }
 
-// mayLeave bounds the stragglers left at one time: never all of a service.
-func (p *Picker) mayLeave() int {
+// maxStragglers returns the maximum number of stragglers at one time.
+func (p *Picker) maxStragglers() int {
 	return int(float64(len(p.active)) * p.cfg.LeaveShare)
 }
 
-// measure takes a latency in; atLeast says that the call ended without an
-// answer and would have taken longer.
-func (p *Picker) measure(m *member, d time.Duration, atLeast bool) {
-	m.measure(d, atLeast)
+// recordLatency adds a latency to the candidate's average and updates its streaks.
+// atLeast marks a latency that is a lower bound.
+func (p *Picker) recordLatency(m *member, d time.Duration, atLeast bool) {
+	m.recordLatency(d, atLeast)
 	latency := float64(d)
 	switch {
-	case p.median == 0:
-	case latency > p.bar(p.cfg.SlowRunFactor):
-		m.slowRun++
-		m.fastRun = 0
+	case p.medianLatency == 0:
+	case latency > p.latencyThreshold(p.cfg.SlowRunFactor):
+		m.slowStreak++
+		m.fastStreak = 0
 	case atLeast:
-	case latency <= p.bar(p.cfg.ReturnFactor):
-		m.fastRun++
-		m.slowRun = 0
+	case latency <= p.latencyThreshold(p.cfg.ReturnFactor):
+		m.fastStreak++
+		m.slowStreak = 0
 	default:
-		m.slowRun, m.fastRun = 0, 0
+		m.slowStreak, m.fastStreak = 0, 0
 	}
 }
 
-// bar is the latency above which a candidate is a straggler.
-func (p *Picker) bar(factor float64) float64 {
-	return max(p.median*factor, p.median+float64(p.cfg.LeaveGap))
+// latencyThreshold returns the median latency times factor, but at least LeaveGap more
+// than the median.
+func (p *Picker) latencyThreshold(factor float64) float64 {
+	return max(p.medianLatency*factor, p.medianLatency+float64(p.cfg.LeaveGap))
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -10,16 +10,16 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Update sets the candidates: the ready nodes of the service. Those in use
-// keep what is known of them; one with a later Since starts anew.
+// Update sets the candidates to the ready nodes of the service. Known candidates keep
+// their state, unless Since is later than before.
 func (p *Picker) Update(now time.Time, candidates []Candidate) {
-	p.known = len(candidates)
+	p.knownCandidates = len(candidates)
 	for _, m := range p.active {
 		m.active = false
 	}
 	p.active = p.active[:0]
 	for _, c := range p.subset(candidates) {
-		p.active = append(p.active, p.use(now, c))
+		p.active = append(p.active, p.activate(now, c))
 	}
 	for id, m := range p.members {
 		if !m.active && m.inFlight == 0 {
@@ -29,8 +29,8 @@
 	p.evaluate(now)
 }
 
-// use returns the member for a candidate.
-func (p *Picker) use(now time.Time, c Candidate) *member {
+// activate returns the member for a candidate and marks it as in use.
+func (p *Picker) activate(now time.Time, c Candidate) *member {
 	m := p.members[c.ID]
 	if m == nil {
 		m = &member{}
@@ -41,15 +41,15 @@
 	m.Candidate = c
 	m.active = true
 	m.local = c.DataCentre == p.dataCentre
-	if m.ramp == 0 {
+	if m.rampDuration == 0 {
 		m.startRamp(c.Since, p.cfg.SlowStart)
 	}
 	return m
 }
 
-// subset bounds the candidates in use. Each node takes those that rank highest
-// by a hash with its own id: a change of the candidates changes the choice of
-// few nodes, and over all nodes the choices are spread evenly.
+// subset selects the candidates in use by rendezvous hashing with the id of this node:
+// a change of the candidates affects the subsets of few nodes, and over all nodes the
+// subsets are spread evenly.
 func (p *Picker) subset(candidates []Candidate) []Candidate {
 	local := p.ranked(candidates, true)
 	remote := p.ranked(candidates, false)
@@ -59,8 +59,8 @@
 	return append(local[:forLocal], remote[:forRemote]...)
 }
 
-// ranked returns the candidates of the own data centre, or those of the
-// others, in the order of the hash.
+// ranked returns the candidates of the local data centre, or those of all others,
+// highest hash first.
 func (p *Picker) ranked(candidates []Candidate, local bool) []Candidate {
 	type entry struct {
 		Candidate
