--- a/retry/budget.go
+++ b/retry/budget.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Budget bounds the extra attempts of one node: a token bucket, or, with a Window,
-// what that leaves. It is not safe for concurrent use.
+// Budget bounds the extra attempts of one node by a token bucket or, if Config.Window is
+// set, by a sliding window. It is not safe for concurrent use.
 type Budget struct {
-	cfg     Config
-	tokens  float64
-	window  *window // nil for a bucket
-	floor   floor
-	last    time.Time
-	calls   uint64
-	allowed uint64
-	denied  uint64
+	cfg           Config
+	tokens        float64
+	window        *window // nil for a bucket
+	priorityFloor priorityFloor
+	last          time.Time
+	calls         uint64
+	allowed       uint64
+	denied        uint64
 }
 
-// BudgetState is the state of a Budget for the dump.
+// BudgetState is the state of a Budget.
 type BudgetState struct {
 	Tokens float64 `json:"tokens"`
-	// Floor is the least priority that gets a token.
+	// Floor is the lowest priority that gets an extra attempt.
 	Floor   uint16 `json:"floor"`
 	Calls   uint64 `json:"calls"`
 	Allowed uint64 `json:"allowed"`
 	Denied  uint64 `json:"denied"`
 }
 
-// NewBudget returns a full budget: a node that has just started may need its
-// first extra attempts before it has made many calls.
+// NewBudget returns a full budget, since a new node may need extra attempts before it
+// has made many calls.
 func NewBudget(cfg Config, now time.Time) *Budget {
 	b := &Budget{cfg: cfg, tokens: cfg.Burst, last: now}
 	if cfg.Window > 0 {
@@ -38,7 +38,7 @@
 	return b
 }
 
-// Call notes the first attempt of a call.
+// Call records the first attempt of a call, which earns Config.Ratio of an extra one.
 func (b *Budget) Call(now time.Time) {
 	b.calls++
 	if b.window != nil {
@@ -49,15 +49,14 @@
 	b.add(b.cfg.Ratio)
 }
 
-// Allow reports whether an extra attempt may be made now, and takes it. While
-// there are fewer tokens than attempts that want one, those of low priority get
-// none.
+// Allow reports whether an extra attempt may be made now, and takes it from the budget.
+// When attempts are scarce, those of low priority are rejected.
 func (b *Budget) Allow(now time.Time, priority uint16) bool {
 	b.refill(now)
 	if b.window != nil {
-		b.weigh(now)
+		b.refreshFromWindow(now)
 	}
-	if b.tokens < 1 || float64(priority) < b.floor.level {
+	if b.tokens < 1 || float64(priority) < b.priorityFloor.level {
 		b.denied++
 		return false
 	}
@@ -65,14 +64,14 @@
 	return true
 }
 
-// weigh reads from the window how many attempts are left, and for whom: the fewer
-// of all that it allowed, the more important those have to be. So the attempts
-// that calm times have left go to anybody, and the last to whole requests.
-func (b *Budget) weigh(now time.Time) {
+// refreshFromWindow sets the available attempts and the priority floor from the window.
+// The smaller the available share, the higher the floor, so that the last attempts go to
+// the most important requests.
+func (b *Budget) refreshFromWindow(now time.Time) {
 	b.window.now(now)
-	left, all := b.window.room(b.cfg.Ratio, b.cfg.Burst)
-	b.tokens = left
-	b.floor.level = math.MaxUint16 * (1 - min(1, max(0, left)/max(all, 1)))
+	remaining, total := b.window.available(b.cfg.Ratio, b.cfg.Burst)
+	b.tokens = remaining
+	b.priorityFloor.level = math.MaxUint16 * (1 - min(1, max(0, remaining)/max(total, 1)))
 }
 
 func (b *Budget) spend(now time.Time) {
@@ -83,24 +82,24 @@
 	}
 }
 
-// Charge takes an extra attempt that cannot be refused: the first attempt of a
-// call that is made again because the request above it is. What is taken beyond
-// the last token is owed.
+// Charge takes an extra attempt that must not be rejected: the first attempt of a call
+// that is repeated because its parent request is. It may make a token bucket negative,
+// down to -Burst, so that later attempts wait until it is refilled.
 func (b *Budget) Charge(now time.Time) {
 	b.refill(now)
 	b.spend(now)
 	b.tokens = max(b.tokens, -b.cfg.Burst)
 }
 
-// Dump returns the state for the dump.
+// Dump returns the state of the budget.
 func (b *Budget) Dump() BudgetState {
 	return BudgetState{
-		Tokens: b.tokens, Floor: uint16(b.floor.level), Calls: b.calls, Allowed: b.allowed, Denied: b.denied,
+		Tokens: b.tokens, Floor: uint16(b.priorityFloor.level), Calls: b.calls, Allowed: b.allowed, Denied: b.denied,
 	}
 }
 
-// refill ignores a clock that went back, and Burst bounds what one that went
-// ahead can bring.
+// refill adds the tokens earned since the last refill. It ignores a clock that went back;
+// Burst limits the effect of one that jumped ahead.
 func (b *Budget) refill(now time.Time) {
 	if b.window != nil {
 		return
@@ -110,7 +109,7 @@
 	if elapsed > 0 {
 		b.add(elapsed.Seconds() * b.cfg.MinPerSecond)
 	}
-	b.floor.follow(now, b.tokens/max(b.cfg.Burst, 1))
+	b.priorityFloor.adjust(now, b.tokens/max(b.cfg.Burst, 1))
 }
 
 func (b *Budget) add(tokens float64) {
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -2,56 +2,55 @@
 
 import "time"
 
-// Budgets are the budgets of one node, one for each service that it calls. With
-// one for all, the calls to services that are well would earn the extra
-// attempts that press the one that is not. It is not safe for concurrent use.
+// Budgets holds one budget for each service that the node calls. With a shared budget,
+// calls to healthy services would earn extra attempts that overload a failing one. It is
+// not safe for concurrent use.
 type Budgets struct {
 	cfg Config
-	// burst is that of each budget among the nodes that are there.
-	burst float64
-	of    map[string]*Budget
+	// burst is Config.Burst scaled to the number of nodes.
+	burst     float64
+	byService map[string]*Budget
 }
 
-// NewBudgets returns full budgets.
+// NewBudgets returns an empty set; each budget is full when it is created.
 func NewBudgets(cfg Config) *Budgets {
-	return &Budgets{cfg: cfg, burst: cfg.Burst, of: make(map[string]*Budget)}
+	return &Budgets{cfg: cfg, burst: cfg.Burst, byService: make(map[string]*Budget)}
 }
 
-// sharedBudget is the key of what services beyond the bound share.
+// sharedBudget is the key of the budget shared by services beyond Config.Services.
 const sharedBudget = ""
 
 // Of returns the budget for calls to a service.
 func (b *Budgets) Of(now time.Time, service string) *Budget {
-	if one, ok := b.of[service]; ok {
-		return one
+	if budget, ok := b.byService[service]; ok {
+		return budget
 	}
-	if len(b.of) >= b.cfg.Services && service != sharedBudget {
+	if len(b.byService) >= b.cfg.Services && service != sharedBudget {
 		return b.Of(now, sharedBudget)
 	}
-	one := NewBudget(b.cfg, now)
-	one.cfg.Burst = b.burst
-	b.of[service] = one
-	return one
+	budget := NewBudget(b.cfg, now)
+	budget.cfg.Burst = b.burst
+	b.byService[service] = budget
+	return budget
 }
 
-// SetNodes says how many nodes there are. What is beyond the share of the calls is
-// bounded for all of them together: were each of 57 nodes to take a 16th of it, they
-// would make three times as many extra attempts at a service with few calls.
+// SetNodes sets the number of nodes. Above Config.Nodes the burst of each node shrinks, so
+// that the sum over all nodes stays the same.
 func (b *Budgets) SetNodes(n int) {
 	if b.cfg.Nodes == 0 {
 		return
 	}
 	b.burst = b.cfg.Burst * float64(b.cfg.Nodes) / float64(max(n, b.cfg.Nodes))
-	for _, one := range b.of {
-		one.cfg.Burst = b.burst
+	for _, budget := range b.byService {
+		budget.cfg.Burst = b.burst
 	}
 }
 
-// Dump returns the state of all, by service.
+// Dump returns the states of all budgets by service.
 func (b *Budgets) Dump() map[string]BudgetState {
-	out := make(map[string]BudgetState, len(b.of))
-	for service, one := range b.of {
-		out[service] = one.Dump()
+	out := make(map[string]BudgetState, len(b.byService))
+	for service, budget := range b.byService {
+		out[service] = budget.Dump()
 	}
 	return out
 }
--- a/retry/floor.go
+++ b/retry/floor.go
@@ -5,46 +5,43 @@
 	"time"
 )
 
-// floor is the priority below which no extra attempt is allowed. A request of
-// many calls is served only if each of them is: tokens that are dealt out by
-// luck finish few requests when many calls fail, and the least important ones
-// as often as the others. With a floor the same requests get them each time.
-type floor struct {
-	level float64
-	moved time.Time
+// priorityFloor is the priority below which no extra attempt is allowed. A request of many
+// calls succeeds only if each call does, so scarce attempts must go to the same requests
+// each time; given out at random they would complete few requests.
+type priorityFloor struct {
+	level      float64
+	adjustedAt time.Time
 }
 
 const (
-	// floorEvery is the time between two moves: several attempts long, so that
-	// a move shows before the next.
-	floorEvery = 100 * time.Millisecond
-	// scarce and plenty are shares of the burst: below the one the floor
-	// rises, above the other it falls.
-	scarce = 0.3
-	plenty = 0.7
-	// floorRise is the part of the way to the top that one move takes, and
-	// floorFall what is left of the floor after one down: from the top to
-	// nothing in four seconds.
+	// floorInterval is the minimum time between adjustments. It is longer than an attempt,
+	// so that the effect of one adjustment shows before the next.
+	floorInterval = 100 * time.Millisecond
+	// raiseBelow and lowerAbove are shares of the burst: the floor rises while fewer
+	// tokens are available, and falls while more are.
+	raiseBelow = 0.3
+	lowerAbove = 0.7
+	// floorRise is the share of the distance to the highest priority that one adjustment
+	// adds; floorFall is the factor by which one adjustment lowers the floor.
 	floorRise = 0.15
 	floorFall = 0.85
-	// floorLeast is where the floor is as good as none: a 64th of the lowest
-	// importance.
-	floorLeast = 256
+	// minFloor is the level below which the floor is set to zero.
+	minFloor = 256
 )
 
-// follow moves the floor by the tokens that are left, as a share of the burst.
-func (f *floor) follow(now time.Time, left float64) {
-	if now.Sub(f.moved) < floorEvery {
+// adjust raises or lowers the floor by the available tokens as a share of the burst.
+func (f *priorityFloor) adjust(now time.Time, availableShare float64) {
+	if now.Sub(f.adjustedAt) < floorInterval {
 		return
 	}
-	f.moved = now
+	f.adjustedAt = now
 	switch {
-	case left < scarce:
+	case availableShare < raiseBelow:
 		f.level += floorRise * (math.MaxUint16 - f.level)
-	case left > plenty:
+	case availableShare > lowerAbove:
 		f.level *= floorFall
 	}
-	if f.level < floorLeast {
+	if f.level < minFloor {
 		f.level = 0
 	}
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,25 +1,23 @@
-// Package retry bounds the attempts that the system makes beyond the first
-// one of each call.
+// Package retry limits the attempts that the system makes beyond the first attempt of each
+// call.
 //
-// A request enters with an allowance of extra attempts. The node that runs a
-// call keeps the call's share in a Ledger: a child call takes a grant out of
-// it, a reply returns what the callee did not use, and an attempt beyond the
-// first spends one. No extra attempt is ever created, only handed on, so for
-// any shape of the call tree:
+// A request enters with an allowance of extra attempts. The node that runs a call keeps
+// the call's part of it in a Ledger: a child call takes a Grant from it, a reply returns
+// the attempts that the callee did not use, and each retry spends one. Extra attempts are
+// passed on, never created, so for any call tree:
 //
 //	attempts <= calls + allowance
 //
-// where the calls are those that callers and backend servers made. An extra
-// attempt runs its callee again, which makes its own calls again; each has one
-// first attempt. Against the call tree as declared this is
+// where calls counts the calls made by callers and backend servers. A retry runs its
+// callee again, which makes its own calls again. For the declared call tree this means
 //
-//	attempts <= calls declared x (1 + allowance)
+//	attempts <= declared calls x (1 + allowance)
 //
-// which grows with the size of the tree and not with a power of its depth.
+// so retries grow linearly with the size of the tree, not exponentially with its depth.
 //
-// The Budget is a second bound, for each node: over all requests the extra
-// attempts are a small share of the calls. It keeps many requests that each
-// stay within their allowance from doubling the load of a service that fails.
+// The Budget of each node is a second limit: over all requests, extra attempts are a small
+// share of the calls. It keeps many requests, each within its allowance, from overloading a
+// failing service.
 package retry
 
 import (
@@ -27,38 +25,35 @@
 	"time"
 )
 
-// Config of the node's budget and of its memory of requests.
+// Config configures the budgets and the memory of requests of a node.
 type Config struct {
-	// Ratio is the number of extra attempts earned by one call. At 0.1 a
-	// service whose every call fails sees at most a tenth more load.
+	// Ratio is the number of extra attempts that each call earns. It limits the load that
+	// retries add to a failing service.
 	Ratio float64
-	// Burst is the largest number of extra attempts that can be saved up. It
-	// also sets what counts as recent: the last Burst/Ratio calls. 10 covers
-	// the calls in flight to one backend server that is killed.
+	// Burst is the maximum number of saved extra attempts. With Window it is the number
+	// allowed beyond those that the calls have earned.
 	Burst float64
-	// Nodes is for how many nodes Burst is meant; where there are more, each has
-	// less. Zero leaves it as it is.
+	// Nodes is the number of nodes up to which each has the full Burst; beyond it the
+	// burst of each node shrinks in proportion. Zero disables the scaling.
 	Nodes int
-	// MinPerSecond is earned without any call, so that a node with little
-	// traffic can make an extra attempt too. At 0.1 a quiet node makes one in
-	// ten seconds, which loads nobody.
+	// MinPerSecond is the number of extra attempts earned per second without any call,
+	// so that a node with little traffic can retry too.
 	MinPerSecond float64
-	// Window, if above zero, replaces the bucket: what the calls of the last
-	// Window have earned and was not spent may be spent at once, and Burst
-	// beyond it. A bucket that holds ten attempts loses what a calm time earns.
+	// Window, if above zero, replaces the token bucket by a sliding window: the extra
+	// attempts earned by the calls of the last Window can be spent at any time in it,
+	// plus Burst. A bucket would discard those beyond Burst.
 	Window time.Duration
-	// Services bounds the services with a budget of their own; the rest share
+	// Services is the maximum number of services with their own budget; the others share
 	// one.
 	Services int
-	// MaxRequests bounds the requests remembered for their resends.
-	// 16384 are 40 s of entries at 400 a second.
+	// MaxRequests is the maximum number of requests remembered to recognise resends.
 	MaxRequests int
-	// RequestMemory is how long a request is remembered. A minute is longer
-	// than callers go on resending one request.
+	// RequestMemory is how long a request is remembered. It should exceed the time for
+	// which callers resend a request.
 	RequestMemory time.Duration
 }
 
-// DefaultConfig returns the settings that the defaults' reasons are given for.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		Ratio: 0.1, Burst: 10, MinPerSecond: 0.1, Services: 1024,
@@ -66,7 +61,7 @@
 	}
 }
 
-// Check names the first setting that is out of its range.
+// Check returns an error for the first setting that is out of range.
 func (c Config) Check() error {
 	if c.Ratio < 0 || c.Ratio > 1 {
 		return fmt.Errorf("retry ratio %v: want 0 to 1", c.Ratio)
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -13,7 +13,7 @@
 
 const maxDepth = 26
 
-// tree is a declared call and the calls that its backend server makes.
+// tree is a declared call with the calls that its backend server makes.
 type tree struct {
 	children     []*tree
 	height, size int
@@ -36,7 +36,7 @@
 	return n
 }
 
-// drawTree draws a chain of any depth up to 26 with side branches.
+// drawTree draws a chain of calls of random depth with side branches.
 func drawTree(t *rapid.T) *tree {
 	n := newTree()
 	for range maxDepth - rapid.IntRange(1, maxDepth).Draw(t, "levels cut off") {
@@ -50,28 +50,28 @@
 	return n
 }
 
-// run counts what one request does at all services. choose(n) draws a number
-// below n; zero is always the case without a failure.
+// run simulates one request at all services and counts its calls and attempts. choose(n)
+// draws a number below n; zero never means a failure.
 type run struct {
 	choose   func(n int) int
 	calls    int
 	attempts int
-	late     []func() // replies that come after their grant was given up
+	late     []func() // replies that arrive after their grant was forfeited
 }
 
 func (r *run) fails(oneIn int) bool { return r.choose(oneIn) == oneIn-1 }
 
-// attempt runs the callee once and says what its reply would.
+// attempt runs the callee once and returns the content of its reply.
 func (r *run) attempt(n *tree, extra uint32) (ok bool, unused uint32) {
 	r.attempts++
 	ledger := New(extra)
-	grants := make([]Grant, len(n.children)) // all calls go out in parallel
+	grants := make([]Grant, len(n.children)) // all calls are sent in parallel
 	for i, c := range n.children {
 		grants[i] = ledger.Grant(c.height, len(n.children)-i)
 	}
 	ok = true
 	for i, c := range n.children {
-		if r.fails(12) { // cancelled, with the other grants still out
+		if r.fails(12) { // cancelled with the other grants outstanding
 			unused = ledger.Close()
 			r.reply(ledger, grants[i], grants[i].Extra)
 			return false, unused
@@ -81,7 +81,7 @@
 	return ok && !r.fails(5), ledger.Close()
 }
 
-// call makes the attempts of one call.
+// call makes the first attempt of one call and its retries.
 func (r *run) call(ledger *Ledger, callee *tree, g Grant) bool {
 	r.calls++
 	for {
@@ -103,7 +103,8 @@
 	}
 }
 
-// reply returns a grant, perhaps again with a number that was forged.
+// reply returns a grant, sometimes a second time with a forged number, and sometimes
+// delivers a late reply.
 func (r *run) reply(ledger *Ledger, g Grant, unused uint32) {
 	ledger.Return(g, unused)
 	if r.fails(4) {
@@ -116,7 +117,7 @@
 	}
 }
 
-// naive makes three retries at every hop, and stops counting at the limit.
+// naive makes up to three retries at every hop. It stops at limit attempts.
 func (r *run) naive(n *tree, limit int) bool {
 	r.attempts++
 	ok := true
@@ -131,10 +132,8 @@
 	return ok && !r.fails(5)
 }
 
-// A request runs through a call tree with parallel fan-outs; replies are lost,
-// repeated, forged or late, parents are cancelled with grants out, and the
-// caller sends the request again. However these meet, the extra attempts at
-// all services together are no more than the request's allowance.
+// Guards against retry amplification: whatever replies are lost, repeated, forged or late,
+// extra attempts over the whole call tree stay within the request's allowance.
 func TestAttemptsAreBoundedOverTheWholeTree(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		root := drawTree(t)
@@ -156,15 +155,13 @@
 	})
 }
 
-// The deepest service of a chain fails each time. With three retries at every
-// hop each level multiplies the attempts of the one below by four; the same
-// schedule with an allowance of three adds three at most.
-func TestRetriesPerHopMultiplyAndTheLedgerDoesNot(t *testing.T) {
+// Guards against retries that multiply at every hop of a chain whose deepest service fails.
+// Three retries per hop, the naive strategy, must exceed the bound that the ledger keeps.
+func TestLedgerPreventsRetryAmplification(t *testing.T) {
 	const allowance, limit = 3, 1_000_000
 	for _, depth := range []int{3, 8, maxDepth} {
 		is := is.New(t)
-		// The schedule, shrunk: the deepest attempt is the first to be asked
-		// for its result, and that result is always failure.
+		// The result of the deepest attempt is decided first, and it always fails.
 		failing := func(n int) int {
 			if n == 5 {
 				return n - 1
@@ -179,27 +176,27 @@
 		ours.call(entry, root, entry.Grant(root.height, 1))
 		t.Logf("depth %d: naive %d attempts (counted up to %d), ledger %d for %d calls",
 			depth, naive.attempts, limit, ours.attempts, ours.calls)
-		is.True(naive.attempts > depth*(1+allowance)) // the naive one breaks the bound
+		is.True(naive.attempts > depth*(1+allowance)) // the naive strategy exceeds the bound
 		is.True(ours.attempts <= ours.calls+allowance)
 		is.True(ours.attempts <= depth*(1+allowance))
 	}
 }
 
-// Three callees run in parallel and each spends all it was given: together
-// they must not get more than the parent had, and one is kept for the parent.
-func TestFanOutThatSpendsInParallel(t *testing.T) {
+// Guards against parallel callees that get more extra attempts together than their parent
+// had; one must stay for the parent.
+func TestParallelGrantsStayWithinTheLedger(t *testing.T) {
 	is := is.New(t)
 	l := New(5)
 	a, b, c := l.Grant(1, 3), l.Grant(1, 2), l.Grant(1, 1)
 	is.Equal([]uint32{a.Extra, b.Extra, c.Extra}, []uint32{2, 1, 1})
-	is.Equal(l.Grant(0, 1), Grant{}) // a callee without calls has no use for any
+	is.Equal(l.Grant(0, 1), Grant{}) // a callee without calls gets none
 	is.True(l.Spend())
 	is.True(!l.Spend())
 }
 
-// A reply is lost, so its grant may have been spent; then it comes after all,
-// and again. The parent is cancelled with a grant out, whose reply comes too.
-func TestGrantLostWithItsReplyAndParentCancelledWithGrantsOutstanding(t *testing.T) {
+// Guards against extra attempts created by late or repeated replies, after a grant was
+// forfeited or the parent was cancelled.
+func TestLateRepliesCreateNoAttempts(t *testing.T) {
 	is := is.New(t)
 	l := New(4)
 	lost, out := l.Grant(1, 2), l.Grant(1, 1)
@@ -208,7 +205,7 @@
 	l.Return(lost, lost.Extra)
 	is.Equal(l.Left(), uint32(1))
 	wrong := l.Grant(1, 1)
-	l.Return(wrong, math.MaxUint32) // no more than the one that it held
+	l.Return(wrong, math.MaxUint32) // returns no more than was granted
 	is.Equal(l.Close(), uint32(1))
 	l.Return(out, out.Extra)
 	is.True(!l.Spend())
@@ -216,10 +213,9 @@
 	is.Equal(l.Close(), uint32(0))
 }
 
-// All backend servers of a service fail, callers resend and the clock of the
-// node jumps. The extra attempts stay a share of the calls, plus the burst and
-// what the time has earned.
-func TestBudgetIsAShareOfTheCalls(t *testing.T) {
+// Property: extra attempts stay within the ratio of the calls plus the burst and the
+// attempts earned by time, also when the clock jumps.
+func TestBudgetIsBoundedByTheCalls(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
 		start := time.Unix(0, 0)
@@ -249,10 +245,9 @@
 	})
 }
 
-// Every call fails and wants extra attempts, more than there are. They go to
-// the important half each time, instead of to whoever asks at the right moment;
-// when the failures end, all get them again.
-func TestScarceAttemptsGoToTheImportant(t *testing.T) {
+// Guards against giving scarce attempts out at random: they go to the important half of
+// the requests, and to all again after the failures end.
+func TestScarceAttemptsGoToImportantRequests(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	now := time.Unix(0, 0)
@@ -275,8 +270,8 @@
 			}
 		}
 	}
-	is.True(high > 3000)  // nearly all of its 3,500 attempts
-	is.True(low < high/4) // the rest of the 10%
+	is.True(high > 3000)  // nearly all of 3,500 important attempts
+	is.True(low < high/4) // the others get the rest of the budget
 	for range 10_000 {
 		now = now.Add(time.Millisecond)
 		b.Call(now)
@@ -284,9 +279,9 @@
 	is.True(b.Allow(now, 0))
 }
 
-// A call that is made again, since the request above it is, cannot be refused
-// its attempt. What it takes is owed: others wait until it is earned.
-func TestChargedAttemptsAreOwed(t *testing.T) {
+// Guards against repeated calls that are free: a charged attempt is never rejected but
+// makes the budget negative, and others wait until it is earned.
+func TestChargedAttemptsReduceTheBudget(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.MinPerSecond = 0
@@ -295,7 +290,7 @@
 	for range 15 {
 		b.Charge(now)
 	}
-	for range 55 { // half a token short of one
+	for range 55 { // the budget ends at half a token
 		is.True(!b.Allow(now, 1<<15))
 		b.Call(now)
 	}
@@ -305,9 +300,8 @@
 	is.True(b.Allow(now, 1<<15))
 }
 
-// A caller sends one request again and again, and many others come between:
-// memory stays bounded and a resend that is remembered brings no allowance.
-func TestCallersOwnResendsBringNoAllowance(t *testing.T) {
+// Guards against a second allowance for a resent request, and against unbounded memory.
+func TestResentRequestGetsNoAllowance(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.MaxRequests = 2
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -12,12 +12,9 @@
 
 var start = time.Unix(1_000_000_000, 0)
 
-// The caller sees: extra attempts that others count as too many, although each node
-// thinks that it keeps the bound. Calls and failures come in random bursts and
-// pauses at several nodes; whoever counts looks at every span of ten seconds, and
-// compares its extra attempts with the calls in it, in the span before it or in the
-// one that lies half before it.
-func TestPropertyWindowsKeepTheBound(t *testing.T) {
+// Property: in every window of ten seconds, extra attempts stay within the ratio of the
+// calls in it, in the window before it or in the one half a window earlier, plus the burst.
+func TestPropWindowsKeepTheBound(t *testing.T) {
 	const (
 		span  = 10 * time.Second
 		ratio = 0.2
@@ -64,11 +61,9 @@
 	})
 }
 
-// The caller sees: its request fails in the first second of a trouble, though the
-// calm minutes before had earned what would have carried it. A bucket of two attempts
-// forgets them. The window spends what the last ten seconds have earned, the first of
-// it on anybody, the last on the most important.
-func TestWindowSpendsWhatCalmTimesEarned(t *testing.T) {
+// Guards against losing the extra attempts earned in a calm period: the window allows them
+// at the start of an outage, the first to any request, the last to the most important.
+func TestWindowKeepsAttemptsOfCalmPeriods(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.Window, cfg.Ratio, cfg.Burst = 10*time.Second, 0.2, 2
@@ -92,10 +87,8 @@
 	is.Equal(b.Allow(now.Add(time.Minute), 1<<16-1), true)
 }
 
-// The caller sees nothing; whoever counts the extra attempts of all nodes sees more than
-// the bound allows beyond the share of the calls, since each node of a fleet that has
-// grown takes the part that it had in the small one.
-func TestSlackIsSharedByAllNodes(t *testing.T) {
+// Guards against a burst that grows with the number of nodes.
+func TestBurstIsSharedByAllNodes(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.Window, cfg.Ratio, cfg.MinPerSecond, cfg.Burst, cfg.Nodes = 10*time.Second, 0.2, 0, 4, 16
