--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -7,8 +7,8 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// admit refuses a call before any work is spent on it, if a service that it
-// would reach does not admit it.
+// admit records the call in the retry budget and refuses it, before any work is done, if a
+// service that it would reach doesn't admit it. It adds the admitted levels to p.Bars.
 func (d *Dispatcher) admit(p *Params) *verdict.Error {
 	now := time.Now()
 	d.mu.Lock()
@@ -26,35 +26,35 @@
 	entry := d.levels(*p).Admit(now, p.reach(), p.priority())
 	p.Bars = call.HighestLevels(p.Bars, entry.Bars)
 	if entry.Admitted() {
-		return d.outlookFor(now, *p)
+		return d.deferIfUnhealthy(now, *p)
 	}
 	d.counts.Refused++
 	return verdict.Refuse(verdict.Shed, "%s does not admit priority %d", entry.BlockedBy, p.priority()).After(entry.RetryAfter)
 }
 
-// outlookFor defers a request that enters here while those of its route fail. The
-// caller of this holds the lock.
-func (d *Dispatcher) outlookFor(now time.Time, p Params) *verdict.Error {
+// deferIfUnhealthy refuses an entering request whose route fails at present, and asks the
+// caller to retry later. d.mu must be held.
+func (d *Dispatcher) deferIfUnhealthy(now time.Time, p Params) *verdict.Error {
 	if !p.Entering {
 		return nil
 	}
-	after, deferred := d.outlook.Defer(now, usualKey(p), p.Patience)
+	after, deferred := d.routeHealth.Defer(now, operationKey(p), p.Patience)
 	if !deferred {
 		return nil
 	}
 	d.counts.Deferred++
-	return verdict.Refuse(verdict.Shed, "hardly any request of this kind ends well now").After(after)
+	return verdict.Refuse(verdict.Shed, "most requests of this route fail at present").After(after)
 }
 
-// ended notes how a request that entered here ended. Only one that made calls tells
-// of what lies below its service: a backend server that fails by itself is no
-// reason to wait.
-func (d *Dispatcher) ended(p Params, out call.Outcome) {
+// recordOutcome records the outcome of an entering request for the health of its route.
+// Only requests that made calls count: deferring doesn't help when the backend server of
+// the route itself fails.
+func (d *Dispatcher) recordOutcome(p Params, out call.Outcome) {
 	if !p.Entering || out.Verdict == verdict.NotRun || len(out.Used) == 0 {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	d.outlook.Ended(now, usualKey(p), out.Served())
+	d.routeHealth.Ended(now, operationKey(p), out.Served())
 }
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -6,70 +6,71 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// maxRedirects bounds how often a key's attempt follows the key to the
-// incarnation that it is bound to. One is enough while membership is settled;
-// a second covers a binding that was learned while the first was on its way.
+// maxRedirects limits how often a call follows its key to the incarnation that the key is
+// bound to. A second redirect is needed if the binding changes during the first.
 const maxRedirects = 2
 
-// step is what follows an answer.
+// step is the action after an answer.
 type step uint8
 
 const (
 	finish step = iota
-	again
+	tryAgain
 	redirect
 )
 
-// attempts decides what follows each answer of one call. It is a plain type:
-// whoever owns it spends the grant and the budget.
+// attempts tracks the attempts of one call and decides what follows each answer. It does no
+// I/O; its owner spends the grant and the budget.
 type attempts struct {
 	// idempotent allows another attempt after "may have run".
 	idempotent bool
-	// keyed allows another attempt at the same incarnation after "may have
-	// run": it remembers the key, so the request cannot run twice.
+	// keyed allows another attempt at the same incarnation after "may have run": the
+	// incarnation remembers the key, so the request can't run twice.
 	keyed bool
-	// bound says that only one incarnation may run the call: what it
-	// refuses, no other can do.
-	bound     bool
-	worst     verdict.Verdict
-	noted     bool
-	tried     []wire.NodeID
-	redirects int
-	// reroutes is how often the call may still go on for nothing.
-	reroutes int
-	// reoffers is how often the call may still be offered again to a backend
+	// bound says that only one incarnation may run the call. If it refuses, no other
+	// one is tried.
+	bound      bool
+	worst      verdict.Verdict
+	hasVerdict bool
+	tried      []wire.NodeID
+	redirects  int
+	// reroutesLeft is how often the call may still move to another node without
+	// spending an extra attempt.
+	reroutesLeft int
+	// reoffersLeft is how often the call may still be offered again to a backend
 	// server that declined it.
-	reoffers int
+	reoffersLeft int
 }
 
-// declined reports whether r is the refusal of a backend server itself.
+// declined reports whether the backend server itself refused the call, not its node.
 func declined(r call.Reply) bool { return r.Verdict == verdict.NotRun && r.Offered }
 
-// free reports whether another attempt after r costs nothing, and counts it.
-func (a *attempts) free(r call.Reply) bool {
-	if r.Verdict != verdict.NotRun || r.Offered || a.reroutes == 0 {
+// takeReroute reports whether another attempt after r is free, and counts it.
+func (a *attempts) takeReroute(r call.Reply) bool {
+	if r.Verdict != verdict.NotRun || r.Offered || a.reroutesLeft == 0 {
 		return false
 	}
-	a.reroutes--
+	a.reroutesLeft--
 	return true
 }
 
-// next judges one answer. spend is asked only when another attempt is allowed
-// and useful; it takes the extra attempt or refuses.
+// next decides what follows an answer. It calls spend only if another attempt is allowed;
+// spend takes the extra attempt and returns false if there is none or no node for it.
 func (a *attempts) next(r call.Reply, spend func() bool) step {
-	a.note(r.Verdict)
+	a.recordVerdict(r.Verdict)
 	if !r.BoundTo.IsZero() && r.Verdict == verdict.NotRun && a.redirects < maxRedirects {
 		a.redirects++
 		a.bound = a.keyed
 		return redirect
 	}
-	if !a.allowed(r) || !spend() {
+	if !a.mayRetry(r) || !spend() {
 		return finish
 	}
-	return again
+	return tryAgain
 }
 
-func (a *attempts) allowed(r call.Reply) bool {
+// mayRetry reports whether another attempt after r is safe and may help.
+func (a *attempts) mayRetry(r call.Reply) bool {
 	if !r.Reason.Elsewhere() {
 		return false
 	}
@@ -77,22 +78,23 @@
 	case verdict.NotRun:
 		return !a.bound || r.Reason == verdict.Lost
 	case verdict.Ran:
-		// The backend server answered, but its answer cannot be used.
+		// The backend server answered, but its answer can't be used.
 		return a.idempotent && r.Reason == verdict.Incomplete
 	default:
 		return a.idempotent || a.keyed
 	}
 }
 
-// worse orders verdicts by how much may have happened.
-func worse(a, b verdict.Verdict) verdict.Verdict {
-	if rank(b) > rank(a) {
+// worseVerdict returns the verdict that claims more: "ran" over "may have run" over "not
+// run".
+func worseVerdict(a, b verdict.Verdict) verdict.Verdict {
+	if severity(b) > severity(a) {
 		return b
 	}
 	return a
 }
 
-func rank(v verdict.Verdict) int {
+func severity(v verdict.Verdict) int {
 	switch v {
 	case verdict.NotRun:
 		return 1
@@ -111,18 +113,18 @@
 	}
 }
 
-// note takes a verdict into account. The first one stands as it is: no
-// attempt before it could have run.
-func (a *attempts) note(v verdict.Verdict) {
-	if !a.noted {
-		a.worst, a.noted = v, true
+// recordVerdict adds the verdict of one attempt. The first one is stored as it is, since
+// the zero value of worst is not a verdict of this call.
+func (a *attempts) recordVerdict(v verdict.Verdict) {
+	if !a.hasVerdict {
+		a.worst, a.hasVerdict = v, true
 		return
 	}
-	a.worst = worse(a.worst, v)
+	a.worst = worseVerdict(a.worst, v)
 }
 
-// conclude turns the last answer into the call's outcome. The verdict covers
-// all attempts: a refusal after a lost attempt is not "not run".
+// conclude returns the outcome of the call, given its last answer. The verdict covers all
+// attempts: a refusal after a lost attempt is not "not run".
 func (a *attempts) conclude(r call.Reply) call.Outcome {
 	return call.Outcome{
 		Verdict:    a.worst,
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -12,37 +12,34 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// The caller's only attempt finds no backend server at all. Nothing was sent
-// to anybody, so the answer must be "not run": a caller that is told "may have
-// run" would not dare to send its notice again.
-func TestRefusalAloneIsNotRun(t *testing.T) {
+// Guards against "may have run" for a call that was never sent: the caller could not
+// safely retry it.
+func TestCallNeverSentIsNotRun(t *testing.T) {
 	is := is.New(t)
 	var a attempts
-	r := refused(verdict.Refuse(verdict.NoBackend, ""))
+	r := errorReply(verdict.Refuse(verdict.NoBackend, ""))
 
 	is.Equal(a.next(r, func() bool { return false }), finish)
 
 	is.Equal(a.conclude(r).Verdict, verdict.NotRun)
 }
 
-// The answer of the first attempt is lost, the second is refused. The caller
-// must not hear "not run" from the second: the first may have run.
-func TestRefusalAfterALostAttemptIsNotNotRun(t *testing.T) {
+// Guards against "not run" when only the last attempt was refused and an earlier one may
+// have run.
+func TestRefusalAfterLostAttemptMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	a := attempts{idempotent: true}
-	lost := refused(verdict.Doubt(verdict.Lost, ""))
-	shed := refused(verdict.Refuse(verdict.Shed, ""))
+	lost := errorReply(verdict.Doubt(verdict.Lost, ""))
+	shed := errorReply(verdict.Refuse(verdict.Shed, ""))
 
-	is.Equal(a.next(lost, func() bool { return true }), again)
+	is.Equal(a.next(lost, func() bool { return true }), tryAgain)
 	is.Equal(a.next(shed, func() bool { return false }), finish)
 
 	is.Equal(a.conclude(shed).Verdict, verdict.MayHaveRun)
 }
 
-// Property: over any answers, a call that is neither idempotent nor keyed is
-// attempted again only while every answer so far was "not run"; "not run" is
-// concluded only if every answer was; and what a key's holder refuses is not
-// asked of others.
+// Property: a call that may have run is repeated only if it is idempotent or keyed; "not
+// run" means that no attempt ran; a refusal by a key's holder is final.
 func TestPropAttempts(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		a := attempts{
@@ -54,10 +51,10 @@
 			r := drawReply(t)
 			allNotRun = allNotRun && r.Verdict == verdict.NotRun
 			next := a.next(r, func() bool { return rapid.Bool().Draw(t, "spend") })
-			if next == again && !allNotRun && !a.idempotent && !a.keyed {
+			if next == tryAgain && !allNotRun && !a.idempotent && !a.keyed {
 				t.Fatalf("attempted again after %v", r.Verdict)
 			}
-			if next == again && a.bound && r.Verdict == verdict.NotRun && r.Reason != verdict.Lost {
+			if next == tryAgain && a.bound && r.Verdict == verdict.NotRun && r.Reason != verdict.Lost {
 				t.Fatalf("asked others after the holder refused: %v", r.Reason)
 			}
 			if next != finish {
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -1,16 +1,15 @@
-// Package dispatch makes calls to other services: it picks a backend server,
-// sends an attempt to the node beside it, matches the answer, and decides
-// whether another attempt is allowed.
+// Package dispatch makes calls to other services. It picks a backend server, sends an
+// attempt to that server's node, matches the answer, and decides whether to try again.
 //
-// What it guarantees:
-//   - "not run" is returned only if every attempt was refused by the one
-//     incarnation that it was sent to, or was never handed to the network.
-//   - A call that is not idempotent and may have run is not attempted again,
-//     unless its key binds it to the incarnation that is asked again.
-//   - An answer goes to the attempt that it names, from the incarnation that
-//     the attempt was sent to, or nowhere.
-//   - Every attempt after the first takes one from the request's ledger and
-//     one from the node's budget.
+// Guarantees:
+//   - "not run" is returned only if every attempt was refused by the incarnation that it
+//     was sent to, or was never sent.
+//   - A call that is not idempotent and may have run is not attempted again, unless its
+//     key binds it to the incarnation that gets the next attempt.
+//   - An answer is accepted only for the attempt that it names, from the incarnation that
+//     the attempt was sent to.
+//   - Every retry takes one extra attempt from the request's ledger and one from the
+//     node's budget, except as Config.Reroutes and Config.Reoffers say.
 package dispatch
 
 import (
@@ -31,79 +30,76 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Link is one connection to one incarnation.
+// Link is a connection to one incarnation.
 type Link interface {
-	// Call queues an attempt; an error says that it was not and will not be
-	// handed over. written reports, once Done is closed, whether it may
-	// have been.
+	// Call queues an attempt. An error means that the request will never be sent.
+	// After Done is closed, written reports whether it may have been sent.
 	Call(req call.Request) (written func() bool, err error)
-	// Cancel tells the other end that nobody waits for the attempt.
+	// Cancel tells the remote node that the caller no longer waits for the attempt.
 	Cancel(c call.Cancel)
-	// Answered tells that the attempt has been answered.
+	// Answered tells the link that the attempt has been answered.
 	Answered()
-	// Done is closed when the connection has ended.
+	// Done is closed when the connection has closed.
 	Done() <-chan struct{}
-	// Release ends the use of the link by one attempt.
+	// Release returns the link after one attempt.
 	Release()
 }
 
-// Linker finds or makes connections.
+// Linker finds or opens connections.
 type Linker interface {
-	// Link returns a connection to the incarnation id; an error says that
-	// nothing was handed over.
+	// Link returns a connection to the incarnation id. After an error nothing has been
+	// sent.
 	Link(ctx context.Context, id wire.NodeID) (Link, error)
 }
 
-// Members says who serves what.
+// Members is the view of the nodes of each service.
 type Members interface {
-	// Candidates returns the nodes that take work for a service, and a
-	// number that changes whenever they do.
+	// Candidates returns the nodes that accept calls for a service, and a version
+	// that changes with them.
 	Candidates(service string) ([]balancer.Candidate, uint64)
-	// Known reports whether the incarnation is alive as far as is known.
+	// Known reports whether the incarnation is believed to be alive.
 	Known(id wire.NodeID) bool
 }
 
-// Config of a Dispatcher.
+// Config configures a Dispatcher.
 type Config struct {
 	Self       wire.NodeID
 	DataCentre string
 	Balancer   balancer.Config
 	Budget     retry.Config
 	Levels     admission.LevelsConfig
-	// News lets nodes tell each other levels; the zero value switches it off.
+	// News configures the level gossip; the zero value disables it.
 	News admission.NewsConfig
-	// Margin is kept back from the deadline at each hop, so that the
-	// callee's own answer to an expired call is back in time.
+	// Margin is subtracted from the deadline at each hop, so that the callee's answer
+	// to an expired call arrives in time.
 	Margin time.Duration
-	// NoBackendRetryAfter is proposed when no backend server takes work: a
-	// restarted one announces itself within a second.
+	// NoBackendRetryAfter is the Retry-After of a call for which no backend server
+	// accepts work.
 	NoBackendRetryAfter time.Duration
-	// NoAdmission switches the check of learned levels off, for
-	// experiments.
+	// NoAdmission disables the check of received admission levels, for experiments.
 	NoAdmission bool
-	// HopAttempts, if above zero, gives each hop that many extra attempts
-	// of its own instead of the request's ledger, for experiments.
+	// HopAttempts, if above zero, is the number of extra attempts of each hop, which
+	// replaces the request's ledger, for experiments.
 	HopAttempts int
-	// Reroutes is how often a call that nodes refused without handing it to
-	// their backend servers goes to another one for nothing: nothing ran and
-	// no backend server was troubled. Zero spends an extra attempt on each.
+	// Reroutes is how often a call that a node refused without offering it to its
+	// backend server moves to another node without spending an extra attempt.
 	Reroutes int
-	// Reoffers is how often a call that backend servers declined is offered
-	// again to one of them, when no other may or can be tried. Each takes an
-	// extra attempt from the node's budget.
+	// Reoffers is how often a call that backend servers declined is offered again to
+	// one of them if no other can be tried. Each takes an extra attempt from the
+	// node's budget, but none from the ledger.
 	Reoffers int
-	// Hedge asks another backend server as well when an idempotent call stays
-	// without an answer for unusually long.
+	// Hedge sends a second attempt to another backend server if an idempotent call
+	// gets no answer for unusually long.
 	Hedge bool
-	// Outlook defers requests that enter here while those of their route fail;
-	// the zero value defers none.
+	// Outlook configures the deferral of entering requests whose route fails; the zero
+	// value defers none.
 	Outlook admission.OutlookConfig
-	// RoundRobin replaces the choice of a backend server, for experiments.
+	// RoundRobin replaces the balancer by round robin, for experiments.
 	RoundRobin bool
 	Seed       uint64
 }
 
-// DefaultConfig returns the settings that the daemon starts from.
+// DefaultConfig returns the default configuration of the daemon.
 func DefaultConfig() Config {
 	return Config{
 		Balancer: balancer.DefaultConfig(),
@@ -115,7 +111,7 @@
 	}
 }
 
-// Dispatcher is safe for concurrent use.
+// Dispatcher makes calls to other services. It is safe for concurrent use.
 type Dispatcher struct {
 	cfg     Config
 	linker  Linker
@@ -124,18 +120,18 @@
 	seq     atomic.Uint64
 
 	mu      sync.Mutex
-	waiting map[uint64]*wait
+	pending map[uint64]*pendingAttempt
 	pickers map[string]*picker
-	// entering are the levels for requests that enter here, own those for
-	// the calls of the node's backend server; only own is passed on.
-	entering *admission.Levels
-	own      *admission.Levels
-	news     *admission.News
-	outlook  *admission.Outlook
-	budgets  *retry.Budgets
-	usual    map[string]*usual // by operation
-	random   *rand.Rand
-	counts   Counts
+	// ingressLevels apply to requests that enter here, backendLevels to calls of the
+	// node's backend server; only the latter are forwarded in replies.
+	ingressLevels  *admission.Levels
+	backendLevels  *admission.Levels
+	levelGossip    *admission.News
+	routeHealth    *admission.Outlook
+	budgets        *retry.Budgets
+	averageLatency map[string]*averageLatency // by operationKey
+	random         *rand.Rand
+	counts         Counts
 }
 
 // Counts are totals since the node started.
@@ -152,89 +148,90 @@
 	Lost       uint64 `json:"lost"`
 }
 
-// wait is one attempt that awaits its answer.
-type wait struct {
+// pendingAttempt is an attempt that waits for its answer.
+type pendingAttempt struct {
 	to    wire.NodeID
-	reply chan call.Reply // room for one: the matcher never blocks
+	reply chan call.Reply // buffered, so that Reply never blocks
 }
 
 // New returns a Dispatcher.
 func New(cfg Config, l Linker, m Members, notes *explain.Recorder) *Dispatcher {
-	news := admission.NewNews(cfg.News)
+	levelGossip := admission.NewNews(cfg.News)
 	return &Dispatcher{
-		cfg:      cfg,
-		linker:   l,
-		members:  m,
-		notes:    notes,
-		random:   rand.New(rand.NewPCG(cfg.Seed, 0)),
-		waiting:  make(map[uint64]*wait),
-		pickers:  make(map[string]*picker),
-		entering: admission.NewLevels(cfg.Levels, news, cfg.Seed),
-		own:      admission.NewLevels(cfg.Levels, news, cfg.Seed+1),
-		news:     news,
-		outlook:  admission.NewOutlook(cfg.Outlook, cfg.Seed),
-		budgets:  retry.NewBudgets(cfg.Budget),
-		usual:    make(map[string]*usual),
+		cfg:            cfg,
+		linker:         l,
+		members:        m,
+		notes:          notes,
+		random:         rand.New(rand.NewPCG(cfg.Seed, 0)),
+		pending:        make(map[uint64]*pendingAttempt),
+		pickers:        make(map[string]*picker),
+		ingressLevels:  admission.NewLevels(cfg.Levels, levelGossip, cfg.Seed),
+		backendLevels:  admission.NewLevels(cfg.Levels, levelGossip, cfg.Seed+1),
+		levelGossip:    levelGossip,
+		routeHealth:    admission.NewOutlook(cfg.Outlook, cfg.Seed),
+		budgets:        retry.NewBudgets(cfg.Budget),
+		averageLatency: make(map[string]*averageLatency),
 	}
 }
 
-// Params of one call.
+// Params are the parameters of one call.
 type Params struct {
 	RequestID  string
 	Operation  *graph.Operation
 	Importance importance.Importance
-	// Bars are the levels that have let that request in so far.
+	// Bars are the admitted levels: the admission levels in force when the request was
+	// admitted.
 	Bars     []call.Level
 	Deadline time.Time
-	// Ledger holds the extra attempts that are left for the request here.
+	// Ledger holds the remaining extra attempts of the request at this node.
 	Ledger *retry.Ledger
-	// Key is the caller's idempotency key, Holder the incarnation that it
-	// names, zero when it names none.
+	// Key is the caller's idempotency key. Holder is the incarnation that the key
+	// names, zero if it names none.
 	Key         string
 	Holder      wire.NodeID
 	Fingerprint uint64
 	Depth       uint8
-	// Entering marks a caller's own request, as opposed to a call of the
+	// Entering marks a request of an external caller, as opposed to a call of the
 	// node's backend server.
 	Entering bool
-	// Patience is how long the caller says it will go on, this try and later
-	// ones together; zero if it does not say.
+	// Patience is the remaining deadline of the caller, including later retries; zero
+	// if unknown.
 	Patience time.Duration
-	// Fanout is the number of calls that the calling operation declares:
-	// the grant is shared among so many.
+	// Fanout is the number of calls that the calling operation declares; they share
+	// the ledger.
 	Fanout int
 	// Resend marks a request that the caller has sent before.
 	Resend bool
 	Header []call.Field
 	Query  string
 	Body   []byte
-	// HTTP is set for a request that came by host and path.
+	// HTTP is set for a request that was routed by host and path.
 	HTTP call.HTTP
-	// Workspace is that of the caller's key, empty for none.
+	// Workspace is the workspace of the caller's key, empty if there is none.
 	Workspace string
-	// Enter, if set, is asked once the levels have let the request in; its error refuses
-	// the request. What a request takes that is shed is missing for another.
+	// Enter, if set, is called after the request was admitted; its error refuses the
+	// request. It isn't called for shed requests, so that they use up no quota.
 	Enter func(ctx context.Context) *verdict.Error
-	// Root names the request that this call is made for; empty if it is one
-	// that enters here.
+	// Root is the id of the entering request that caused this call; empty if this is
+	// that request.
 	Root string
-	// Repeat says that the request that the call is made for has been run
-	// before: the call is an extra attempt, whatever comes of it.
+	// Repeat says that the parent request has been attempted before, so that this call
+	// counts as an extra attempt.
 	Repeat bool
-	// Admitted says that the call belongs to a request under way. To refuse
-	// it by a learned level would waste what was spent on the request.
+	// Admitted says that the call belongs to an admitted request. It skips the check
+	// of admission levels, since refusing it would waste the work already done.
 	Admitted bool
-	// Reach lists the services that the call is known to lead to, besides
-	// those that its operation declares.
+	// Reach lists services that the call may lead to; if empty, those that the
+	// operation declares are used.
 	Reach []string
-	// Version is that of the routes or the graph that decided, for the notes.
+	// Version is the version of the routes or the graph that decided, for explain.
 	Version uint64
 
-	// repeated says that an attempt of the call itself may have run before.
+	// repeated says that an earlier attempt of this call may have run.
 	repeated bool
 }
 
-// reach lists all services that the call may lead to.
+// reach returns all services that the call may lead to.
 func (p *Params) reach() []string {
 	if len(p.Reach) > 0 {
 		return p.Reach
@@ -242,7 +239,7 @@
 	return p.Operation.Reach()
 }
 
-// root is the id by which all calls of a request fare alike.
+// root returns the id of the entering request. It sets the priority of all its calls.
 func (p *Params) root() string {
 	if p.Root != "" {
 		return p.Root
@@ -250,12 +247,12 @@
 	return p.RequestID
 }
 
-// priority is the request's place among all.
+// priority returns the priority of the request.
 func (p *Params) priority() uint16 {
 	return admission.Priority(p.Importance, p.root())
 }
 
-// Call makes one call and returns when its outcome is final.
+// Call makes one call, including retries, and returns its final outcome.
 func (d *Dispatcher) Call(ctx context.Context, p Params) call.Outcome {
 	if err := d.admit(&p); err != nil {
 		d.noteRefused(p, err)
@@ -275,10 +272,11 @@
 	ctx, cancel := context.WithDeadline(ctx, p.Deadline)
 	defer cancel()
 	out := d.attempt(ctx, p)
-	d.ended(p, out)
+	d.recordOutcome(p, out)
 	return out
 }
 
+// attempt makes attempts until the outcome is final.
 func (d *Dispatcher) attempt(ctx context.Context, p Params) call.Outcome {
 	to, ok := d.awaitTarget(ctx, p)
 	if !ok {
@@ -288,14 +286,14 @@
 		return call.Failed(err)
 	}
 	a := newAttempts(p)
-	a.reroutes = d.cfg.Reroutes
-	a.reoffers = d.cfg.Reoffers
-	hop := d.cfg.HopAttempts
+	a.reroutesLeft = d.cfg.Reroutes
+	a.reoffersLeft = d.cfg.Reoffers
+	hopAttemptsLeft := d.cfg.HopAttempts
 	start := time.Now()
 	for {
-		reply := d.hedged(ctx, p, &a, to, &hop)
+		reply := d.attemptHedged(ctx, p, &a, to, &hopAttemptsLeft)
 		var next target
-		switch a.next(reply, func() bool { return d.spend(ctx, p, &a, reply, &next, &hop) }) {
+		switch a.next(reply, func() bool { return d.acquireRetry(ctx, p, &a, reply, &next, &hopAttemptsLeft) }) {
 		case finish:
 			out := a.conclude(reply)
 			d.noteOutcome(p, &a, out, start)
@@ -303,18 +301,20 @@
 		case redirect:
 			d.count(func(c *Counts) { c.Redirects++ })
 			if !d.members.Known(reply.BoundTo) {
-				return d.holderGone(p, &a, reply)
+				return d.keyHolderGone(p, &a, reply)
 			}
-			to = target{id: reply.BoundTo, holder: a.keyed}
-		case again:
+			to = target{id: reply.BoundTo, keyHolder: a.keyed}
+		case tryAgain:
 			p.repeated = p.repeated || reply.Verdict != verdict.NotRun
-			d.noteAgain(p, &a, reply)
+			d.noteRetry(p, &a, reply)
 			to = next
 		}
 	}
 }
 
-func (d *Dispatcher) holderGone(p Params, a *attempts, r call.Reply) call.Outcome {
+// keyHolderGone returns the outcome of a call that was redirected to an incarnation that
+// is not known.
+func (d *Dispatcher) keyHolderGone(p Params, a *attempts, r call.Reply) call.Outcome {
 	if !a.keyed {
 		return a.conclude(r)
 	}
@@ -323,7 +323,7 @@
 	return call.Failed(err)
 }
 
-// SetNodes says how many nodes share the bound of extra attempts.
+// SetNodes sets the number of nodes, which share the burst of the retry budgets.
 func (d *Dispatcher) SetNodes(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -20,30 +20,30 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// event is what becomes of one attempt. The first four never run.
+// event is what happens to one attempt. With the first four it never runs.
 type event int
 
 const (
 	noLink event = iota
 	notQueued
-	cutBefore
-	refusedThere
-	cutAfter // and it ran
-	answeredThere
-	incomplete // it ran, its answer is of no use
-	events
+	cutBeforeSend
+	refusedByNode
+	cutAfterRun
+	answered
+	incomplete // it ran, but its answer is unusable
+	numEvents
 )
 
-// network stands for the other nodes. It answers within Link.Call, so that a
-// schedule needs no goroutine, and keeps what truly ran.
+// network simulates the other nodes and records what ran. It answers within Link.Call, so
+// that a schedule needs no goroutines.
 type network struct {
-	d      *Dispatcher
-	nodes  []wire.NodeID
-	script func() event
-	forge  func(req call.Request) []forgery
-	tries  int
-	ranAt  []wire.NodeID
-	grants uint32 // spent by callees, or lost with an answer
+	d          *Dispatcher
+	nodes      []wire.NodeID
+	script     func() event
+	forge      func(req call.Request) []forgery
+	linksAsked int
+	ranAt      []wire.NodeID
+	grants     uint32 // spent by callees, or lost with an answer
 }
 
 func (n *network) Candidates(string) ([]balancer.Candidate, uint64) {
@@ -57,16 +57,16 @@
 func (n *network) Known(wire.NodeID) bool { return true }
 
 func (n *network) Link(_ context.Context, id wire.NodeID) (Link, error) {
-	n.tries++
+	n.linksAsked++
 	e := n.script()
 	if e == noLink {
 		return nil, errors.New("no link")
 	}
-	return &line{n: n, to: id, event: e, done: make(chan struct{})}, nil
+	return &attemptLink{n: n, to: id, event: e, done: make(chan struct{})}, nil
 }
 
-// line is the connection of one attempt.
-type line struct {
+// attemptLink is the connection of one attempt.
+type attemptLink struct {
 	n        *network
 	to       wire.NodeID
 	event    event
@@ -74,7 +74,7 @@
 	canceled []call.Cancel
 }
 
-func (l *line) Call(req call.Request) (func() bool, error) {
+func (l *attemptLink) Call(req call.Request) (func() bool, error) {
 	for _, f := range l.n.forge(req) {
 		l.n.d.Reply(f.by, f.reply)
 	}
@@ -82,15 +82,15 @@
 	switch l.event {
 	case notQueued:
 		return nil, errors.New("busy")
-	case cutBefore:
+	case cutBeforeSend:
 		close(l.done)
 		return func() bool { return false }, nil
-	case cutAfter:
+	case cutAfterRun:
 		l.n.ranAt = append(l.n.ranAt, l.to)
 		l.n.grants += req.Grant
 		close(l.done)
 		return func() bool { return true }, nil
-	case refusedThere:
+	case refusedByNode:
 		reply.Verdict, reply.Reason = verdict.NotRun, verdict.Shed
 	case incomplete:
 		l.n.ranAt = append(l.n.ranAt, l.to)
@@ -100,16 +100,16 @@
 		reply.Status, reply.Body = 200, fmt.Append(nil, req.Seq)
 	}
 	l.n.d.Reply(l.to, reply)
-	l.n.d.Reply(l.to, reply) // a copy
+	l.n.d.Reply(l.to, reply) // a duplicate
 	return func() bool { return true }, nil
 }
 
-func (l *line) Cancel(c call.Cancel)  { l.canceled = append(l.canceled, c) }
-func (l *line) Done() <-chan struct{} { return l.done }
-func (l *line) Release()              {}
-func (l *line) Answered()             {}
+func (l *attemptLink) Cancel(c call.Cancel)  { l.canceled = append(l.canceled, c) }
+func (l *attemptLink) Done() <-chan struct{} { return l.done }
+func (l *attemptLink) Release()              {}
+func (l *attemptLink) Answered()             {}
 
-const text = `
+const graphText = `
 service "s" { 
   operation "once" { calls = ["t.x"] }
   operation "safe" {
@@ -130,7 +130,7 @@
 }
 
 func params(t interface{ Fatal(...any) }, operation string, extra uint32) Params {
-	g, problems := graph.Parse("test", []byte(text))
+	g, problems := graph.Parse("test", []byte(graphText))
 	if problems.Err() != nil {
 		t.Fatal(problems)
 	}
@@ -138,11 +138,8 @@
 	return Params{RequestID: "r", Operation: op, Deadline: time.Now().Add(time.Minute), Fanout: 1, Ledger: retry.New(extra)}
 }
 
-// Property: whatever becomes of the attempts, and whatever others answer in
-// between, "not run" is said only of what never ran; without a key only an
-// idempotent call may run twice, with a key only the same node may run it
-// again; extra attempts are spent, lost with an answer, or still there, never
-// made up; a good answer is that of the last attempt.
+// Property: "not run" means that nothing ran; only idempotent or keyed calls run twice;
+// extra attempts are never created; the answer is that of the last attempt.
 func TestPropCall(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		extra := rapid.Uint32Range(0, 4).Draw(t, "extra")
@@ -173,7 +170,7 @@
 				t.Fatalf("a key went from one node that may have run it to another: %v", n.ranAt)
 			}
 		}
-		spent := uint32(n.tries - 1)
+		spent := uint32(n.linksAsked - 1)
 		if spent+n.grants+p.Ledger.Left() != extra {
 			t.Fatalf("%d extra attempts: %d spent, %d lost, %d left", extra, spent, n.grants, p.Ledger.Left())
 		}
@@ -186,16 +183,15 @@
 	})
 }
 
-var allEvents = []event{noLink, notQueued, cutBefore, refusedThere, cutAfter, answeredThere, incomplete}
+var allEvents = []event{noLink, notQueued, cutBeforeSend, refusedByNode, cutAfterRun, answered, incomplete}
 
-// forgery is an answer that comes by the connection of a node.
+// forgery is an answer that arrives on the connection of the node by.
 type forgery struct {
 	by    wire.NodeID
 	reply call.Reply
 }
 
-// forgeries are answers that an attempt must not take; each bit of which makes
-// one.
+// forgeries returns answers that must not be accepted, one for each bit set in which.
 func forgeries(req call.Request, which int) []forgery {
 	whole := call.Reply{From: req.To, To: req.From, Seq: req.Seq, Verdict: verdict.NotRun, Status: 200, Body: []byte("forged")}
 	stranger := wire.NodeID{99}
@@ -215,13 +211,13 @@
 	return out
 }
 
-// The caller goes away while its call is under way: the other end is told,
-// nothing is claimed, and the answer that comes later finds nobody.
+// Guards against a late answer for a call that its caller cancelled: the remote node gets a
+// cancel, the verdict is "may have run", and the answer matches no attempt.
 func TestCanceledCall(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	var sent call.Request
-	var l *line
+	var l *attemptLink
 	n := newNetwork(&network{})
 	n.forge = func(req call.Request) []forgery {
 		sent = req
@@ -229,8 +225,8 @@
 		return nil
 	}
 	link := linkerFunc(func(id wire.NodeID) Link {
-		l = &line{n: n, to: id, event: events, done: make(chan struct{})}
-		return &silent{l}
+		l = &attemptLink{n: n, to: id, event: numEvents, done: make(chan struct{})}
+		return &silentLink{l}
 	})
 	n.d.linker = link
 
@@ -248,10 +244,10 @@
 
 func (f linkerFunc) Link(_ context.Context, id wire.NodeID) (Link, error) { return f(id), nil }
 
-// silent takes a call and says nothing.
-type silent struct{ *line }
+// silentLink accepts a call and never answers.
+type silentLink struct{ *attemptLink }
 
-func (s *silent) Call(req call.Request) (func() bool, error) {
+func (s *silentLink) Call(req call.Request) (func() bool, error) {
 	s.n.forge(req)
 	return func() bool { return true }, nil
 }
--- a/dispatch/dump.go
+++ b/dispatch/dump.go
@@ -9,35 +9,35 @@
 	"github.com/cassialoom/cassialoom/retry"
 )
 
-// Dump is the state for people.
+// Dump is the state of a Dispatcher.
 type Dump struct {
 	Waiting int    `json:"waiting"`
 	Counts  Counts `json:"counts"`
-	// Budgets are those for extra attempts, by service.
+	// Budgets are the retry budgets by service.
 	Budgets map[string]retry.BudgetState `json:"retry_budgets"`
-	// Entering are the levels for requests that enter here, Own those for
-	// calls of the node's backend server.
+	// Entering are the levels for requests that enter here, Own those for calls of the
+	// node's backend server.
 	Entering []admission.LevelState `json:"levels_entering"`
 	Own      []admission.LevelState `json:"levels_own_calls"`
 	Targets  []TargetDump           `json:"targets"`
 }
 
-// TargetDump is what is known of one service that this node calls.
+// TargetDump is the state of the picker of one called service.
 type TargetDump struct {
 	Service string        `json:"service"`
 	Picker  balancer.Dump `json:"picker"`
 }
 
-// Dump returns the state as of now.
+// Dump returns the state at the time now.
 func (d *Dispatcher) Dump(now time.Time) Dump {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	dump := Dump{
-		Waiting:  len(d.waiting),
+		Waiting:  len(d.pending),
 		Counts:   d.counts,
 		Budgets:  d.budgets.Dump(),
-		Entering: d.entering.Dump(now),
-		Own:      d.own.Dump(now),
+		Entering: d.ingressLevels.Dump(now),
+		Own:      d.backendLevels.Dump(now),
 	}
 	for name, pk := range d.pickers {
 		dump.Targets = append(dump.Targets, TargetDump{Service: name, Picker: pk.balancer.Dump(now)})
--- a/dispatch/hedge.go
+++ b/dispatch/hedge.go
@@ -8,56 +8,52 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// usual is the usual time of an answer from one service, as an average that
-// fades.
-type usual struct {
+// averageLatency is the moving average of the latency of one operation.
+type averageLatency struct {
 	mean    time.Duration
 	samples int
 }
 
 const (
-	// usualWeight of a new sample: the last sixteen or so decide.
-	usualWeight = 16
+	// averageWeight is the inverse weight of a new sample.
+	averageWeight = 16
 	// hedgeSamples is the number of answers before the average is used.
 	hedgeSamples = 20
-	// hedgeFactor times the average is beyond nearly all answers: of work
-	// whose spread is half of its mean fewer than one in a hundred takes so
-	// long, and waiting in a queue moves the average itself.
+	// hedgeFactor times the average latency is the delay of a hedge. It is beyond nearly
+	// all answers; queueing raises the average itself.
 	hedgeFactor = 4
-	// hedgeLeast keeps services that answer at once from being hedged for a
-	// late timer.
-	hedgeLeast = 20 * time.Millisecond
-	// hedgeWithin is the part of the time left after which another attempt
-	// would hardly be answered any more.
-	hedgeWithin = 0.6
+	// minHedgeDelay keeps fast services from being hedged because of timer jitter.
+	minHedgeDelay = 20 * time.Millisecond
+	// maxHedgeDelayShare is the share of the remaining deadline after which a hedge is
+	// unlikely to be answered in time.
+	maxHedgeDelayShare = 0.6
 )
 
-func (u *usual) add(d time.Duration) {
+func (u *averageLatency) add(d time.Duration) {
 	u.samples++
 	if u.samples == 1 {
 		u.mean = d
 		return
 	}
-	u.mean += (d - u.mean) / usualWeight
+	u.mean += (d - u.mean) / averageWeight
 }
 
-// hedgeAfter returns how long to wait for an answer before another backend
-// server is asked as well; false if that is not worth it.
-func (u *usual) hedgeAfter(left time.Duration) (time.Duration, bool) {
+// hedgeAfter returns the delay before the second attempt, and false if hedging is not
+// useful.
+func (u *averageLatency) hedgeAfter(remaining time.Duration) (time.Duration, bool) {
 	if u.samples < hedgeSamples {
 		return 0, false
 	}
-	after := max(hedgeLeast, hedgeFactor*u.mean)
-	return after, float64(after) < hedgeWithin*float64(left)
+	after := max(minHedgeDelay, hedgeFactor*u.mean)
+	return after, float64(after) < maxHedgeDelayShare*float64(remaining)
 }
 
-// hedged makes one attempt, and another one beside it if the first stays
-// without an answer for unusually long: a backend server whose answers are
-// lost, or a link that has gone silent, otherwise shows only when the call's
-// time is over. The first usable answer counts, and the other attempt is
-// cancelled. Only idempotent calls are hedged, out of the same bounds as any
-// extra attempt, and only while no service that they lead to is short.
-func (d *Dispatcher) hedged(ctx context.Context, p Params, a *attempts, to target, hop *int) call.Reply {
+// attemptHedged makes one attempt, and a second one at another backend server if the first
+// gets no answer for unusually long. It handles lost answers and silent connections, which
+// otherwise show only at the deadline. The first usable answer wins and the other attempt
+// is cancelled. Only idempotent calls are hedged, within the limits of all extra attempts,
+// and only while no service that they reach is overloaded.
+func (d *Dispatcher) attemptHedged(ctx context.Context, p Params, a *attempts, to target, hopAttemptsLeft *int) call.Reply {
 	after, ok := d.hedgeAfter(p)
 	a.tried = append(a.tried, to.id)
 	if !ok {
@@ -65,7 +61,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan call.Reply, 2) // nobody waits for the second
+	answers := make(chan call.Reply, 2) // buffered: the second may never be read
 	ask := func(p Params, to target) { answers <- d.once(ctx, p, to) }
 	go ask(p, to)
 	timer := time.NewTimer(after)
@@ -77,31 +73,31 @@
 	}
 	var second target
 	silent := call.Reply{Verdict: verdict.MayHaveRun, Reason: verdict.Lost, Detail: "no answer yet"}
-	if !d.spend(ctx, p, a, silent, &second, hop) {
+	if !d.acquireRetry(ctx, p, a, silent, &second, hopAttemptsLeft) {
 		return <-answers
 	}
 	d.count(func(c *Counts) { c.Hedges++ })
-	d.noteAgain(p, a, silent)
+	d.noteRetry(p, a, silent)
 	a.tried = append(a.tried, second.id)
 	p.repeated = true
 	go ask(p, second)
-	return d.better(a, <-answers, answers)
+	return d.firstUsable(a, <-answers, answers)
 }
 
-// better returns the first usable answer of two.
-func (d *Dispatcher) better(a *attempts, first call.Reply, rest <-chan call.Reply) call.Reply {
+// firstUsable returns the first answer if it is usable, otherwise the second.
+func (d *Dispatcher) firstUsable(a *attempts, first call.Reply, rest <-chan call.Reply) call.Reply {
 	if usable(first) {
 		return first
 	}
 	second := <-rest
-	a.note(first.Verdict)
+	a.recordVerdict(first.Verdict)
 	return second
 }
 
-// usable reports whether an answer is the backend server's own and no failure
-// of it.
+// usable reports whether the answer comes from the backend server and is not a failure.
 func usable(r call.Reply) bool { return r.Reason == verdict.None }
 
+// hedgeAfter returns the hedge delay of a call, and false if it must not be hedged.
 func (d *Dispatcher) hedgeAfter(p Params) (time.Duration, bool) {
 	if !d.cfg.Hedge || !p.Operation.Idempotent || p.Key != "" {
 		return 0, false
@@ -114,50 +110,50 @@
 			return 0, false
 		}
 	}
-	u, known := d.usual[usualKey(p)]
+	u, known := d.averageLatency[operationKey(p)]
 	if !known {
 		return 0, false
 	}
 	return u.hedgeAfter(p.Deadline.Sub(now))
 }
 
-func usualKey(p Params) string { return p.Operation.Service + " " + p.Operation.Name }
+func operationKey(p Params) string { return p.Operation.Service + " " + p.Operation.Name }
 
-// maxUsual bounds the operations whose usual time is known.
-const maxUsual = 4096
+// maxAverages is the maximum number of operations whose latency is tracked.
+const maxAverages = 4096
 
-// timed notes how long an answer took.
-func (d *Dispatcher) timed(p Params, took time.Duration, r call.Reply) {
+// recordLatency adds the latency of a usable answer to the operation's average.
+func (d *Dispatcher) recordLatency(p Params, took time.Duration, r call.Reply) {
 	if !d.cfg.Hedge || !usable(r) {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	key := usualKey(p)
-	u, known := d.usual[key]
+	key := operationKey(p)
+	u, known := d.averageLatency[key]
 	if !known {
-		if len(d.usual) >= maxUsual {
+		if len(d.averageLatency) >= maxAverages {
 			return
 		}
-		u = &usual{}
-		d.usual[key] = u
+		u = &averageLatency{}
+		d.averageLatency[key] = u
 	}
 	u.add(took)
 }
 
-// The wait of a call under way for a backend server that takes work.
+// Limits of the wait for a backend server that accepts work.
 const (
-	// patienceStep is the pause between two looks.
-	patienceStep = 25 * time.Millisecond
-	// patienceShare of the time left is what the wait may take.
-	patienceShare = 0.5
+	// targetPollInterval is the pause between two checks.
+	targetPollInterval = 25 * time.Millisecond
+	// maxTargetWaitShare is the share of the remaining deadline that the wait may use.
+	maxTargetWaitShare = 0.5
 )
 
-// awaitTarget waits a while for a backend server to appear. A call of a request
-// under way that fails at once fails all of it, while the last backend server
-// of a service may only be changing hands.
+// awaitTarget returns the node for the first attempt. For an admitted request it waits some
+// time for one: failing a single call would fail the whole request, while the last backend
+// server of a service may only be in the process of being replaced.
 func (d *Dispatcher) awaitTarget(ctx context.Context, p Params) (target, bool) {
-	until := time.Now().Add(time.Duration(patienceShare * float64(time.Until(p.Deadline))))
+	until := time.Now().Add(time.Duration(maxTargetWaitShare * float64(time.Until(p.Deadline))))
 	for {
 		to, ok := d.firstTarget(p)
 		if ok || !p.Admitted || !time.Now().Before(until) {
@@ -166,7 +162,7 @@
 		select {
 		case <-ctx.Done():
 			return target{}, false
-		case <-time.After(patienceStep):
+		case <-time.After(targetPollInterval):
 		}
 	}
 }
--- a/dispatch/levels.go
+++ b/dispatch/levels.go
@@ -7,8 +7,8 @@
 	"github.com/cassialoom/cassialoom/call"
 )
 
-// learn takes the admission levels that came with a reply.
-func (d *Dispatcher) learn(p Params, r call.Reply) {
+// receiveLevels stores the admission levels that came with a reply.
+func (d *Dispatcher) receiveLevels(p Params, r call.Reply) {
 	if r.From.IsZero() {
 		return
 	}
@@ -17,39 +17,40 @@
 	d.levels(p).Heard(time.Now(), p.Operation.Service, r.From, r.Levels)
 }
 
+// levels returns the levels that apply to the call.
 func (d *Dispatcher) levels(p Params) *admission.Levels {
 	if p.Entering {
-		return d.entering
+		return d.ingressLevels
 	}
-	return d.own
+	return d.backendLevels
 }
 
-// PassOn names the services whose levels are passed on with replies.
+// PassOn sets the services whose levels are forwarded in replies.
 func (d *Dispatcher) PassOn(services []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.own.PassOn(services)
+	d.backendLevels.PassOn(services)
 }
 
-// Levels returns the learned levels to pass on with a reply.
+// Levels returns the received levels to forward in a reply.
 func (d *Dispatcher) Levels(now time.Time) []call.Level {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.own.Report(now)
+	return d.backendLevels.Report(now)
 }
 
-// TellLevels returns what to tell other nodes about levels now.
+// TellLevels returns the level gossip to send now.
 func (d *Dispatcher) TellLevels(now time.Time) []call.LevelNews {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.own.Speak(now)
-	d.entering.Speak(now)
-	return d.news.Tell(now)
+	d.backendLevels.Speak(now)
+	d.ingressLevels.Speak(now)
+	return d.levelGossip.Tell(now)
 }
 
-// HearLevels takes what another node tells about levels.
+// HearLevels receives level gossip from another node.
 func (d *Dispatcher) HearLevels(now time.Time, told []call.LevelNews) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.news.Hear(now, told)
+	d.levelGossip.Hear(now, told)
 }
--- a/dispatch/reroute_test.go
+++ b/dispatch/reroute_test.go
@@ -13,8 +13,9 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// answers is a network whose nodes answer what a script says, by attempt.
-type answers struct {
+// scriptedNetwork answers the n-th attempt with the n-th reply of script, and repeats the
+// last one.
+type scriptedNetwork struct {
 	d       *Dispatcher
 	network *network
 	script  []call.Reply
@@ -22,17 +23,17 @@
 	sent    []call.Request
 }
 
-func (a *answers) Link(_ context.Context, id wire.NodeID) (Link, error) {
-	return &scripted{a: a, to: id, done: make(chan struct{})}, nil
+func (a *scriptedNetwork) Link(_ context.Context, id wire.NodeID) (Link, error) {
+	return &scriptedLink{a: a, to: id, done: make(chan struct{})}, nil
 }
 
-type scripted struct {
-	a    *answers
+type scriptedLink struct {
+	a    *scriptedNetwork
 	to   wire.NodeID
 	done chan struct{}
 }
 
-func (s *scripted) Call(req call.Request) (func() bool, error) {
+func (s *scriptedLink) Call(req call.Request) (func() bool, error) {
 	r := s.a.script[min(len(s.a.asked), len(s.a.script)-1)]
 	s.a.asked = append(s.a.asked, s.to)
 	s.a.sent = append(s.a.sent, req)
@@ -41,13 +42,13 @@
 	return func() bool { return true }, nil
 }
 
-func (s *scripted) Cancel(call.Cancel)    {}
-func (s *scripted) Done() <-chan struct{} { return s.done }
-func (s *scripted) Release()              {}
-func (s *scripted) Answered()             {}
+func (s *scriptedLink) Cancel(call.Cancel)    {}
+func (s *scriptedLink) Done() <-chan struct{} { return s.done }
+func (s *scriptedLink) Release()              {}
+func (s *scriptedLink) Answered()             {}
 
-func newAnswers(change func(*Config), script ...call.Reply) *answers {
-	a := &answers{script: script}
+func newScriptedNetwork(change func(*Config), script ...call.Reply) *scriptedNetwork {
+	a := &scriptedNetwork{script: script}
 	a.network = newNetwork(&network{})
 	cfg := a.network.d.cfg
 	change(&cfg)
@@ -56,30 +57,28 @@
 }
 
 var (
-	elsewhere = call.Reply{Verdict: verdict.NotRun, Reason: verdict.NoBackend}
-	declines  = call.Reply{Verdict: verdict.NotRun, Reason: verdict.Shed, Offered: true}
-	serves    = call.Reply{Verdict: verdict.Ran, Status: 200}
-	loses     = call.Reply{Verdict: verdict.MayHaveRun, Reason: verdict.Lost}
+	notOfferedReply = call.Reply{Verdict: verdict.NotRun, Reason: verdict.NoBackend}
+	declinedReply   = call.Reply{Verdict: verdict.NotRun, Reason: verdict.Shed, Offered: true}
+	servedReply     = call.Reply{Verdict: verdict.Ran, Status: 200}
+	lostReply       = call.Reply{Verdict: verdict.MayHaveRun, Reason: verdict.Lost}
 )
 
-// Two nodes in a row do not hand the call to their backend servers, one is
-// leaving and one is full. The third serves it, and neither the request's ledger
-// nor the budget has paid for that.
-func TestReroutesCostNothing(t *testing.T) {
+// Guards against spending extra attempts on calls that nodes refused without offering them
+// to their backend servers.
+func TestReroutesTakeNoExtraAttempts(t *testing.T) {
 	is := is.New(t)
-	a := newAnswers(func(c *Config) { c.Reroutes = 3 }, elsewhere, elsewhere, serves)
+	a := newScriptedNetwork(func(c *Config) { c.Reroutes = 3 }, notOfferedReply, notOfferedReply, servedReply)
 	p := params(t, "once", 0)
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
 	is.Equal(len(a.asked), 3)
 	is.Equal(a.d.Counts().Retries, uint64(0))
 }
 
-// A backend server declines the call: it has arrived there, so another attempt is
-// an extra one, also when the same backend server is asked again. The ledger, which
-// bounds how many are sent the request, pays for further ones alone.
-func TestDeclinedCallIsOfferedAgainOutOfTheBudget(t *testing.T) {
+// Guards against free attempts after a backend server declined: each offer takes one from
+// the budget, and only those to further backend servers take one from the ledger.
+func TestReoffersAreTakenFromTheBudget(t *testing.T) {
 	is := is.New(t)
-	a := newAnswers(func(c *Config) { c.Reroutes, c.Reoffers = 3, 5 }, declines, declines, declines, serves)
+	a := newScriptedNetwork(func(c *Config) { c.Reroutes, c.Reoffers = 3, 5 }, declinedReply, declinedReply, declinedReply, servedReply)
 	p := params(t, "once", 1)
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
 	further := map[wire.NodeID]bool{}
@@ -91,59 +90,56 @@
 	is.Equal(a.d.Counts().Retries, uint64(3))
 }
 
-// All decline for good. The call ends after its reoffers, and says that it has not
-// run; a budget that is spent ends it sooner.
-func TestOffersEnd(t *testing.T) {
+// Guards against endless offers of a call that all decline: reoffers and the budget limit
+// them, and the outcome is "not run".
+func TestReoffersAreLimited(t *testing.T) {
 	is := is.New(t)
-	a := newAnswers(func(c *Config) { c.Reoffers = 5 }, declines)
+	a := newScriptedNetwork(func(c *Config) { c.Reoffers = 5 }, declinedReply)
 	out := a.d.Call(t.Context(), params(t, "once", 1))
 	is.Equal(out.Verdict, verdict.NotRun)
-	is.Equal(len(a.asked), 7) // the first, a further one, five offers
-	a = newAnswers(func(c *Config) { c.Reoffers, c.Budget.Burst, c.Budget.MinPerSecond = 5, 2, 0 }, declines)
+	is.Equal(len(a.asked), 7) // the first, one of the ledger, five reoffers
+	a = newScriptedNetwork(func(c *Config) { c.Reoffers, c.Budget.Burst, c.Budget.MinPerSecond = 5, 2, 0 }, declinedReply)
 	a.d.Call(t.Context(), params(t, "once", 1))
 	is.Equal(len(a.asked), 3)
 }
 
-// An answer is lost and the idempotent call is made again. The second attempt says
-// that it may be a repeat, so that the calls made for it are counted as extra ones;
-// the first attempt, and one after a refusal, do not.
+// Guards against repeats that look like first attempts: only an attempt after one that may
+// have run is marked.
 func TestRepeatsAreMarked(t *testing.T) {
 	is := is.New(t)
-	a := newAnswers(func(c *Config) { c.Reroutes = 3 }, elsewhere, loses, serves)
+	a := newScriptedNetwork(func(c *Config) { c.Reroutes = 3 }, notOfferedReply, lostReply, servedReply)
 	is.Equal(a.d.Call(t.Context(), params(t, "safe", 2)).Verdict, verdict.Ran)
 	is.Equal(len(a.sent), 3)
 	is.Equal([]bool{a.sent[0].Repeat, a.sent[1].Repeat, a.sent[2].Repeat}, []bool{false, false, true})
 }
 
-// A call of a request under way is not refused by a level that turns away what
-// enters; it carries the id of that request, by which all its calls rank.
-func TestCallsUnderWayPassTheLevels(t *testing.T) {
+// Guards against refusing a call of an admitted request by an admission level, which would
+// waste the request; all its calls carry the id that sets their priority.
+func TestCallsOfAdmittedRequestsPassTheLevels(t *testing.T) {
 	is := is.New(t)
-	shed := serves
+	shed := servedReply
 	shed.Levels = []call.Level{{Service: "s", Priority: 60000}}
-	a := newAnswers(func(*Config) {}, shed)
+	a := newScriptedNetwork(func(*Config) {}, shed)
 	p := params(t, "safe", 0)
 	p.Entering = true
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
-	is.Equal(a.d.Call(t.Context(), p).Reason, verdict.Shed) // it has heard of the level
+	is.Equal(a.d.Call(t.Context(), p).Reason, verdict.Shed) // it has received the level
 	p.Admitted, p.Root = true, "root"
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
 	is.Equal(a.sent[len(a.sent)-1].RootID(), "root")
 }
 
-// Requests of one kind fail after they made calls. The next caller who says that it
-// has time is told at once that its request has not run and when to come back; calls
-// of requests under way go on, and so do requests whose backend server fails by
-// itself.
-func TestRequestsAreDeferredWhileTheirKindFails(t *testing.T) {
+// Guards against accepting requests of a failing route. Calls of admitted requests and
+// requests that fail at their own backend server are not deferred.
+func TestRequestsAreDeferredWhileTheirRouteFails(t *testing.T) {
 	is := is.New(t)
 	failing := call.Reply{Verdict: verdict.Ran, Status: 500, Used: []call.Use{{Service: "below"}}}
-	enter := func(a *answers) call.Outcome {
+	enter := func(a *scriptedNetwork) call.Outcome {
 		p := params(t, "once", 0)
 		p.Entering, p.Patience = true, 6*time.Second
 		return a.d.Call(t.Context(), p)
 	}
-	a := newAnswers(func(c *Config) { c.Outlook = admission.DefaultOutlookConfig() }, failing)
+	a := newScriptedNetwork(func(c *Config) { c.Outlook = admission.DefaultOutlookConfig() }, failing)
 	for range 10 {
 		enter(a)
 	}
@@ -158,28 +154,28 @@
 	is.Equal(len(a.asked), asked+1)
 
 	alone := call.Reply{Verdict: verdict.Ran, Status: 500}
-	a = newAnswers(func(c *Config) { c.Outlook = admission.DefaultOutlookConfig() }, alone)
+	a = newScriptedNetwork(func(c *Config) { c.Outlook = admission.DefaultOutlookConfig() }, alone)
 	for range 20 {
 		is.Equal(enter(a).Status, 500)
 	}
 }
 
-// The node that sets a level sees only what the level lets in. Each request that enters
-// carries the level by which it was; the calls made for it carry the same.
-func TestRequestsCarryWhatLetThemIn(t *testing.T) {
+// Guards against a node that can't tell by which level a request was admitted: entering
+// requests and their calls carry the admitted levels.
+func TestRequestsCarryAdmittedLevels(t *testing.T) {
 	is := is.New(t)
-	low := serves
+	low := servedReply
 	low.Levels = []call.Level{{Service: "s", Priority: 1}}
-	a := newAnswers(func(*Config) {}, low)
+	a := newScriptedNetwork(func(*Config) {}, low)
 	p := params(t, "safe", 0)
 	p.Entering = true
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
-	is.Equal(a.sent[0].Bar("s"), uint16(0)) // it had heard of none
+	is.Equal(a.sent[0].Bar("s"), uint16(0)) // no level received yet
 	is.Equal(a.sent[1].Bar("s"), uint16(1))
 	p.Entering, p.Admitted, p.Root = false, true, "root"
 	p.Bars = []call.Level{{Service: "below", Priority: 9}}
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
 	is.Equal(a.sent[2].Bar("below"), uint16(9))
-	is.Equal(a.sent[2].Root, "root") // by which it fares like the request
+	is.Equal(a.sent[2].Root, "root") // sets the priority of the request
 }
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -10,59 +10,58 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// once makes one attempt. Its reply is the callee's, or stands for what is
-// known without one.
+// once makes one attempt and records its result for the balancer, hedging and admission
+// levels. The reply is synthetic if the callee sent none.
 func (d *Dispatcher) once(ctx context.Context, p Params, to target) call.Reply {
 	sent := time.Now()
 	reply := d.send(ctx, p, to)
 	took := time.Since(sent)
 	d.picked(p, to, took, reply)
-	d.timed(p, took, reply)
-	d.learn(p, reply)
+	d.recordLatency(p, took, reply)
+	d.receiveLevels(p, reply)
 	return reply
 }
 
-// send hands one attempt to a node and awaits its answer.
+// send sends one attempt to a node and waits for its answer.
 func (d *Dispatcher) send(ctx context.Context, p Params, to target) call.Reply {
 	link, err := d.linker.Link(ctx, to.id)
 	if err != nil {
-		return refused(notHandedOver(ctx, to, err))
+		return errorReply(notSent(ctx, to, err))
 	}
 	defer link.Release()
 	grant := d.grant(p)
-	req := d.request(p, to.id, grant.Extra)
-	w := d.expect(req.Seq, to.id)
-	defer d.forget(req.Seq)
+	req := d.newRequest(p, to.id, grant.Extra)
+	w := d.addPending(req.Seq, to.id)
+	defer d.removePending(req.Seq)
 	written, err := link.Call(req)
 	if err != nil {
-		d.giveBack(p, grant, grant.Extra)
-		return refused(notHandedOver(ctx, to, err))
+		d.returnGrant(p, grant, grant.Extra)
+		return errorReply(notSent(ctx, to, err))
 	}
-	reply, settled := d.await(ctx, link, w, req, written, to)
+	reply, settled := d.awaitReply(ctx, link, w, req, written, to)
 	if settled {
-		d.giveBack(p, grant, reply.Unused)
+		d.returnGrant(p, grant, reply.Unused)
 	} else {
-		d.forfeit(p, grant)
+		d.forfeitGrant(p, grant)
 	}
 	return reply
 }
 
-// notHandedOver is the answer for an attempt that never left. It is "not run",
-// but for one to a key's holder: the key may have run there before.
-func notHandedOver(ctx context.Context, to target, err error) *verdict.Error {
-	if to.holder {
+// notSent returns the error of an attempt that was never sent. It is "not run", except for
+// a key's holder: the key may have run there before.
+func notSent(ctx context.Context, to target, err error) *verdict.Error {
+	if to.keyHolder {
 		return verdict.Doubt(verdict.KeyHolderGone, "the node %s that the key is bound to does not answer: %v", to.id.Short(), err)
 	}
 	if ctx.Err() != nil {
-		return ended(ctx, verdict.NotRun)
+		return contextError(ctx, verdict.NotRun)
 	}
-	return verdict.Refuse(verdict.Lost, "not handed over to %s: %v", to.id.Short(), err)
+	return verdict.Refuse(verdict.Lost, "request not sent to %s: %v", to.id.Short(), err)
 }
 
-// await waits for the answer, the end of the connection, or the end of the
-// caller's patience, whichever comes first. settled says that what is unused
-// of the grant is known.
-func (d *Dispatcher) await(ctx context.Context, link Link, w *wait, req call.Request, written func() bool, to target) (r call.Reply, settled bool) {
+// awaitReply waits for the answer, the end of the connection, or the end of ctx. settled
+// says that the unused part of the grant is known.
+func (d *Dispatcher) awaitReply(ctx context.Context, link Link, w *pendingAttempt, req call.Request, written func() bool, to target) (r call.Reply, settled bool) {
 	select {
 	case r := <-w.reply:
 		link.Answered()
@@ -70,9 +69,9 @@
 	case <-link.Done():
 	case <-ctx.Done():
 		link.Cancel(call.Cancel{From: req.From, Seq: req.Seq, To: req.To})
-		return refused(ended(ctx, verdict.MayHaveRun)), false
+		return errorReply(contextError(ctx, verdict.MayHaveRun)), false
 	}
-	// The answer may have come just before the connection ended.
+	// The answer may have arrived just before the connection closed.
 	select {
 	case r := <-w.reply:
 		return r, true
@@ -80,29 +79,31 @@
 	}
 	d.count(func(c *Counts) { c.Lost++ })
 	if !written() {
-		r := refused(notHandedOver(ctx, to, errEnded))
+		r := errorReply(notSent(ctx, to, errConnectionEnded))
 		r.Unused = req.Grant
 		return r, true
 	}
-	return refused(verdict.Doubt(verdict.Lost, "connection to %s ended before the answer", req.To.Short())), false
+	return errorReply(verdict.Doubt(verdict.Lost, "connection to %s ended before the answer", req.To.Short())), false
 }
 
-var errEnded = errors.New("the connection ended")
+var errConnectionEnded = errors.New("the connection ended")
 
-func ended(ctx context.Context, v verdict.Verdict) *verdict.Error {
+// contextError returns the error of a call whose context has ended.
+func contextError(ctx context.Context, v verdict.Verdict) *verdict.Error {
 	if ctx.Err() == context.DeadlineExceeded {
 		return &verdict.Error{Verdict: v, Reason: verdict.Deadline, Detail: "deadline passed"}
 	}
 	return &verdict.Error{Verdict: v, Reason: verdict.Canceled, Detail: "caller went away"}
 }
 
-func refused(err *verdict.Error) call.Reply {
+// errorReply returns the synthetic reply for an error.
+func errorReply(err *verdict.Error) call.Reply {
 	return call.Reply{Verdict: err.Verdict, Reason: err.Reason, Detail: err.Detail, RetryAfter: err.RetryAfter}
 }
 
-func (d *Dispatcher) request(p Params, to wire.NodeID, grant uint32) call.Request {
-	left := time.Until(p.Deadline)
-	margin := min(d.cfg.Margin, left/10)
+func (d *Dispatcher) newRequest(p Params, to wire.NodeID, grant uint32) call.Request {
+	remaining := time.Until(p.Deadline)
+	margin := min(d.cfg.Margin, remaining/10)
 	return call.Request{
 		From:        d.cfg.Self,
 		Seq:         d.seq.Add(1),
@@ -111,7 +112,7 @@
 		Service:     p.Operation.Service,
 		Operation:   p.Operation.Name,
 		Importance:  p.Importance,
-		Budget:      left - margin,
+		Budget:      remaining - margin,
 		Grant:       grant,
 		Key:         p.Key,
 		Fingerprint: p.Fingerprint,
@@ -128,34 +129,33 @@
 	}
 }
 
-func (d *Dispatcher) expect(seq uint64, to wire.NodeID) *wait {
-	w := &wait{to: to, reply: make(chan call.Reply, 1)}
+func (d *Dispatcher) addPending(seq uint64, to wire.NodeID) *pendingAttempt {
+	w := &pendingAttempt{to: to, reply: make(chan call.Reply, 1)}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.counts.Attempts++
-	d.waiting[seq] = w
+	d.pending[seq] = w
 	return w
 }
 
-func (d *Dispatcher) forget(seq uint64) {
+func (d *Dispatcher) removePending(seq uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.waiting, seq)
+	delete(d.pending, seq)
 }
 
-// Reply takes an answer from the network. from is the incarnation at the
-// other end of the connection that it came by. One that matches no waiting
-// attempt is dropped: it is late, repeated, or from another incarnation, and
-// must not reach another caller.
+// Reply accepts an answer from the network; from is the incarnation at the other end of
+// its connection. An answer that matches no pending attempt is dropped, since it must not
+// reach another caller: it is late, duplicated, or from another incarnation.
 func (d *Dispatcher) Reply(from wire.NodeID, r call.Reply) {
 	d.mu.Lock()
-	w, ok := d.waiting[r.Seq]
+	w, ok := d.pending[r.Seq]
 	if !ok || r.To != d.cfg.Self || w.to != from || r.From != from {
 		d.counts.Unmatched++
 		d.mu.Unlock()
 		return
 	}
-	delete(d.waiting, r.Seq)
+	delete(d.pending, r.Seq)
 	d.mu.Unlock()
 	if !r.Reason.Valid() {
 		r.Reason = verdict.Internal
--- a/dispatch/spend.go
+++ b/dispatch/spend.go
@@ -8,9 +8,10 @@
 	"github.com/cassialoom/cassialoom/call"
 )
 
-// spend finds a node for another attempt and takes the attempt from the
-// request and from the node's budget. Nothing is taken when there is no node.
-func (d *Dispatcher) spend(ctx context.Context, p Params, a *attempts, r call.Reply, next *target, hop *int) bool {
+// acquireRetry chooses a node for another attempt, stores it in next and takes the extra
+// attempt, unless a reroute makes it free. It returns false, and takes nothing, if there is
+// no node or no extra attempt.
+func (d *Dispatcher) acquireRetry(ctx context.Context, p Params, a *attempts, r call.Reply, next *target, hopAttemptsLeft *int) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -18,7 +19,7 @@
 	if !ok {
 		return false
 	}
-	if !a.free(r) && !d.take(p, a, to, hop) {
+	if !a.takeReroute(r) && !d.takeRetry(p, a, to, hopAttemptsLeft) {
 		d.release(p, to)
 		return false
 	}
@@ -26,13 +27,13 @@
 	return true
 }
 
-// take takes the extra attempt at a target from the bounds. Offering a call again
-// to one that declined it is an attempt for the budget, but sends the request to
-// no further backend server.
-func (d *Dispatcher) take(p Params, a *attempts, to target, hop *int) bool {
+// takeRetry takes an extra attempt at a target from the ledger and the budget, and returns
+// false if there is none. With Config.Reoffers, another attempt at a node that was already
+// tried takes one from the budget alone, since the request reaches no further node.
+func (d *Dispatcher) takeRetry(p Params, a *attempts, to target, hopAttemptsLeft *int) bool {
 	if d.cfg.HopAttempts > 0 {
-		*hop--
-		return *hop >= 0
+		*hopAttemptsLeft--
+		return *hopAttemptsLeft >= 0
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/dispatch/targets.go
+++ b/dispatch/targets.go
@@ -18,39 +18,40 @@
 
 // picker chooses among the nodes of one service.
 type picker struct {
-	balancer   *balancer.Picker
-	candidates []balancer.Candidate
-	version    uint64
-	turn       int // for the round robin of experiments
+	balancer        *balancer.Picker
+	candidates      []balancer.Candidate
+	version         uint64
+	roundRobinIndex int // for Config.RoundRobin
 }
 
 // target is the node for one attempt.
 type target struct {
 	id wire.NodeID
-	// picked says that the balancer chose it and counts it until Done.
+	// picked says that the balancer chose the node and counts the attempt until Done.
 	picked bool
-	// holder says that a key is bound to the node: if it cannot be asked,
-	// nobody knows whether the key has run there.
-	holder bool
+	// keyHolder says that a key is bound to the node. If the node can't be reached,
+	// it is unknown whether the key has run there.
+	keyHolder bool
 }
 
+// firstTarget returns the node for the first attempt; there may be none.
 func (d *Dispatcher) firstTarget(p Params) (target, bool) {
 	if !p.Holder.IsZero() {
-		return target{id: p.Holder, holder: true}, true
+		return target{id: p.Holder, keyHolder: true}, true
 	}
 	return d.pick(p, nil)
 }
 
-// nextTarget finds the node for another attempt; there may be none. One that
-// may have run with its key stays at the one incarnation that remembers it.
+// nextTarget returns the node for another attempt; there may be none. A keyed call that
+// may have run stays at the incarnation that remembers its key.
 func (d *Dispatcher) nextTarget(p Params, a *attempts, r call.Reply) (target, bool) {
 	if !p.Holder.IsZero() {
-		return target{id: p.Holder, holder: true}, true
+		return target{id: p.Holder, keyHolder: true}, true
 	}
 	if a.keyed && r.Verdict != verdict.NotRun {
-		return target{id: a.tried[len(a.tried)-1], holder: true}, true
+		return target{id: a.tried[len(a.tried)-1], keyHolder: true}, true
 	}
-	if !declined(r) || a.reoffers == 0 {
+	if !declined(r) || a.reoffersLeft == 0 {
 		return d.pick(p, a.tried)
 	}
 	if p.Ledger.Left() > 0 {
@@ -58,12 +59,12 @@
 			return to, true
 		}
 	}
-	a.reoffers--
-	return d.pickAmong(p, a.tried)
+	a.reoffersLeft--
+	return d.pickTried(p, a.tried)
 }
 
-// pickAmong chooses among the nodes that were tried already.
-func (d *Dispatcher) pickAmong(p Params, tried []wire.NodeID) (target, bool) {
+// pickTried chooses among the nodes that were already tried.
+func (d *Dispatcher) pickTried(p Params, tried []wire.NodeID) (target, bool) {
 	candidates, _ := d.members.Candidates(p.Operation.Service)
 	var others []wire.NodeID
 	for _, c := range candidates {
@@ -74,9 +75,9 @@
 	return d.pick(p, others)
 }
 
-// pick chooses the node for an attempt. A caller's own key goes to the same
-// node each time while the view is the same, since that node has bound it;
-// elsewhere it would be redirected.
+// pick chooses the node for an attempt, excluding those tried. A caller's own key goes to
+// the same node as long as the candidates stay the same, since that node has bound it; any
+// other node would redirect it.
 func (d *Dispatcher) pick(p Params, tried []wire.NodeID) (target, bool) {
 	candidates, version := d.members.Candidates(p.Operation.Service)
 	d.mu.Lock()
@@ -113,12 +114,12 @@
 	if len(pk.candidates) == 0 {
 		return wire.NodeID{}, false
 	}
-	pk.turn++
-	return pk.candidates[pk.turn%len(pk.candidates)].ID, true
+	pk.roundRobinIndex++
+	return pk.candidates[pk.roundRobinIndex%len(pk.candidates)].ID, true
 }
 
-// Unreachable tells that the connection to a node passes nothing: calls go to other
-// nodes for a while.
+// Unreachable records that the connection to a node has gone silent. The pickers of all
+// services eject the node for a while.
 func (d *Dispatcher) Unreachable(id wire.NodeID) {
 	now := time.Now()
 	d.mu.Lock()
@@ -128,8 +129,8 @@
 	}
 }
 
-// Choose returns a node of the service for something other than a call, such
-// as minting a key.
+// Choose returns a random node of the service for something other than a call, such as
+// minting a key.
 func (d *Dispatcher) Choose(service string) (wire.NodeID, bool) {
 	candidates, _ := d.members.Candidates(service)
 	if len(candidates) == 0 {
@@ -140,8 +141,8 @@
 	return candidates[d.random.IntN(len(candidates))].ID, true
 }
 
-// rendezvous returns the untried candidate with the highest hash of key and
-// identity.
+// rendezvous returns the candidate not yet tried with the highest hash of key and id
+// (rendezvous hashing).
 func rendezvous(key string, candidates []balancer.Candidate, tried []wire.NodeID) (wire.NodeID, bool) {
 	var best wire.NodeID
 	var high uint64
@@ -164,21 +165,21 @@
 	return xxhash.Sum64(b[:])
 }
 
-// picked tells the balancer how an attempt at a node of its choice ended.
+// picked reports the result of an attempt to the balancer.
 func (d *Dispatcher) picked(p Params, to target, latency time.Duration, r call.Reply) {
 	if !to.picked {
 		return
 	}
 	d.done(p, to, balancer.Result{
 		Latency:  latency,
-		Outcome:  balance(r),
+		Outcome:  balancerOutcome(r),
 		InFlight: int(r.InFlight),
 		Limit:    int(r.Limit),
 		Faults:   float64(r.Faults) / 100,
 	})
 }
 
-// release takes back a choice that was not used.
+// release undoes a choice of the balancer that was not used.
 func (d *Dispatcher) release(p Params, to target) {
 	if to.picked {
 		d.done(p, to, balancer.Result{Outcome: balancer.Neutral})
@@ -191,7 +192,7 @@
 	d.picker(p.Operation.Service).balancer.Done(time.Now(), to.id, r)
 }
 
-func balance(r call.Reply) balancer.Outcome {
+func balancerOutcome(r call.Reply) balancer.Outcome {
 	switch {
 	case r.Reason == verdict.Canceled, r.Reason == verdict.Deadline && r.From.IsZero():
 		return balancer.Abandoned
@@ -206,33 +207,33 @@
 	}
 }
 
-// grant takes the share of one attempt out of the request's ledger.
+// grant takes the grant for one attempt from the request's ledger.
 func (d *Dispatcher) grant(p Params) retry.Grant {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return p.Ledger.Grant(p.Operation.Height(), p.Fanout)
 }
 
-func (d *Dispatcher) giveBack(p Params, g retry.Grant, unused uint32) {
+func (d *Dispatcher) returnGrant(p Params, g retry.Grant, unused uint32) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p.Ledger.Return(g, unused)
 }
 
-func (d *Dispatcher) forfeit(p Params, g retry.Grant) {
+func (d *Dispatcher) forfeitGrant(p Params, g retry.Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p.Ledger.Forfeit(g)
 }
 
-// CloseLedger ends a ledger and returns what is left in it.
+// CloseLedger closes a ledger and returns the unused extra attempts.
 func (d *Dispatcher) CloseLedger(l *retry.Ledger) uint32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return l.Close()
 }
 
-// newEvent is what all notes about a call say.
+// newEvent returns an event with the fields common to all steps of a call.
 func newEvent(now time.Time, p Params, step explain.Step) explain.Event {
 	return explain.Event{
 		RequestID: p.RequestID,
@@ -245,7 +246,7 @@
 	}
 }
 
-// noteRefused notes that a call ends before anything was sent.
+// noteRefused records that a call ended before anything was sent.
 func (d *Dispatcher) noteRefused(p Params, err *verdict.Error) {
 	now := time.Now()
 	e := newEvent(now, p, explain.Refused)
@@ -253,8 +254,8 @@
 	d.notes.Note(now, e)
 }
 
-// noteAgain notes that an attempt is followed by another one.
-func (d *Dispatcher) noteAgain(p Params, a *attempts, r call.Reply) {
+// noteRetry records that an attempt is followed by another one.
+func (d *Dispatcher) noteRetry(p Params, a *attempts, r call.Reply) {
 	now := time.Now()
 	e := newEvent(now, p, explain.Retried)
 	e.Verdict, e.Reason, e.Detail = r.Verdict.String(), r.Reason, r.Detail
@@ -262,6 +263,7 @@
 	d.notes.Note(now, e)
 }
 
+// noteOutcome records the final outcome of a call.
 func (d *Dispatcher) noteOutcome(p Params, a *attempts, o call.Outcome, start time.Time) {
 	now := time.Now()
 	e := newEvent(now, p, explain.Answered)
