--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -20,7 +20,7 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// event is what happens to one attempt. With the first four it never runs.
+// event is what happens to one attempt. With the first four the call never runs.
 type event int
 
 const (
--- a/dispatch/hedge.go
+++ b/dispatch/hedge.go
@@ -57,12 +57,12 @@
 	after, ok := d.hedgeAfter(p)
 	a.tried = append(a.tried, to.id)
 	if !ok {
-		return d.once(ctx, p, to)
+		return d.sendAndRecord(ctx, p, to)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answers := make(chan call.Reply, 2) // buffered: the second may never be read
-	ask := func(p Params, to target) { answers <- d.once(ctx, p, to) }
+	ask := func(p Params, to target) { answers <- d.sendAndRecord(ctx, p, to) }
 	go ask(p, to)
 	timer := time.NewTimer(after)
 	defer timer.Stop()
--- a/dispatch/reroute_test.go
+++ b/dispatch/reroute_test.go
@@ -81,12 +81,12 @@
 	a := newScriptedNetwork(func(c *Config) { c.Reroutes, c.Reoffers = 3, 5 }, declinedReply, declinedReply, declinedReply, servedReply)
 	p := params(t, "once", 1)
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
-	further := map[wire.NodeID]bool{}
+	distinct := map[wire.NodeID]bool{}
 	for _, id := range a.asked {
-		further[id] = true
+		distinct[id] = true
 	}
 	is.Equal(len(a.asked), 4)
-	is.Equal(len(further), 2) // max-attempts of two
+	is.Equal(len(distinct), 2) // max-attempts of two
 	is.Equal(a.d.Counts().Retries, uint64(3))
 }
 
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -10,9 +10,9 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// once makes one attempt and records its result for the balancer, hedging and admission
+// sendAndRecord makes one attempt and records its result for the balancer, hedging and admission
 // levels. The reply is synthetic if the callee sent none.
-func (d *Dispatcher) once(ctx context.Context, p Params, to target) call.Reply {
+func (d *Dispatcher) sendAndRecord(ctx context.Context, p Params, to target) call.Reply {
 	sent := time.Now()
 	reply := d.send(ctx, p, to)
 	took := time.Since(sent)
--- a/dispatch/spend.go
+++ b/dispatch/spend.go
@@ -37,8 +37,8 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	further := d.cfg.Reoffers == 0 || !slices.Contains(a.tried, to.id)
-	if further && p.Ledger.Left() == 0 {
+	newTarget := d.cfg.Reoffers == 0 || !slices.Contains(a.tried, to.id)
+	if newTarget && p.Ledger.Left() == 0 {
 		return false
 	}
 	now := time.Now()
@@ -46,7 +46,7 @@
 		d.counts.OverBudget++
 		return false
 	}
-	if further {
+	if newTarget {
 		p.Ledger.Spend()
 	}
 	d.counts.Retries++
--- a/dispatch/targets.go
+++ b/dispatch/targets.go
@@ -170,7 +170,7 @@
 	if !to.picked {
 		return
 	}
-	d.done(p, to, balancer.Result{
+	d.balancerDone(p, to, balancer.Result{
 		Latency:  latency,
 		Outcome:  balancerOutcome(r),
 		InFlight: int(r.InFlight),
@@ -182,16 +182,18 @@
 // release undoes a choice of the balancer that was not used.
 func (d *Dispatcher) release(p Params, to target) {
 	if to.picked {
-		d.done(p, to, balancer.Result{Outcome: balancer.Neutral})
+		d.balancerDone(p, to, balancer.Result{Outcome: balancer.Neutral})
 	}
 }
 
-func (d *Dispatcher) done(p Params, to target, r balancer.Result) {
+// balancerDone reports the end of an attempt to the balancer of its service.
+func (d *Dispatcher) balancerDone(p Params, to target, r balancer.Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.picker(p.Operation.Service).balancer.Done(time.Now(), to.id, r)
 }
 
+// balancerOutcome maps a reply to an outcome for the balancer.
 func balancerOutcome(r call.Reply) balancer.Outcome {
 	switch {
 	case r.Reason == verdict.Canceled, r.Reason == verdict.Deadline && r.From.IsZero():
