--- a/poison/cluster_test.go
+++ b/poison/cluster_test.go
@@ -9,26 +9,25 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// policy is what the cluster asks: a Guard or a naive version.
+// policy is the policy under test: a Guard or a naive implementation.
 type policy interface {
 	Check(now time.Time, fp uint64) Mode
-	Place(now time.Time, fp uint64, nodes []wire.NodeID) wire.NodeID
-	Start(now time.Time, fp uint64) bool
+	IsolationNode(now time.Time, fp uint64, nodes []wire.NodeID) wire.NodeID
+	StartIsolated(now time.Time, fp uint64) bool
 	Finished(now time.Time, fp uint64) []Notice
-	Crashed(now time.Time, inFlight []uint64, alone bool) []Notice
+	Crashed(now time.Time, inFlight []uint64, isolated bool) []Notice
 	Receive(now time.Time, n Notice) []Notice
-	About(now time.Time, fp uint64) []Notice
+	NoticeFor(now time.Time, fp uint64) []Notice
 	Gossip(now time.Time, limit int) []Notice
 }
 
-// member is a node with its backend server, which is up again at once after a
-// crash.
+// member is a node with its backend server, which restarts at once after a crash.
 type member struct {
 	policy
-	id      wire.NodeID
-	waiting []uint64
-	running []uint64
-	alone   bool
+	id       wire.NodeID
+	waiting  []uint64
+	running  []uint64
+	isolated bool
 }
 
 type message struct {
@@ -36,21 +35,21 @@
 	notice Notice
 }
 
-// cluster is a service whose nodes are joined by a network that delivers
-// notices when the test says so. Requests below firstInnocent crash each
-// backend server that runs them.
+// cluster simulates a service whose nodes exchange notices over a network
+// controlled by the test. Requests below firstInnocent crash each backend server
+// that runs them.
 type cluster struct {
 	now     time.Time
 	nodes   []*member
 	ids     []wire.NodeID
 	network []message
-	// unsure says whether a node sees those whose backend server the request
-	// crashed as not ready at this moment; nil for never.
-	unsure    func() bool
-	crashedBy map[uint64][]wire.NodeID
-	// turned is a request that was innocent and crashes from now on.
-	turned uint64
-	// The oracle: backend servers crashed by a request, and requests refused.
+	// viewsDiffer reports whether a node now sees the nodes whose backend server the
+	// request crashed as not ready; nil means never.
+	viewsDiffer func() bool
+	crashedBy   map[uint64][]wire.NodeID
+	// turnedCrasher is an innocent request that crashes backend servers from now on.
+	turnedCrasher uint64
+	// Oracle, by request: number of crashed backend servers and of refusals.
 	crashes map[uint64]int
 	refused map[uint64]int
 }
@@ -69,8 +68,8 @@
 
 func newGuard(id wire.NodeID) policy { return New(DefaultConfig(), id) }
 
-// submit is a caller that sends the request to the node entry, which sends it
-// to the node to unless it has to run alone.
+// submit sends a request from the node entry to the node to, or to its isolation
+// node if it is a suspect.
 func (c *cluster) submit(entry, to int, fp uint64) {
 	sender, target := c.nodes[entry], c.nodes[to]
 	mode := sender.Check(c.now, fp)
@@ -78,51 +77,52 @@
 		c.refused[fp]++
 		return
 	}
-	if mode == Alone {
-		place := slices.Index(c.ids, sender.Place(c.now, fp, c.ready(fp)))
-		if place < 0 {
+	if mode == Isolated {
+		node := slices.Index(c.ids, sender.IsolationNode(c.now, fp, c.ready(fp)))
+		if node < 0 {
 			return // no node is ready
 		}
-		target = c.nodes[place]
-		tell(c.now, sender, target, fp)
+		target = c.nodes[node]
+		sendNotices(c.now, sender, target, fp)
 	}
-	if mode == Normal && target.Check(c.now, fp) == Alone && target.Place(c.now, fp, c.ready(fp)) != target.id {
-		// Not run: both tell what they know, and the sender tries again.
-		tell(c.now, target, sender, fp)
-		tell(c.now, sender, target, fp)
+	if mode == Normal && target.Check(c.now, fp) == Isolated && target.IsolationNode(c.now, fp, c.ready(fp)) != target.id {
+		// Refused: both nodes exchange notices and the sender retries.
+		sendNotices(c.now, target, sender, fp)
+		sendNotices(c.now, sender, target, fp)
 		c.submit(entry, to, fp)
 		return
 	}
 	target.waiting = append(target.waiting, fp)
-	c.pump(target)
+	c.startWaiting(target)
 }
 
-// ready is the view that a node has of the ready nodes. Views agree but for the
-// nodes that the request made fail.
+// ready returns the ready nodes as one node sees them. Views differ only in the
+// nodes that the request has crashed.
 func (c *cluster) ready(fp uint64) []wire.NodeID {
-	if c.unsure == nil || !c.unsure() {
+	if c.viewsDiffer == nil || !c.viewsDiffer() {
 		return c.ids
 	}
 	return slices.DeleteFunc(slices.Clone(c.ids), func(id wire.NodeID) bool { return slices.Contains(c.crashedBy[fp], id) })
 }
 
-func tell(now time.Time, from, to *member, fp uint64) {
-	for _, n := range from.About(now, fp) {
+// sendNotices sends what one node knows of the request to another, at once.
+func sendNotices(now time.Time, from, to *member, fp uint64) {
+	for _, n := range from.NoticeFor(now, fp) {
 		to.Receive(now, n)
 	}
 }
 
-// pump starts what may start. While a suspect waits or runs, nothing else
-// starts beside it.
-func (c *cluster) pump(m *member) {
-	for len(m.waiting) > 0 && !m.alone {
+// startWaiting starts waiting requests in order. Nothing else starts while a suspect
+// waits or runs.
+func (c *cluster) startWaiting(m *member) {
+	for len(m.waiting) > 0 && !m.isolated {
 		fp := m.waiting[0]
 		mode := m.Check(c.now, fp)
-		if mode == Alone && len(m.running) > 0 {
+		if mode == Isolated && len(m.running) > 0 {
 			return
 		}
-		if mode == Alone && (!m.Start(c.now, fp) || m.Start(c.now, fp)) {
-			panic("none or two suspects agreed to")
+		if mode == Isolated && (!m.StartIsolated(c.now, fp) || m.StartIsolated(c.now, fp)) {
+			panic("StartIsolated did not return true exactly once")
 		}
 		m.waiting = m.waiting[1:]
 		if mode == Refuse {
@@ -130,28 +130,29 @@
 			continue
 		}
 		m.running = append(m.running, fp)
-		m.alone = mode == Alone
+		m.isolated = mode == Isolated
 	}
 }
 
-// end ends the i-th request that runs at a node, in the way of its kind.
+// end ends the i-th running request of a node: it crashes the backend server or
+// finishes.
 func (c *cluster) end(m *member, i int) {
 	fp := m.running[i]
-	if fp < firstInnocent || fp == c.turned {
+	if fp < firstInnocent || fp == c.turnedCrasher {
 		c.crashes[fp]++
 		c.crashedBy[fp] = append(c.crashedBy[fp], m.id)
-		inFlight, alone := m.running, m.alone
-		m.running, m.alone = nil, false
-		c.broadcast(m, m.Crashed(c.now, inFlight, alone))
+		inFlight, isolated := m.running, m.isolated
+		m.running, m.isolated = nil, false
+		c.broadcast(m, m.Crashed(c.now, inFlight, isolated))
 	} else {
 		m.running = slices.Delete(m.running, i, i+1)
-		m.alone = false
+		m.isolated = false
 		c.broadcast(m, m.Finished(c.now, fp))
 	}
-	c.pump(m)
+	c.startWaiting(m)
 }
 
-// broadcast puts notices on the way to all other nodes, as bytes.
+// broadcast encodes notices and puts them in transit to all other nodes.
 func (c *cluster) broadcast(from *member, notices []Notice) {
 	for _, n := range notices {
 		b, err := wire.Marshal(n)
@@ -170,8 +171,8 @@
 	}
 }
 
-// deliver takes the i-th message to its node, which passes on what is news. If
-// again holds it arrives once more at some other time.
+// deliver delivers the i-th message in transit, and puts what its node forwards in
+// transit. If again is set, a copy stays in transit.
 func (c *cluster) deliver(i int, again bool) {
 	msg := c.network[i]
 	if !again {
@@ -186,7 +187,7 @@
 	}
 }
 
-// deliverCrashes delivers the notices of crashes, which arrive again later.
+// deliverCrashes delivers a copy of each notice in transit that reports a crash.
 func (c *cluster) deliverCrashes() {
 	for i := 0; i < len(c.network); i++ {
 		if c.network[i].notice.State != Cleared {
@@ -195,8 +196,8 @@
 	}
 }
 
-// repair lets every node tell all others what it knows, without loss.
-func (c *cluster) repair() {
+// gossipToAll runs two rounds of gossip from every node to all others, without loss.
+func (c *cluster) gossipToAll() {
 	for range 2 {
 		for _, m := range c.nodes {
 			c.broadcast(m, m.Gossip(c.now, 1000))
@@ -205,8 +206,8 @@
 	}
 }
 
-// settle ends all that runs and delivers all notices.
-func (c *cluster) settle() {
+// finishAll ends all running requests and delivers all notices.
+func (c *cluster) finishAll() {
 	c.deliverAll()
 	for _, m := range c.nodes {
 		for len(m.running) > 0 {
@@ -216,20 +217,19 @@
 	}
 }
 
-// resendEverywhere is a caller that sends the request through every node at
-// once.
+// resendEverywhere sends the request to every node at once.
 func (c *cluster) resendEverywhere(fp uint64) {
 	for i := range c.nodes {
 		c.submit(i, i, fp)
 	}
 }
 
-// suspected reports whether any node knows of the request.
+// suspected reports whether the request is suspected or quarantined at any node.
 func (c *cluster) suspected(fp uint64) bool {
 	return slices.ContainsFunc(c.nodes, func(m *member) bool { return m.Check(c.now, fp) != Normal })
 }
 
-// noGuard is the naive version that lets everything run.
+// noGuard is a naive policy that lets every request run.
 type noGuard struct{ policy }
 
 func (noGuard) Check(time.Time, uint64) Mode               { return Normal }
@@ -237,7 +237,7 @@
 func (noGuard) Crashed(time.Time, []uint64, bool) []Notice { return nil }
 func (noGuard) Receive(time.Time, Notice) []Notice         { return nil }
 
-// banAll is the naive version that refuses all that was in flight at a crash.
+// banAll is a naive policy that refuses every request that was in flight at a crash.
 type banAll struct {
 	noGuard
 	banned map[uint64]bool
--- a/poison/fingerprint.go
+++ b/poison/fingerprint.go
@@ -9,12 +9,10 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Fingerprint names the content of a request. A caller that sends it again
-// gives it a new request id but cannot change the content that crashes the
-// backend server, so the fingerprint stays the same at every node.
+// Fingerprint returns a hash of the content of a request. It is the same at every
+// node and for every resend: a resend has a new request ID but the same content.
 //
-// The hash is not cryptographic: it tells requests apart that are not crafted
-// to collide.
+// The hash is not cryptographic: requests can be crafted to collide.
 func Fingerprint(service, operation, query string, body []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -25,8 +23,8 @@
 	return d.Sum64()
 }
 
-// writeField writes the length first, so that no two lists of fields give the
-// same bytes.
+// writeField writes a length prefix and the field, so that different lists of
+// fields give different bytes.
 func writeField(d *xxhash.Digest, s string) {
 	var length [4]byte
 	binary.LittleEndian.PutUint32(length[:], uint32(min(len(s), math.MaxUint32)))
@@ -34,16 +32,16 @@
 	_, _ = d.WriteString(s)
 }
 
-// Quarantine returns the node at which a suspect runs alone: the first of the
-// nodes by rendezvous hash, the same at every node with the same view. One
-// place for each fingerprint keeps a poison request that is sent through
-// several nodes at once from crashing a backend server at each. Zero if there
-// are no nodes.
-func Quarantine(fp uint64, nodes []wire.NodeID) wire.NodeID {
-	return first(fp, nodes, nil)
+// RendezvousNode returns the isolation node of a suspect by rendezvous hashing: the
+// same at every node with the same view, zero if there are no nodes. With a single
+// isolation node, a poison request sent through several nodes at once can't crash
+// a backend server at each of them.
+func RendezvousNode(fp uint64, nodes []wire.NodeID) wire.NodeID {
+	return highestRanked(fp, nodes, nil)
 }
 
-func first(fp uint64, nodes []wire.NodeID, skip func(wire.NodeID) bool) wire.NodeID {
+// highestRanked returns the node with the highest rank among those not skipped, or zero.
+func highestRanked(fp uint64, nodes []wire.NodeID, skip func(wire.NodeID) bool) wire.NodeID {
 	var best wire.NodeID
 	var bestRank uint64
 	found := false
--- a/poison/gossip.go
+++ b/poison/gossip.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Receive takes a notice of a peer and returns what is to be passed on to a
-// few other peers, not to all: with n nodes that would be n squared messages.
-// Only what was news here is passed on, so that gossip ends.
+// Receive applies a notice from a peer and returns the notices to forward to a few
+// other peers; forwarding to all would cost n squared messages for n nodes. Only
+// fingerprints whose entry changed are forwarded, so that gossip ends.
 func (g *Guard) Receive(now time.Time, n Notice) []Notice {
 	if !n.valid(&g.cfg) {
 		g.counters.Invalid++
@@ -15,7 +15,7 @@
 	}
 	var forward []Notice
 	for _, fp := range n.Fingerprints {
-		if e := g.learn(now, fp, &n); e != nil {
+		if e := g.applyNotice(now, fp, &n); e != nil {
 			forward = g.merge(now, forward, e)
 		}
 	}
@@ -28,19 +28,19 @@
 	return forward
 }
 
-// learn applies a notice to one fingerprint and returns its entry if that
+// applyNotice applies a notice to one fingerprint and returns its entry if the entry
 // changed.
-func (g *Guard) learn(now time.Time, fp uint64, n *Notice) *entry {
+func (g *Guard) applyNotice(now time.Time, fp uint64, n *Notice) *entry {
 	e := g.table.get(now, fp)
-	if e != nil && !e.yields(n.State, n.Generation) {
-		return g.learnCrashed(e, n)
+	if e != nil && !e.overriddenBy(n.State, n.Generation) {
+		return g.mergeCrashed(e, n)
 	}
-	if !g.believe(now, n.State) {
+	if !g.allowFromPeer(now, n.State) {
 		g.counters.Limited++
 		return nil
 	}
 	if e == nil {
-		e = g.insertLearned(now, fp)
+		e = g.insertFromPeer(now, fp)
 	}
 	if e == nil {
 		g.counters.Limited++
@@ -51,13 +51,14 @@
 	}
 	e.addCrashed(n.Crashed...)
 	e.origin = n.Origin
-	g.table.set(e, n.State, n.Generation, now.Add(min(n.TTL, g.life(n.State))))
-	g.counters.Learned++
+	g.table.set(e, n.State, n.Generation, now.Add(min(n.TTL, g.maxTTL(n.State))))
+	g.counters.FromPeers++
 	return e
 }
 
-// learnCrashed adds the nodes of another crash to a suspect.
-func (g *Guard) learnCrashed(e *entry, n *Notice) *entry {
+// mergeCrashed adds the crashed nodes of a notice to the entry of the same suspect
+// and returns the entry if it changed.
+func (g *Guard) mergeCrashed(e *entry, n *Notice) *entry {
 	same := e.state == Suspect && n.State == Suspect && e.generation == n.Generation
 	if !same || !e.addCrashed(n.Crashed...) {
 		return nil
@@ -65,18 +66,20 @@
 	return e
 }
 
-// believe bounds what forged notices can do. Clearing costs nothing when it is
-// wrong but one more crash, and a flood of it is bounded like suspects.
-func (g *Guard) believe(now time.Time, s State) bool {
+// allowFromPeer reports whether a claim from a peer is within the rate limits, which
+// bound the damage of forged notices. Forged clearings count as suspects do: each
+// can cause at most one more crash.
+func (g *Guard) allowFromPeer(now time.Time, s State) bool {
 	if s != Convicted {
-		return g.suspects.take(now)
+		return g.suspectRate.allow(now)
 	}
-	return g.table.convicted < g.cfg.MaxConvicted && g.convicts.take(now)
+	return g.table.quarantined < g.cfg.MaxQuarantined && g.quarantineRate.allow(now)
 }
 
-// insertLearned never evicts: a flood of forged notices must not push out what
-// is known from real crashes.
-func (g *Guard) insertLearned(now time.Time, fp uint64) *entry {
+// insertFromPeer adds an entry for a notice from a peer, or returns nil if the table
+// is full. It evicts nothing, so that a flood of forged notices can't displace
+// fingerprints of local crashes.
+func (g *Guard) insertFromPeer(now time.Time, fp uint64) *entry {
 	g.table.sweep(now)
 	if len(g.table.entries) >= g.cfg.MaxEntries {
 		return nil
@@ -84,16 +87,16 @@
 	return g.table.add(fp)
 }
 
-func (g *Guard) life(s State) time.Duration {
+func (g *Guard) maxTTL(s State) time.Duration {
 	if s == Convicted {
-		return g.cfg.ConvictFor
+		return g.cfg.QuarantineFor
 	}
 	return g.cfg.SuspectFor
 }
 
-// Gossip returns up to limit fingerprints for one peer, those repeated longest
-// ago first. Sent now and then to a random peer, it repairs notices that were
-// lost and teaches nodes that started later. It is not passed on at once.
+// Gossip returns notices with up to limit fingerprints for one peer, the least
+// recently sent ones first. Sent periodically to a random peer, they replace lost
+// notices and update nodes that started later. Receivers don't forward them.
 func (g *Guard) Gossip(now time.Time, limit int) []Notice {
 	var notices []Notice
 	for range min(limit, g.table.order.Len()) {
@@ -110,10 +113,10 @@
 	return notices
 }
 
-// About returns what is known of one fingerprint. A node sends it along with a
-// suspect, and to a sender that did not know of the suspicion; if what the two
-// know differs, the later state holds at both after that.
-func (g *Guard) About(now time.Time, fp uint64) []Notice {
+// NoticeFor returns a notice with the state of one fingerprint, or nothing. A node
+// sends it ahead of a suspect, and to a sender that did not know of the suspicion.
+// After the exchange both nodes have the later of their states.
+func (g *Guard) NoticeFor(now time.Time, fp uint64) []Notice {
 	e := g.table.get(now, fp)
 	if e == nil {
 		return nil
@@ -132,12 +135,12 @@
 	}
 }
 
-// merge adds an entry to the last notice if that says the same: the suspects
-// of one crash travel together.
+// merge adds an entry to the last notice if that has the same content, and else
+// appends a notice: the suspects of one crash share a notice.
 func (g *Guard) merge(now time.Time, notices []Notice, e *entry) []Notice {
 	if len(notices) > 0 {
 		last := &notices[len(notices)-1]
-		if last.holds(now, e) && len(last.Fingerprints) < g.cfg.MaxPerCrash {
+		if last.matches(now, e) && len(last.Fingerprints) < g.cfg.MaxPerCrash {
 			last.Fingerprints = append(last.Fingerprints, e.fp)
 			return notices
 		}
@@ -145,7 +148,7 @@
 	return append(notices, g.notice(now, e))
 }
 
-func (n *Notice) holds(now time.Time, e *entry) bool {
+func (n *Notice) matches(now time.Time, e *entry) bool {
 	return n.State == e.state &&
 		n.Generation == e.generation &&
 		n.Origin == e.origin &&
--- a/poison/guard.go
+++ b/poison/guard.go
@@ -1,23 +1,27 @@
-// Package poison limits the damage of a request that crashes each backend
-// server that runs it and that its caller sends again and again.
+// Package poison limits the damage of a request that crashes every backend server
+// that runs it while its caller keeps resending it.
 //
-// After a crash every request that was in flight there is a suspect, at all
-// nodes. A suspect runs alone, at the one node that Place names for it. If it
-// finishes it is cleared; if it crashes that backend server too, it is
-// convicted and refused everywhere until the conviction expires. Such a
-// request so costs two backend servers, and no other request is refused.
+// After a crash all nodes treat every request that was in flight as a suspect. A
+// suspect runs isolated, with nothing else in flight, at a single node. If it
+// finishes it is cleared. If it crashes that backend server too, it is quarantined:
+// all nodes refuse it until the quarantine expires. Such a request crashes two
+// backend servers, and no other request is refused.
 //
-// That figure assumes that the notices of a crash are at the nodes of the
-// service before another copy starts there: the node that saw the crash sends
-// them before it answers the calls that were lost, so a retry or a resend that
-// follows such an answer comes after them, and a node that sends a suspect to
-// its place sends About first. It assumes too that the views of the ready nodes
-// agree, but for the nodes that the request itself made fail. Where that does
-// not hold a backend server more is lost for each copy that runs beside the
-// first: copies that already run elsewhere at the first crash can't be
-// recalled. A backend server that crashes for another reason while a suspect
-// runs alone convicts an innocent request. A request that crashes only some of
-// the backend servers that run it is cleared by the others and suspected anew.
+// The limit of two crashes has two conditions:
+//
+//   - The notices of a crash reach the nodes of the service before another copy
+//     starts there. The node that saw the crash sends them before it answers the
+//     lost calls, and therefore before any retry that follows such an answer. A
+//     node that redirects a suspect sends its notice first.
+//   - The nodes agree on which nodes are ready, except for those that the request
+//     itself has crashed.
+//
+// Otherwise each copy that runs at the same time can crash one more backend server.
+// Copies that run elsewhere at the first crash can't be recalled.
+//
+// A backend server that crashes for another reason during an isolated run
+// quarantines an innocent request. A request that crashes only some of the backend
+// servers is cleared whenever it finishes and suspected again after each crash.
 package poison
 
 import (
@@ -29,46 +33,48 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Mode says how a request may run.
+// Mode states how a request may run.
 type Mode uint8
 
 const (
-	// Normal: like any other request.
+	// Normal means without restrictions.
 	Normal Mode = iota
-	// Alone: only at the node that Place names, after Start agreed, with
-	// nothing else in flight at that backend server.
-	Alone
-	// Refuse: nowhere; the answer is Refusal.
+	// Isolated means only at the node that IsolationNode returns, after
+	// StartIsolated has returned true, with nothing else in flight at that
+	// backend server.
+	Isolated
+	// Refuse means at no node; Refusal returns the answer.
 	Refuse
 )
 
-// Guard is the knowledge of one node about requests that crash backend
-// servers. It is not safe for concurrent use.
+// Guard tracks, at one node, the requests suspected of crashing backend servers.
+// It is not safe for concurrent use.
 type Guard struct {
-	cfg      Config
-	self     wire.NodeID
-	table    table
-	suspects bucket
-	convicts bucket
-	// alone is the suspect that runs alone at the local backend server.
-	alone    uint64
+	cfg            Config
+	self           wire.NodeID
+	table          table
+	suspectRate    bucket
+	quarantineRate bucket
+	// isolated is the suspect in an isolated run at the local backend server, if
+	// occupied is set.
+	isolated uint64
 	occupied bool
 	counters Counters
 }
 
-// New returns the Guard of the node self.
+// New returns an empty Guard of the node self.
 func New(cfg Config, self wire.NodeID) *Guard {
 	return &Guard{
-		cfg:      cfg,
-		self:     self,
-		table:    newTable(),
-		suspects: bucket{rate: cfg.SuspectRate, burst: cfg.SuspectBurst},
-		convicts: bucket{rate: cfg.ConvictRate, burst: cfg.ConvictBurst},
+		cfg:            cfg,
+		self:           self,
+		table:          newTable(),
+		suspectRate:    bucket{rate: cfg.SuspectRate, burst: cfg.SuspectBurst},
+		quarantineRate: bucket{rate: cfg.QuarantineRate, burst: cfg.QuarantineBurst},
 	}
 }
 
-// Check says how the request may run. It is asked again when a request leaves
-// a queue: what was normal on entry may be a suspect by then.
+// Check returns how the request may run. Callers check again when a request leaves
+// a queue, because it may have become a suspect while it waited.
 func (g *Guard) Check(now time.Time, fp uint64) Mode {
 	e := g.table.get(now, fp)
 	if e == nil {
@@ -76,7 +82,7 @@
 	}
 	switch e.state {
 	case Suspect:
-		return Alone
+		return Isolated
 	case Convicted:
 		g.counters.Refused++
 		return Refuse
@@ -85,7 +91,8 @@
 	}
 }
 
-// Refusal is the answer to a request that Check refused.
+// Refusal returns the error for a request that Check refused. Its Retry-After is
+// the remaining time of the quarantine.
 func (g *Guard) Refusal(now time.Time, fp uint64) *verdict.Error {
 	err := verdict.Refuse(verdict.Poison, "a request with this content crashed backend servers")
 	if e := g.table.get(now, fp); e != nil {
@@ -94,48 +101,48 @@
 	return err
 }
 
-// Place returns the node at which a suspect runs alone: the first of the
-// service's ready nodes in the order of Quarantine, those left out whose
-// backend server it is suspected of having crashed. They come up again at some
-// moment, which not all nodes see at once: the place would move while a copy
-// runs, and two copies would run at a time. Zero if there are no nodes.
-func (g *Guard) Place(now time.Time, fp uint64, nodes []wire.NodeID) wire.NodeID {
+// IsolationNode returns the isolation node of a suspect, zero if there are no nodes. nodes
+// are the ready nodes of the service. Nodes whose backend server the suspect may
+// have crashed are skipped if possible: the others see them become ready again at
+// different times, so the isolation node could change during an isolated run and
+// two copies could run at once.
+func (g *Guard) IsolationNode(now time.Time, fp uint64, nodes []wire.NodeID) wire.NodeID {
 	e := g.table.get(now, fp)
 	if e == nil {
-		return Quarantine(fp, nodes)
+		return RendezvousNode(fp, nodes)
 	}
 	crashed := func(id wire.NodeID) bool { return slices.Contains(e.crashed, id) }
-	if id := first(fp, nodes, crashed); !id.IsZero() {
+	if id := highestRanked(fp, nodes, crashed); !id.IsZero() {
 		return id
 	}
-	return Quarantine(fp, nodes)
+	return RendezvousNode(fp, nodes)
 }
 
-// Start asks to run a suspect alone at the local backend server. It agrees for
-// one at a time; Finished, Abandoned or Crashed make room for the next. It does
-// not agree when the request is no suspect any more: it may have been cleared
-// while it waited, and then must not be refused, or convicted. Check tells.
-func (g *Guard) Start(now time.Time, fp uint64) bool {
-	if g.occupied || g.Check(now, fp) != Alone {
+// StartIsolated begins an isolated run at the local backend server and reports whether it
+// may begin. One runs at a time, until Finished, Abandoned or Crashed. StartIsolated
+// returns false if the request is no longer a suspect: it may have been cleared
+// or quarantined while it waited. Check returns its mode then.
+func (g *Guard) StartIsolated(now time.Time, fp uint64) bool {
+	if g.occupied || g.Check(now, fp) != Isolated {
 		return false
 	}
-	g.alone, g.occupied = fp, true
-	g.counters.RanAlone++
+	g.isolated, g.occupied = fp, true
+	g.counters.IsolatedRuns++
 	return true
 }
 
-// Abandoned tells that a started suspect ended without an answer of the
-// backend server, by its deadline or its caller. It stays a suspect.
+// Abandoned records that an isolated run ended without an answer of the backend
+// server, by deadline or cancellation. The request stays a suspect.
 func (g *Guard) Abandoned(fp uint64) {
-	if g.occupied && g.alone == fp {
+	if g.occupied && g.isolated == fp {
 		g.occupied = false
 	}
 }
 
-// Finished tells that the backend server gave its whole answer to the request
-// and clears it if it was a suspect. That holds for a copy which was running
-// before the suspicion too: a request that crashes each backend server that
-// runs it never gets here. The notices go to all nodes of the service.
+// Finished records that the backend server answered the request completely, and
+// clears it if it is a suspect. That includes a copy that began before the
+// suspicion: a request that crashes every backend server never finishes. The
+// returned notices go to all nodes of the service.
 func (g *Guard) Finished(now time.Time, fp uint64) []Notice {
 	g.Abandoned(fp)
 	e := g.table.get(now, fp)
@@ -147,28 +154,28 @@
 	return []Notice{g.notice(now, e)}
 }
 
-// Crashed tells that the local backend server crashed with these requests in
-// flight; alone says that a suspect was running with nothing else. The notices
-// go to all nodes of the service before the calls in flight are answered.
-func (g *Guard) Crashed(now time.Time, inFlight []uint64, alone bool) []Notice {
+// Crashed records that the local backend server crashed with these requests in
+// flight; isolated reports an isolated run. The returned notices must go to all nodes
+// of the service before the calls in flight are answered.
+func (g *Guard) Crashed(now time.Time, inFlight []uint64, isolated bool) []Notice {
 	g.counters.Crashes++
 	g.occupied = false
-	if alone && len(inFlight) == 1 {
+	if isolated && len(inFlight) == 1 {
 		if e := g.table.get(now, inFlight[0]); e != nil && e.state == Suspect {
-			return []Notice{g.convict(now, e)}
+			return []Notice{g.quarantine(now, e)}
 		}
 	}
 	var notices []Notice
-	for _, fp := range g.bounded(inFlight) {
-		if e := g.accuse(now, fp); e != nil {
+	for _, fp := range g.distinct(inFlight) {
+		if e := g.suspect(now, fp); e != nil {
 			notices = g.merge(now, notices, e)
 		}
 	}
 	return notices
 }
 
-// bounded returns the distinct fingerprints, as many as one notice may hold.
-func (g *Guard) bounded(inFlight []uint64) []uint64 {
+// distinct returns the distinct fingerprints, at most MaxPerCrash.
+func (g *Guard) distinct(inFlight []uint64) []uint64 {
 	fps := slices.Clone(inFlight)
 	slices.Sort(fps)
 	fps = slices.Compact(fps)
@@ -179,17 +186,18 @@
 	return fps
 }
 
-func (g *Guard) convict(now time.Time, e *entry) Notice {
+// quarantine quarantines a suspect after a crash in its isolated run.
+func (g *Guard) quarantine(now time.Time, e *entry) Notice {
 	e.addCrashed(g.self)
 	e.origin = g.self
-	g.table.set(e, Convicted, e.generation, now.Add(g.cfg.ConvictFor))
+	g.table.set(e, Convicted, e.generation, now.Add(g.cfg.QuarantineFor))
 	g.counters.Convicted++
 	return g.notice(now, e)
 }
 
-// accuse makes a suspect of a request that was in flight at a local crash. A
-// conviction stays as it is.
-func (g *Guard) accuse(now time.Time, fp uint64) *entry {
+// suspect marks a request that was in flight at a local crash as a suspect. It
+// returns nil if the request is quarantined already or the table is full.
+func (g *Guard) suspect(now time.Time, fp uint64) *entry {
 	e := g.table.get(now, fp)
 	if e == nil {
 		e = g.insert(now, fp)
@@ -209,7 +217,8 @@
 	return e
 }
 
-// insert makes room for what was seen at the local backend server.
+// insert adds an entry for a local crash and evicts an old one if the table is
+// full. It returns nil if all entries are quarantined.
 func (g *Guard) insert(now time.Time, fp uint64) *entry {
 	g.table.sweep(now)
 	if len(g.table.entries) >= g.cfg.MaxEntries {
@@ -221,36 +230,37 @@
 	return g.table.add(fp)
 }
 
-// Counters count events since the start.
+// Counters counts events since the node started.
 type Counters struct {
-	Crashes   uint64 `json:"crashes"`
-	Suspected uint64 `json:"suspected"`
-	RanAlone  uint64 `json:"ran_alone"`
-	Cleared   uint64 `json:"cleared"`
-	Convicted uint64 `json:"convicted"`
-	Refused   uint64 `json:"refused"`
-	// Learned counts fingerprints whose state came from a peer.
-	Learned uint64 `json:"learned"`
-	// Invalid counts notices that no Guard sends.
+	Crashes      uint64 `json:"crashes"`
+	Suspected    uint64 `json:"suspected"`
+	IsolatedRuns uint64 `json:"ran_alone"`
+	Cleared      uint64 `json:"cleared"`
+	Convicted    uint64 `json:"convicted"`
+	Refused      uint64 `json:"refused"`
+	// FromPeers counts states of fingerprints accepted from peers.
+	FromPeers uint64 `json:"learned"`
+	// Invalid counts rejected notices with values that no Guard sends.
 	Invalid uint64 `json:"invalid"`
-	// Limited counts fingerprints of notices above the rate or the room for
-	// what peers say.
+	// Limited counts fingerprints from peers that were dropped because of the
+	// rate limits or a full table.
 	Limited uint64 `json:"limited"`
-	// Overflow counts fingerprints evicted or left out for want of room.
+	// Overflow counts fingerprints that were evicted, or dropped at a local
+	// crash, because a limit was reached.
 	Overflow uint64 `json:"overflow"`
 }
 
-// Entry is one line of a Dump.
+// Entry is one fingerprint in a Dump.
 type Entry struct {
 	Fingerprint string        `json:"fingerprint"`
 	State       State         `json:"state"`
 	Generation  uint8         `json:"generation"`
-	Left        time.Duration `json:"left_ns"`
+	Remaining   time.Duration `json:"left_ns"`
 	Crashed     []wire.NodeID `json:"crashed"`
 	Origin      wire.NodeID   `json:"origin"`
 }
 
-// Dump is the state of a Guard.
+// Dump is a snapshot of a Guard for operators.
 type Dump struct {
 	Entries   int      `json:"entries"`
 	Convicted int      `json:"convicted"`
@@ -259,14 +269,14 @@
 	Counters  Counters `json:"counters"`
 }
 
-// maxDumped bounds the entries listed in a Dump.
+// maxDumped is the maximum number of entries in a Dump.
 const maxDumped = 64
 
-// Dump returns the state, with the entries changed last.
+// Dump returns a snapshot of the state, with the latest entries.
 func (g *Guard) Dump(now time.Time) Dump {
 	d := Dump{
 		Entries:   len(g.table.entries),
-		Convicted: g.table.convicted,
+		Convicted: g.table.quarantined,
 		Occupied:  g.occupied,
 		Counters:  g.counters,
 	}
@@ -276,7 +286,7 @@
 			Fingerprint: fmt.Sprintf("%016x", e.fp),
 			State:       e.state,
 			Generation:  e.generation,
-			Left:        e.until.Sub(now),
+			Remaining:   e.until.Sub(now),
 			Crashed:     e.crashed,
 			Origin:      e.origin,
 		})
--- a/poison/guard_test.go
+++ b/poison/guard_test.go
@@ -13,11 +13,9 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// A request crashes the backend server that runs it, with ten others in flight.
-// Its caller sends it again through every node, and so do the other callers.
-// Without a guard it crashes the backend server of each node; if all in flight
-// are banned, ten callers are refused for nothing.
-func TestCrasherAmongInnocents(t *testing.T) {
+// A poison request that is resent through every node must crash two backend servers at
+// most, and the ten innocent requests in flight at the first crash must not be refused.
+func TestPoisonRequestCrashesAtMostTwoBackendServers(t *testing.T) {
 	const crasher, nodes, innocents = 1, 5, 10
 	schedule := func(policyOf func(wire.NodeID) policy) (crashes, refused int) {
 		c := newCluster(nodes, policyOf)
@@ -26,12 +24,12 @@
 			c.submit(0, 0, firstInnocent+uint64(i))
 		}
 		c.end(c.nodes[0], 0)
-		c.settle()
+		c.finishAll()
 		c.resendEverywhere(crasher)
 		for i := range innocents {
 			c.submit(i%nodes, i%nodes, firstInnocent+uint64(i))
 		}
-		c.settle()
+		c.finishAll()
 		for i := range innocents {
 			refused += c.refused[firstInnocent+uint64(i)]
 		}
@@ -46,34 +44,32 @@
 	is.Equal([]int{crashes, refused}, []int{2, 0})
 }
 
-// A request is in flight at a crash that another one caused, and is cleared by
-// its next run. Later its own data goes bad: now it crashes what runs it. The
-// old notices arrive once more and must not undo the new suspicion.
-func TestClearedRequestTurnsCrasher(t *testing.T) {
-	const crasher, turned = 1, firstInnocent
+// A cleared request that becomes poisonous must be suspected again; late copies of the
+// notices that cleared it must not undo the new suspicion.
+func TestClearedRequestIsSuspectedAgain(t *testing.T) {
+	const crasher, turnedCrasher = 1, firstInnocent
 	c := newCluster(5, newGuard)
 	c.submit(0, 0, crasher)
-	c.submit(0, 0, turned)
+	c.submit(0, 0, turnedCrasher)
 	c.end(c.nodes[0], 0)
 	late := slices.Clone(c.network)
 	c.deliverAll()
-	c.submit(1, 1, turned)
-	c.settle()
-	late = append(late, message{c.nodes[3], c.nodes[1].About(c.now, turned)[0]})
-	c.turned = turned
-	c.submit(2, 2, turned)
-	c.settle()
+	c.submit(1, 1, turnedCrasher)
+	c.finishAll()
+	late = append(late, message{c.nodes[3], c.nodes[1].NoticeFor(c.now, turnedCrasher)[0]})
+	c.turnedCrasher = turnedCrasher
+	c.submit(2, 2, turnedCrasher)
+	c.finishAll()
 	c.network = late
 	c.deliverAll()
-	c.resendEverywhere(turned)
-	c.settle()
-	is.New(t).Equal(c.crashes[turned], 2)
+	c.resendEverywhere(turnedCrasher)
+	c.finishAll()
+	is.New(t).Equal(c.crashes[turnedCrasher], 2)
 }
 
-// drive lets rapid choose what happens next. If inTime holds, the notices of a
-// crash reach all nodes before anything else happens, and a request runs as one
-// copy until its first one; other notices come late, twice, in any order or
-// never. Otherwise nothing is assumed.
+// drive runs a random schedule of events. If inTime is set, the notices of a crash
+// reach all nodes before the next event, and a poison request is not resent before it
+// is suspected. All other notices may be delayed, duplicated, reordered or lost.
 func drive(t *rapid.T, c *cluster, inTime bool) {
 	node := rapid.IntRange(0, len(c.nodes)-1)
 	sent := make(map[uint64]bool)
@@ -81,8 +77,8 @@
 		node wire.NodeID
 		fp   uint64
 	}
-	convicted := make(map[claim]bool)
-	c.unsure = func() bool { return rapid.Bool().Draw(t, "unsure") }
+	quarantined := make(map[claim]bool)
+	c.viewsDiffer = func() bool { return rapid.Bool().Draw(t, "unsure") }
 	t.Repeat(map[string]func(*rapid.T){
 		"innocent": func(t *rapid.T) {
 			fp := rapid.Uint64Range(firstInnocent, firstInnocent+5).Draw(t, "fp")
@@ -128,39 +124,37 @@
 				is.New(t).True(!inTime || n <= 2)
 				for _, m := range c.nodes {
 					refuses := m.Check(c.now, fp) == Refuse
-					is.New(t).True(refuses || !convicted[claim{m.id, fp}]) // for good
-					convicted[claim{m.id, fp}] = refuses
+					is.New(t).True(refuses || !quarantined[claim{m.id, fp}]) // stays refused
+					quarantined[claim{m.id, fp}] = refuses
 				}
 			}
 		},
 	})
 }
 
-// A caller sends requests that crash backend servers among others in flight,
-// then again through every node at once. If the notices of the first crash are
-// in time, each costs two backend servers at most and nobody else is refused.
+// With crash notices in time, a poison request must crash two backend servers at most,
+// even if it is resent through every node at once, and no other request is refused.
 func TestPropTwoCrashesAtMost(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		c := newCluster(rapid.IntRange(2, 5).Draw(t, "nodes"), newGuard)
 		drive(t, c, true)
-		c.settle()
+		c.finishAll()
 		for _, n := range c.crashes {
 			is.New(t).True(n <= 2)
 		}
 	})
 }
 
-// Notices are lost and copies run at several nodes at once, so no bound holds
-// meanwhile; still nobody else is refused. Once gossip gets through, all nodes
-// agree, and a crasher costs one more backend server at most.
+// After lost notices, gossip must bring all nodes to the same state, in which a poison
+// request crashes one more backend server at most. Innocent requests are never refused.
 func TestPropGossipRepairs(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		c := newCluster(rapid.IntRange(2, 5).Draw(t, "nodes"), newGuard)
 		drive(t, c, false)
-		c.unsure = nil
-		c.settle()
-		c.repair()
+		c.viewsDiffer = nil
+		c.finishAll()
+		c.gossipToAll()
 		for fp := range uint64(firstInnocent + 6) {
 			for _, m := range c.nodes {
 				is.Equal(m.Check(c.now, fp), c.nodes[0].Check(c.now, fp))
@@ -170,9 +164,9 @@
 			mode := c.nodes[0].Check(c.now, fp)
 			is.True(mode != Normal)
 			c.resendEverywhere(fp)
-			c.settle()
+			c.finishAll()
 			more := c.crashes[fp] - before
-			is.True(more == 0 || more == 1 && mode == Alone)
+			is.True(more == 0 || more == 1 && mode == Isolated)
 			is.Equal(c.nodes[0].Check(c.now, fp), Refuse)
 		}
 		for fp, n := range c.refused {
@@ -181,32 +175,30 @@
 	})
 }
 
-// A convicted request comes back after its time: the caller was told when, and
-// it is not refused for ever. Copies of old notices that still go round neither
-// prolong the time nor go round for ever.
-func TestConvictionExpires(t *testing.T) {
+// A quarantine must end at the announced Retry-After. Late copies of its notices must
+// neither prolong it nor be forwarded.
+func TestQuarantineExpires(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(3, newGuard)
 	for range 2 {
 		c.submit(0, 0, 1)
-		c.settle()
+		c.finishAll()
 	}
 	g := c.nodes[2].policy.(*Guard)
 	err := g.Refusal(c.now, 1)
 	is.Equal(err.Verdict, verdict.NotRun)
-	is.Equal(err.RetryAfter, DefaultConfig().ConvictFor)
+	is.Equal(err.RetryAfter, DefaultConfig().QuarantineFor)
 	old := c.nodes[0].Gossip(c.now, 10)
 	c.now = c.now.Add(time.Minute)
 	is.Equal(len(g.Receive(c.now, old[0])), 0)
-	is.Equal(g.Refusal(c.now, 1).RetryAfter, DefaultConfig().ConvictFor-time.Minute)
-	c.now = c.now.Add(DefaultConfig().ConvictFor - time.Minute)
+	is.Equal(g.Refusal(c.now, 1).RetryAfter, DefaultConfig().QuarantineFor-time.Minute)
+	c.now = c.now.Add(DefaultConfig().QuarantineFor - time.Minute)
 	is.Equal(g.Check(c.now, 1), Normal)
-	is.Equal(len(g.Receive(c.now, old[0])), 0) // learned again, but not passed on
+	is.Equal(len(g.Receive(c.now, old[0])), 0) // inserted again, but not forwarded
 }
 
-// A faulty peer floods a node with forged notices. Memory and the number of
-// requests refused because of them stay bounded, and what crashes at the node
-// itself is still known.
+// A flood of forged notices from a faulty peer must not exceed the limits on entries and
+// on refused requests, nor hide the suspects of local crashes.
 func TestForgedFloodIsBounded(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
@@ -219,19 +211,19 @@
 	}
 	d := g.Dump(now)
 	is.True(d.Entries <= cfg.MaxEntries)
-	is.True(d.Convicted <= int(cfg.ConvictBurst+now.Sub(start).Seconds()*cfg.ConvictRate))
+	is.True(d.Convicted <= int(cfg.QuarantineBurst+now.Sub(start).Seconds()*cfg.QuarantineRate))
 	is.True(d.Counters.Invalid > 0 && d.Counters.Limited > 0)
 	for i := range uint64(cfg.MaxEntries) {
 		g.Crashed(now, []uint64{1 << 40, 1<<41 + i}, false)
 	}
-	is.Equal(g.Check(now, 1<<40), Alone)
+	is.Equal(g.Check(now, 1<<40), Isolated)
 	is.True(g.Dump(now).Entries <= cfg.MaxEntries)
 	for i := range uint64(100_000) {
-		is.Equal(g.Check(now.Add(cfg.ConvictFor), i), Normal)
+		is.Equal(g.Check(now.Add(cfg.QuarantineFor), i), Normal)
 	}
 }
 
-func TestFingerprintTellsFieldsApart(t *testing.T) {
+func TestFingerprintSeparatesFields(t *testing.T) {
 	is := is.New(t)
 	fp := Fingerprint("s", "op", "a=1", []byte("body"))
 	is.Equal(fp, Fingerprint("s", "op", "a=1", []byte("body")))
--- a/poison/notice.go
+++ b/poison/notice.go
@@ -6,19 +6,19 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// State of a fingerprint. The order matters: of two claims about the same
-// generation the greater one holds.
+// State is the state of a fingerprint. The order matters: of two states of the same
+// generation the greater one wins.
 type State uint8
 
 const (
-	// Unknown is the state of every fingerprint that never was in flight at
-	// a crash.
+	// Unknown is the state of a fingerprint that was not in flight at a crash.
 	Unknown State = iota
-	// Suspect was in flight when a backend server crashed.
+	// Suspect is the state after being in flight when a backend server crashed.
 	Suspect
-	// Cleared was a suspect and then ran to its end.
+	// Cleared is the state of a former suspect that has finished.
 	Cleared
-	// Convicted was alone when it crashed a further backend server.
+	// Convicted is the state of a quarantined fingerprint: it crashed another
+	// backend server in its isolated run.
 	Convicted
 )
 
@@ -32,37 +32,38 @@
 	return stateNames[s]
 }
 
-// MarshalText makes dumps readable.
+// MarshalText implements encoding.TextMarshaler.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 const (
-	// maxCrashed bounds the nodes listed for one fingerprint.
+	// maxCrashed is the maximum number of nodes listed for one fingerprint.
 	maxCrashed = 8
-	// maxGeneration bounds how often one fingerprint can be suspected anew,
-	// so that a forged notice cannot claim a generation out of reach.
+	// maxGeneration is the maximum generation, so that a forged notice can't
+	// claim one that later suspicions never reach.
 	maxGeneration = 64
 )
 
-// Notice tells peers what became of fingerprints. The states merge to the same
-// result whatever the order and number in which notices arrive.
+// Notice reports a state of fingerprints to peers. Receivers converge to the same
+// state whatever the order of notices and however often each arrives.
 type Notice struct {
-	// Origin is the node that saw the event.
+	// Origin is the node that observed the event.
 	Origin wire.NodeID `cbor:"1,keyasint"`
 	State  State       `cbor:"2,keyasint"`
 	// Generation counts how often the fingerprints were suspected again after
-	// they had been cleared.
+	// being cleared.
 	Generation uint8 `cbor:"3,keyasint,omitempty"`
 	// Crashed lists nodes whose backend servers crashed with these
 	// fingerprints in flight.
 	Crashed      []wire.NodeID `cbor:"4,keyasint,omitempty"`
 	Fingerprints []uint64      `cbor:"5,keyasint"`
-	// TTL is the life left when the notice was sent; no two machines need to
-	// agree on the time.
-	TTL  time.Duration `cbor:"6,keyasint"`
-	Hops uint8         `cbor:"7,keyasint,omitempty"`
+	// TTL is the remaining lifetime at the time of sending. It is relative, so
+	// that the clocks of nodes need not agree.
+	TTL time.Duration `cbor:"6,keyasint"`
+	// Hops counts how often the notice was forwarded.
+	Hops uint8 `cbor:"7,keyasint,omitempty"`
 }
 
-// valid rejects what no Guard sends.
+// valid reports whether all values are within the ranges that a Guard sends.
 func (n *Notice) valid(cfg *Config) bool {
 	return n.State >= Suspect && n.State <= Convicted &&
 		n.Generation <= maxGeneration &&
--- a/poison/table.go
+++ b/poison/table.go
@@ -8,21 +8,21 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// entry is what is known of one fingerprint.
+// entry is the state of one fingerprint.
 type entry struct {
 	fp         uint64
 	state      State
 	generation uint8
-	until      time.Time
-	crashed    []wire.NodeID
-	origin     wire.NodeID
-	place      *list.Element
+	until      time.Time     // end of the state
+	crashed    []wire.NodeID // nodes whose backend server crashed with it in flight
+	origin     wire.NodeID   // node that observed the state
+	element    *list.Element // in table.order
 }
 
-// yields reports whether a claim of the given state and generation overrides
-// the entry. A conviction holds against everything until it expires: it rests
-// on a crash with nothing else in flight.
-func (e *entry) yields(state State, generation uint8) bool {
+// overriddenBy reports whether a claim with the given state and generation overrides the
+// entry. Nothing overrides a quarantine before it expires, because it follows from
+// a crash with nothing else in flight.
+func (e *entry) overriddenBy(state State, generation uint8) bool {
 	if e.state == Convicted || state == Convicted {
 		return e.state != Convicted
 	}
@@ -32,38 +32,39 @@
 	return state > e.state
 }
 
-// addCrashed adds nodes up to the bound and reports whether any was new.
+// addCrashed adds nodes, up to maxCrashed, and reports whether any was new.
 func (e *entry) addCrashed(nodes ...wire.NodeID) bool {
 	added := false
 	for _, id := range nodes {
 		if len(e.crashed) >= maxCrashed || slices.Contains(e.crashed, id) {
 			continue
 		}
-		// A new slice: notices already handed out share the old one.
+		// Copy on append: notices already returned share the old slice.
 		e.crashed = append(slices.Clip(e.crashed), id)
 		added = true
 	}
 	return added
 }
 
-// table holds the entries within a bound.
+// table holds the entries by fingerprint. Its users enforce the limit on the number
+// of entries.
 type table struct {
 	entries map[uint64]*entry
-	// order has the entry that was changed or repeated longest ago first.
-	order     *list.List
-	convicted int
-	swept     time.Time
+	// order lists the entries, least recently changed or gossiped first.
+	order       *list.List
+	quarantined int       // number of quarantined entries
+	lastSweep   time.Time // time of the last sweep
 }
 
-// sweepEvery keeps a full table from being searched for expired entries at
-// each insertion of a flood.
-const sweepEvery = time.Second
+// sweepInterval is the minimum interval between sweeps, so that a flood of insertions
+// does not scan a full table each time.
+const sweepInterval = time.Second
 
 func newTable() table {
 	return table{entries: make(map[uint64]*entry), order: list.New()}
 }
 
-// get returns the entry unless it has expired.
+// get returns the entry of a fingerprint, or nil. It removes an expired entry.
 func (t *table) get(now time.Time, fp uint64) *entry {
 	if len(t.entries) == 0 {
 		return nil
@@ -81,36 +82,36 @@
 
 func (t *table) add(fp uint64) *entry {
 	e := &entry{fp: fp}
-	e.place = t.order.PushBack(e)
+	e.element = t.order.PushBack(e)
 	t.entries[fp] = e
 	return e
 }
 
 func (t *table) set(e *entry, state State, generation uint8, until time.Time) {
 	if e.state == Convicted {
-		t.convicted--
+		t.quarantined--
 	}
 	if state == Convicted {
-		t.convicted++
+		t.quarantined++
 	}
 	e.state, e.generation, e.until = state, generation, until
-	t.order.MoveToBack(e.place)
+	t.order.MoveToBack(e.element)
 }
 
 func (t *table) remove(e *entry) {
 	if e.state == Convicted {
-		t.convicted--
+		t.quarantined--
 	}
-	t.order.Remove(e.place)
+	t.order.Remove(e.element)
 	delete(t.entries, e.fp)
 }
 
-// sweep drops expired entries.
+// sweep removes expired entries, at most once per sweepEvery.
 func (t *table) sweep(now time.Time) {
-	if now.Sub(t.swept) < sweepEvery {
+	if now.Sub(t.lastSweep) < sweepInterval {
 		return
 	}
-	t.swept = now
+	t.lastSweep = now
 	for el := t.order.Front(); el != nil; {
 		e := el.Value.(*entry)
 		el = el.Next()
@@ -120,7 +121,7 @@
 	}
 }
 
-// evict drops the oldest entry that is not convicted and reports whether there
+// evict removes the oldest entry that is not quarantined and reports whether there
 // was one.
 func (t *table) evict() bool {
 	for el := t.order.Front(); el != nil; el = el.Next() {
--- a/serve/config.go
+++ b/serve/config.go
@@ -1,16 +1,17 @@
-// Package serve decides, at the callee, about every attempt that reaches a
-// node: whether it may run, when it runs, and what is answered.
+// Package serve implements the callee side of a node: for every attempt that
+// reaches the node it decides whether the attempt may run, when it runs and
+// what the reply is.
 //
-// Server is a plain type: events and the time go in, Effects come out; it
-// starts nothing and waits for nothing. It is not safe for concurrent use; the
-// node calls it under one lock.
+// Server is a state machine without I/O: its methods take events and the
+// current time and return Effects for the node to carry out. It is not safe for
+// concurrent use; the node calls it under one lock.
 //
-// What it guarantees to callers:
+// Guarantees to callers:
 //   - An attempt (sender, Seq) is handed to the backend server at most once,
-//     and never after the sender was told "not run".
+//     and never after the sender has received verdict.NotRun for it.
 //   - A key is handed to the backend server at most once by this incarnation,
 //     and no other incarnation accepts it.
-//   - While an attempt waits, none of lesser priority is started.
+//   - While an attempt waits, no attempt of lower priority starts.
 package serve
 
 import (
@@ -24,7 +25,7 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Config of a Server.
+// Config configures a Server.
 type Config struct {
 	Self    wire.NodeID
 	Service string
@@ -33,38 +34,40 @@
 	Gate    admission.GateConfig
 	Once    once.Config
 	Poison  poison.Config
-	// RefuseRetryAfter is proposed with refusals that have no measured
-	// time of recovery, such as a drain: another node serves at once.
+	// RefuseRetryAfter is the Retry-After of refusals without a measured
+	// recovery time, such as a drain. It is short: another node can serve the
+	// request at once.
 	RefuseRetryAfter time.Duration
-	// SlotShare is the part of its stated slots that a backend server is
-	// given at once. Some slow down when nearly all are in use, which costs
-	// more than the last slots bring.
+	// SlotShare is the fraction of the stated slots of a backend server that
+	// the node fills. Some backend servers slow down when nearly all slots
+	// are in use.
 	SlotShare float64
-	// TellOnly leaves the admission level to the nodes at which requests
-	// enter. What arrives here then belongs to requests under way: refusing
-	// it would waste what was spent on them, and only the queue's bounds do.
+	// TellOnly publishes the admission level without enforcing it here: only
+	// the nodes at which requests enter shed by it. Attempts that arrive here
+	// belong to requests already under way, whose finished work a refusal
+	// would waste. The limits of the queue still apply.
 	TellOnly bool
-	// Seed is for the times to come back that are proposed.
+	// Seed seeds the jitter of Retry-After.
 	Seed uint64
-	// Policy leaves parts out, for experiments.
+	// Policy disables parts of the overload control in experiments.
 	Policy Policy
 }
 
-// Policy selects what a node does about overload.
+// Policy selects the overload control of a node.
 type Policy uint8
 
 const (
-	// PolicyFull is the product: adaptive limit, queue by importance,
-	// admission levels.
+	// PolicyFull is the default: adaptive concurrency limit, queue ordered by
+	// importance, admission levels.
 	PolicyFull Policy = iota
-	// PolicyNone admits everything at once: the baseline of experiments.
+	// PolicyNone starts every attempt at once; the baseline of experiments.
 	PolicyNone
-	// PolicyFixed has a fixed limit and a queue in order of arrival: the
-	// second baseline.
+	// PolicyFixed has a fixed concurrency limit and a FIFO queue; the second
+	// baseline.
 	PolicyFixed
 )
 
-// DefaultConfig returns the settings that the daemon starts from.
+// DefaultConfig returns the defaults of the daemon. Self and Service are unset.
 func DefaultConfig() Config {
 	return Config{
 		Limit:            limit.DefaultConfig(),
--- a/serve/dump.go
+++ b/serve/dump.go
@@ -10,7 +10,7 @@
 	"github.com/cassialoom/cassialoom/queue"
 )
 
-// Counts are totals since the node started.
+// Counts counts events since the node started.
 type Counts struct {
 	Arrived     uint64 `json:"arrived"`
 	Misdirected uint64 `json:"misdirected"`
@@ -25,19 +25,19 @@
 	Replayed    uint64 `json:"replayed"`
 }
 
-// Dump is the state for people.
+// Dump is a snapshot of a Server for operators.
 type Dump struct {
 	Ready    bool `json:"backend_ready"`
 	Crashed  bool `json:"backend_crashed"`
 	Draining bool `json:"draining"`
-	// FaultsPercent is the part of its latest requests that the backend server did
-	// not answer or answered with a failure of its own.
+	// FaultsPercent is the recent share of requests that the backend server did
+	// not answer, or answered with a failure of its own.
 	FaultsPercent uint8 `json:"backend_faults_percent"`
 	Running       int   `json:"running"`
-	// Concurrency is how many may run at once.
+	// Concurrency is the number of tasks that may run at once.
 	Concurrency int                 `json:"concurrency"`
 	Parked      int                 `json:"waiting_for_binding"`
-	Alone       bool                `json:"running_alone"`
+	Isolated    bool                `json:"running_alone"`
 	Counts      Counts              `json:"counts"`
 	Limit       limit.State         `json:"limit"`
 	Queue       queue.State         `json:"queue"`
@@ -48,19 +48,19 @@
 	Bindings    once.BinderState    `json:"bindings"`
 }
 
-// Dump returns the state as of now.
+// Dump returns a snapshot of the state at now.
 func (s *Server) Dump(now time.Time) Dump {
 	return Dump{
 		Ready:    s.ready,
 		Crashed:  s.crashed,
-		Draining: s.drain,
+		Draining: s.draining,
 
 		FaultsPercent: s.faults.percent(),
 
 		Running:     len(s.running),
 		Concurrency: s.concurrency(),
 		Parked:      len(s.parked),
-		Alone:       s.lone != nil,
+		Isolated:    s.isolated != nil,
 		Counts:      s.counts,
 		Limit:       s.limit.Dump(),
 		Queue:       s.queue.Dump(now),
--- a/serve/faults.go
+++ b/serve/faults.go
@@ -8,57 +8,58 @@
 )
 
 const (
-	// faultWeight of a new task: the last few dozen decide. A backend server that
-	// fails two of five shows within twenty, a sound one that fails one in a
-	// hundred is never taken for it.
+	// faultWeight is the weight of a new task in the moving average of failures.
+	// It averages over a few dozen tasks: enough to distinguish a rare failure from a
+	// backend server that fails often.
 	faultWeight = 1.0 / 32
-	// usualWeight of a new answer in the usual time of one.
+	// usualWeight is the weight of a new answer in the usual latency.
 	usualWeight = 1.0 / 16
-	// silentFactor times the usual time without an answer is beyond nearly all
-	// answers of a backend server that works (see dispatch's hedges).
+	// silentFactor is the multiple of the usual latency after which a task
+	// without an answer counts as a failure.
 	silentFactor = 4
 )
 
-// faults is the share of a backend server's latest tasks that it did not answer, or
+// faults tracks the share of recent tasks that a backend server did not answer, or
 // answered with a failure of its own.
 //
-// The load it answers: a backend server that looks healthy fails a part of its
-// requests. In a large fleet each caller's node sees a few calls a second of it, too
-// few to judge by; the node beside it sees them all and says so in each reply. A
-// failure that a call of the task's own brought about is not counted: that would
-// blame a whole chain of services for the last of them.
+// It detects a backend server that passes its health check and fails part of its
+// requests. In a large fleet the node of each caller sees too few of these requests to
+// detect that. The node beside the backend server sees all of them and reports the
+// share in every reply. A failure caused by an outgoing call of the task is not
+// counted, because it would mark every service along a failing chain as faulty.
 type faults struct {
-	share float64
-	// usual is the usual time of an answer, without the calls of the task.
-	usual time.Duration
+	failureShare float64 // moving average, 0 to 1
+	// usualLatency is a moving average of the latency of an answer, without the outgoing calls of the task.
+	usualLatency time.Duration
 }
 
-// note takes in how a task ended. own is the time without the calls of the task.
-func (f *faults) note(own time.Duration, r Result) {
+// record records the result of a task. own is the latency without the outgoing calls of
+// the task.
+func (f *faults) record(own time.Duration, r Result) {
 	switch {
 	case r.Verdict == verdict.NotRun:
-		return // it was declined: the load is the cause
+		return // declined because of load
 	case r.Verdict == verdict.Ran && r.Reason == verdict.None:
-		f.answered(own, r)
+		f.recordAnswer(own, r)
 	case r.Reason == verdict.Lost, r.Reason == verdict.Incomplete:
-		f.add(1)
-	case f.usual > 0 && own > silentFactor*f.usual:
-		f.add(1)
+		f.addSample(1)
+	case f.usualLatency > 0 && own > silentFactor*f.usualLatency:
+		f.addSample(1)
 	}
 }
 
-func (f *faults) answered(own time.Duration, r Result) {
+func (f *faults) recordAnswer(own time.Duration, r Result) {
 	if r.Status < call.LeastServerError {
-		f.usual += time.Duration(usualWeight * float64(own-f.usual))
-		f.add(0)
+		f.usualLatency += time.Duration(usualWeight * float64(own-f.usualLatency))
+		f.addSample(0)
 		return
 	}
 	if !r.CallsFailed {
-		f.add(1)
+		f.addSample(1)
 	}
 }
 
-func (f *faults) add(sample float64) { f.share += faultWeight * (sample - f.share) }
+func (f *faults) addSample(sample float64) { f.failureShare += faultWeight * (sample - f.failureShare) }
 
-// percent is the share for a reply.
-func (f *faults) percent() uint8 { return uint8(f.share*100 + 0.5) }
+// percent returns the share in percent, as reported in replies.
+func (f *faults) percent() uint8 { return uint8(f.failureShare*100 + 0.5) }
--- a/serve/faults_test.go
+++ b/serve/faults_test.go
@@ -21,10 +21,9 @@
 	gaveUp     = Result{Verdict: verdict.MayHaveRun, Reason: verdict.Canceled}
 )
 
-// A backend server fails two of five requests and its health is good. Callers' nodes
-// see too few of them to tell; the node beside it tells within 30 requests. What load,
-// impatient callers or a failing service further down bring about is not its fault.
-func TestFaults(t *testing.T) {
+// A backend server that passes its health check and fails two of five requests must show
+// within 30 requests. Overload, cancellations and failed outgoing calls must not count.
+func TestFaultsCountOnlyOwnFailures(t *testing.T) {
 	for name, c := range map[string]struct {
 		bad      Result
 		took     time.Duration
@@ -42,14 +41,14 @@
 			is := is.New(t)
 			var f faults
 			for range 50 {
-				f.note(usualTime, served)
+				f.record(usualTime, served)
 			}
 			for i := range 30 {
 				if i%5 < 2 {
-					f.note(c.took, c.bad)
+					f.record(c.took, c.bad)
 					continue
 				}
-				f.note(usualTime, served)
+				f.record(usualTime, served)
 			}
 			is.True(f.percent() >= c.least)
 			is.True(f.percent() <= c.greatest)
@@ -57,16 +56,16 @@
 	}
 }
 
-// It was mended: after a hundred answers it counts as sound again.
-func TestFaultsFade(t *testing.T) {
+// A repaired backend server must not stay marked as faulty.
+func TestRepairedBackendServerIsNotFaulty(t *testing.T) {
 	is := is.New(t)
 	var f faults
 	for range 100 {
-		f.note(time.Millisecond, failedSelf)
+		f.record(time.Millisecond, failedSelf)
 	}
 	is.True(f.percent() > 90)
 	for range 100 {
-		f.note(usualTime, served)
+		f.record(usualTime, served)
 	}
 	is.True(f.percent() <= 5)
 }
--- a/serve/key.go
+++ b/serve/key.go
@@ -8,23 +8,23 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// answer is what is stored with a used key.
+// answer is the stored result of a used key.
 type answer struct {
 	result Result
-	// heldUntil is when a resend with the key stops being safe; zero
+	// heldUntil is the time until which a resend with the key is safe; zero
 	// without a key.
 	heldUntil time.Time
 }
 
-// held is how long a resend with the key stays safe.
-func (a answer) held(now time.Time) time.Duration {
+// safeFor returns how long after now a resend with the key is safe.
+func (a answer) safeFor(now time.Time) time.Duration {
 	if a.heldUntil.IsZero() {
 		return 0
 	}
 	return max(0, a.heldUntil.Sub(now))
 }
 
-// answerSize is the memory that a stored answer holds, in bytes.
+// answerSize returns the approximate memory use of a stored answer, in bytes.
 func answerSize(a answer) int {
 	size := len(a.result.Body) + len(a.result.Detail)
 	for _, f := range a.result.Header {
@@ -33,9 +33,9 @@
 	return size
 }
 
-// takeKeyed decides about a request with a key: only the incarnation that the
-// key is bound to may run it, and only once.
-func (s *Server) takeKeyed(now time.Time, t *Task, e *Effects) {
+// handleKeyed handles a request with a key: only the incarnation that the key is
+// bound to may run it, and only once.
+func (s *Server) handleKeyed(now time.Time, t *Task, e *Effects) {
 	key := t.Request.Key
 	info, err := once.ParseKey(key)
 	if err != nil {
@@ -43,7 +43,7 @@
 		return
 	}
 	if !info.Minted {
-		s.settle(now, t, s.binder.Want(now, key), e)
+		s.applyResolution(now, t, s.binder.Want(now, key), e)
 		return
 	}
 	if info.Holder != s.cfg.Self {
@@ -54,22 +54,22 @@
 		s.reply(e, s.refusal(t.Request, err))
 		return
 	}
-	s.begin(now, t, e)
+	s.beginKeyed(now, t, e)
 }
 
-// settle acts on what the binder knows about a caller's own key.
-func (s *Server) settle(now time.Time, t *Task, r once.Resolution, e *Effects) {
+// applyResolution handles a task according to the binding of its caller-made key.
+func (s *Server) applyResolution(now time.Time, t *Task, r once.Resolution, e *Effects) {
 	switch r.State {
 	case once.Pending:
-		s.wait(t, e)
+		s.parkPending(t, e)
 	case once.BoundHere:
 		t.heldUntil = now.Add(r.Held)
-		// After its end the key may be bound to another node, which would
-		// run the action again: this one must have started it by then.
+		// When the binding ends, the key may be bound to another node, which
+		// would run the action again. The task must not start after that.
 		if t.heldUntil.Before(t.Deadline) {
 			t.Deadline = t.heldUntil
 		}
-		s.begin(now, t, e)
+		s.beginKeyed(now, t, e)
 	case once.BoundTo:
 		s.redirect(t, verdict.Refuse(verdict.KeyNotBound, "the key is bound to another node"), r.Holder, e)
 	default:
@@ -77,30 +77,32 @@
 	}
 }
 
-// maxParkedBytes bounds the bodies of requests that wait for their keys'
-// bindings; in an outage of the log they all do.
+// maxParkedBytes limits the total size of the bodies of requests that wait for
+// the bindings of their keys. During an outage of the log all such requests wait.
 const maxParkedBytes = 16 << 20
 
-// wait keeps a request until its key is bound, within bounds. A copy beyond
-// them is not told "not run": the ones before it may still run.
-func (s *Server) wait(t *Task, e *Effects) {
+// parkPending parks a request until its key is bound, unless the limits are exceeded.
+// A rejected copy does not get verdict.NotRun: the copies parked before it may
+// still run.
+func (s *Server) parkPending(t *Task, e *Effects) {
 	waiting := s.parked[t.Request.Key]
 	size := len(t.Request.Body)
 	switch {
 	case len(waiting) > s.cfg.Once.MaxJoined:
 		s.reply(e, s.refusal(t.Request, verdict.Doubt(verdict.Duplicate, "too many copies wait for the key's binding")))
 	case s.parkedBytes+size > maxParkedBytes && len(waiting) > 0:
-		s.reply(e, s.refusal(t.Request, verdict.Doubt(verdict.Shed, "too much waits for bindings").After(s.cfg.RefuseRetryAfter)))
+		s.reply(e, s.refusal(t.Request, verdict.Doubt(verdict.Shed, "too many bytes wait for key bindings").After(s.cfg.RefuseRetryAfter)))
 	case s.parkedBytes+size > maxParkedBytes:
-		s.reply(e, s.refusal(t.Request, verdict.Refuse(verdict.Shed, "too much waits for bindings").After(s.cfg.RefuseRetryAfter)))
+		s.reply(e, s.refusal(t.Request, verdict.Refuse(verdict.Shed, "too many bytes wait for key bindings").After(s.cfg.RefuseRetryAfter)))
 	default:
 		s.parkedBytes += size
 		s.parked[t.Request.Key] = append(waiting, t)
 	}
 }
 
-// begin runs, joins, replays or refuses a request whose key may run here.
-func (s *Server) begin(now time.Time, t *Task, e *Effects) {
+// beginKeyed admits a request whose key may run here, joins it to a running task,
+// replays the stored answer, or refuses it.
+func (s *Server) beginKeyed(now time.Time, t *Task, e *Effects) {
 	d := s.keys.Begin(now, t.Request.Key, t.Request.Fingerprint, recipientOf(&t.Request))
 	if d.Held > 0 && t.heldUntil.IsZero() {
 		t.heldUntil = now.Add(d.Held)
@@ -112,7 +114,7 @@
 		s.counts.Joined++
 	case once.Replay:
 		s.counts.Replayed++
-		reply := s.answerTo(now, recipientOf(&t.Request), d.Answer)
+		reply := s.resultReply(now, recipientOf(&t.Request), d.Answer)
 		reply.Unused = t.Request.Grant
 		s.reply(e, reply)
 	default:
@@ -124,7 +126,8 @@
 	if t.Request.Key == "" {
 		return nil
 	}
-	// A backend server that says it did not begin leaves the key as it was.
+	// The backend server declined the task without running it: the key is free
+	// again.
 	if r.Verdict == verdict.NotRun {
 		return s.keys.Abandon(t.Request.Key)
 	}
@@ -138,32 +141,33 @@
 	return s.keys.Abandon(t.Request.Key)
 }
 
-// Mint returns a new key for an operation of this node's service.
+// Mint returns a new key for an operation of this node's service, and how long
+// the key is valid. It refuses while the node drains or has no backend server.
 func (s *Server) Mint(now time.Time, operation string) (string, time.Duration, *verdict.Error) {
-	if s.drain || !s.ready {
-		return "", 0, verdict.Refuse(verdict.Draining, "node takes no new work").After(s.cfg.RefuseRetryAfter)
+	if s.draining || !s.ready {
+		return "", 0, verdict.Refuse(verdict.Draining, "node accepts no new work").After(s.cfg.RefuseRetryAfter)
 	}
 	return s.mint.Mint(now, s.cfg.Service, operation), s.cfg.Once.KeyTTL, nil
 }
 
-// WantBindings returns a record that is to be appended to the stream of
-// bindings; BindingsAppended or BindingsFailed must follow.
+// WantBindings returns the next record to append to the log of bindings, if there
+// is one. The node must report the outcome by BindingsAppended or BindingsFailed.
 func (s *Server) WantBindings(now time.Time) ([]byte, bool) { return s.binder.WantAppend(now) }
 
-// BindingsAppended reports that the record was written.
+// BindingsAppended handles a successful append.
 func (s *Server) BindingsAppended(now time.Time) { s.binder.Appended(now) }
 
-// BindingsFailed reports an append without a good answer.
+// BindingsFailed handles an append that failed or whose outcome is unknown.
 func (s *Server) BindingsFailed(now time.Time) { s.binder.AppendFailed(now) }
 
-// WantPage returns the offset to read the stream of bindings from; Page or
-// PageFailed must follow.
+// WantPage returns the offset to read the log of bindings from, if a read is due.
+// The node must report the outcome by Page or PageFailed.
 func (s *Server) WantPage(now time.Time) (uint64, bool) { return s.binder.WantRead(now) }
 
-// PageFailed reports a read without an answer.
+// PageFailed handles a failed read.
 func (s *Server) PageFailed(now time.Time) { s.binder.ReadFailed(now) }
 
-// Page takes the answer to the read from the given offset.
+// Page applies the result of a read of the log from the given offset.
 func (s *Server) Page(now time.Time, from uint64, page applog.Page) Effects {
 	var e Effects
 	for _, r := range s.binder.Page(now, from, page) {
@@ -181,13 +185,13 @@
 	}
 }
 
-// unpark goes on with the requests that waited for their key's binding.
+// unpark resumes the requests that waited for the binding of r.Key.
 func (s *Server) unpark(now time.Time, r once.Resolution, e *Effects) {
 	tasks := s.parked[r.Key]
 	delete(s.parked, r.Key)
 	for _, t := range tasks {
 		s.parkedBytes -= len(t.Request.Body)
-		s.settle(now, t, r, e)
+		s.applyResolution(now, t, r, e)
 	}
 }
 
@@ -213,7 +217,7 @@
 	s.parked[key] = tasks
 }
 
-// cancelParked ends an attempt that waits for its key's binding.
+// cancelParked refuses a canceled attempt that waits for the binding of its key.
 func (s *Server) cancelParked(w waiter, e *Effects) {
 	for key, tasks := range s.parked {
 		for i, t := range tasks {
--- a/serve/machine_test.go
+++ b/serve/machine_test.go
@@ -19,7 +19,7 @@
   operation "act" { idempotent = false }
 }`
 
-// attempt is one request as its sender knows it.
+// attempt is a request and the replies to it, as its sender sees them.
 type attempt struct {
 	req     call.Request
 	action  int
@@ -27,30 +27,31 @@
 	verdict verdict.Verdict
 }
 
-// oracle is what must hold, in terms of what backend servers were handed.
+// oracle records what backend servers were handed and what senders received.
 type oracle struct {
-	runs    map[int]int         // by action
-	started map[waiter]bool     // attempts that were handed over
-	told    map[waiter]bool     // attempts that were told "not run"
-	byCall  map[waiter]*attempt // all attempts
+	runs       map[int]int         // number of runs by action
+	started    map[waiter]bool     // attempts handed to a backend server
+	toldNotRun map[waiter]bool     // attempts answered verdict.NotRun
+	byCall     map[waiter]*attempt // all attempts
 }
 
-// machine is a service of a few nodes, its senders, the network between them
-// and the log. Time and every choice come from outside.
+// machine simulates a service of a few nodes, its senders, the network between
+// them and the log of bindings. The test controls time and every event.
 type machine struct {
-	now     time.Time
-	op      *graph.Operation
-	servers []*Server
-	ids     []wire.NodeID
-	runs    []map[uint64]*Task
-	log     []applog.Record
-	wires   []call.Request // requests on their way; copies stay possible
-	sender  wire.NodeID
-	seq     uint64
-	actions int
-	// copies lets a request that was delivered be delivered again.
+	now       time.Time
+	op        *graph.Operation
+	servers   []*Server
+	ids       []wire.NodeID
+	runs      []map[uint64]*Task
+	log       []applog.Record
+	inTransit []call.Request // requests in transit
+	sender    wire.NodeID
+	seq       uint64
+	actions   int
+	// copies keeps delivered requests in transit, to be delivered again.
 	copies bool
-	// forgetful makes copies look like new attempts: the naive callee.
+	// forgetful gives each copy a new sequence number: a naive callee that
+	// does not remember attempts.
 	forgetful bool
 	oracle
 }
@@ -67,10 +68,10 @@
 		sender: wire.NodeID{0xff},
 		copies: true,
 		oracle: oracle{
-			runs:    map[int]int{},
-			started: map[waiter]bool{},
-			told:    map[waiter]bool{},
-			byCall:  map[waiter]*attempt{},
+			runs:       map[int]int{},
+			started:    map[waiter]bool{},
+			toldNotRun: map[waiter]bool{},
+			byCall:     map[waiter]*attempt{},
 		},
 	}
 	for i := range nodes {
@@ -82,7 +83,7 @@
 	return m
 }
 
-// restart replaces a node by a new incarnation that knows nothing.
+// restart replaces a node by a new incarnation without state.
 func (m *machine) restart(i int) {
 	m.seq++
 	id := wire.NodeID{byte(i + 1), byte(m.seq), byte(m.seq >> 8)}
@@ -94,10 +95,10 @@
 	m.servers[i] = New(cfg, [once.SecretLen]byte{byte(i), byte(m.seq)}, m.now)
 	m.runs[i] = map[uint64]*Task{}
 	m.servers[i].SetReady(m.now, true)
-	m.peers()
+	m.updatePeers()
 }
 
-func (m *machine) peers() {
+func (m *machine) updatePeers() {
 	for i, s := range m.servers {
 		if s != nil {
 			m.servers[i].SetPeers(m.ids)
@@ -110,7 +111,7 @@
 	return m.actions
 }
 
-// send puts an attempt for an action on the wire.
+// send puts an attempt for an action in transit.
 func (m *machine) send(action, to int, key string, imp importance.Importance) *attempt {
 	m.seq++
 	a := &attempt{action: action, req: call.Request{
@@ -127,16 +128,16 @@
 		Body:        []byte(fmt.Sprint(action)),
 	}}
 	m.byCall[waiter{m.sender, m.seq}] = a
-	m.wires = append(m.wires, a.req)
+	m.inTransit = append(m.inTransit, a.req)
 	return a
 }
 
-// deliver hands a request on the wire to the node at its address, whichever
-// incarnation that is by now.
+// deliver delivers the i-th request in transit to the current incarnation at
+// its address.
 func (m *machine) deliver(i int) error {
-	req := m.wires[i]
+	req := m.inTransit[i]
 	if !m.copies {
-		m.wires = append(m.wires[:i], m.wires[i+1:]...)
+		m.inTransit = append(m.inTransit[:i], m.inTransit[i+1:]...)
 	}
 	for n, id := range m.ids {
 		if id[0] != req.To[0] {
@@ -153,11 +154,11 @@
 	return nil
 }
 
-// apply does what a node wants done and checks it against the oracle.
+// apply carries out the effects of a node and checks them against the oracle.
 func (m *machine) apply(n int, e Effects) error {
 	for _, t := range e.Start {
 		m.runs[n][t.ID] = t
-		if err := m.ran(t); err != nil {
+		if err := m.checkRun(t); err != nil {
 			return err
 		}
 	}
@@ -169,19 +170,19 @@
 		}
 	}
 	for _, r := range e.Replies {
-		if err := m.answer(r); err != nil {
+		if err := m.checkReply(r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (m *machine) ran(t *Task) error {
+func (m *machine) checkRun(t *Task) error {
 	a := m.byCall[t.waiter]
 	m.started[t.waiter] = true
 	m.oracle.runs[a.action]++
-	if m.told[waiter{a.req.From, a.req.Seq}] {
-		return fmt.Errorf("action %d ran after its attempt was told not run", a.action)
+	if m.toldNotRun[waiter{a.req.From, a.req.Seq}] {
+		return fmt.Errorf("action %d ran after its attempt was answered not run", a.action)
 	}
 	if m.oracle.runs[a.action] > 1 {
 		return fmt.Errorf("action %d ran %d times", a.action, m.oracle.runs[a.action])
@@ -189,7 +190,7 @@
 	return nil
 }
 
-func (m *machine) answer(r call.Reply) error {
+func (m *machine) checkReply(r call.Reply) error {
 	w := waiter{r.To, r.Seq}
 	a := m.byCall[w]
 	a.answers++
@@ -200,16 +201,16 @@
 	if r.Verdict != verdict.NotRun {
 		return nil
 	}
-	m.told[waiter{a.req.From, a.req.Seq}] = true
-	// A backend server that declines has been handed the request.
+	m.toldNotRun[waiter{a.req.From, a.req.Seq}] = true
+	// A backend server may decline a request that it was handed.
 	if m.started[w] && r.Reason != verdict.Shed {
-		return fmt.Errorf("attempt %d was told not run (%s) after its hand-over", r.Seq, r.Reason)
+		return fmt.Errorf("attempt %d was answered not run (%s) after its hand-over", r.Seq, r.Reason)
 	}
 	return nil
 }
 
-// done ends a task at a backend server.
-func (m *machine) done(n int, id uint64, r Result) error {
+// complete completes a task at the backend server of node n.
+func (m *machine) complete(n int, id uint64, r Result) error {
 	t := m.runs[n][id]
 	delete(m.runs[n], id)
 	if r.Verdict == verdict.NotRun {
@@ -218,7 +219,8 @@
 	return m.apply(n, m.servers[n].Done(m.now, id, r))
 }
 
-// bind carries one node's appends and reads of the bindings to the log.
+// bind performs the pending append and read of the log for one node. With
+// outage both fail; with lost the append succeeds and its answer is lost.
 func (m *machine) bind(n int, outage, lost bool) error {
 	s := m.servers[n]
 	if data, ok := s.WantBindings(m.now); ok {
--- a/serve/prove_test.go
+++ b/serve/prove_test.go
@@ -16,15 +16,12 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// scheduleSteps lets a schedule get as far as a resend after an answer; at 30
-// a callee that forgot used keys was not found out.
+// scheduleSteps is long enough to reach a resend after an answer, which detects
+// a callee that forgets used keys.
 const scheduleSteps = 80
 
-// Property: over any schedule of deliveries, copies, cancellations, crashes,
-// restarts, drains, log outages and lost appends, no action runs twice, and an
-// attempt that was told "not run" never runs. An action without a key is sent
-// again only after "not run"; one with a key is sent again at any moment,
-// through any node.
+// Under any schedule of faults no action runs twice, and no attempt runs after NotRun.
+// Keyed actions are resent at any time by any node, others only after NotRun.
 func TestPropAtMostOnceAndNotRun(t *testing.T) {
 	proptest.CheckSteps(t, scheduleSteps, func(rt *rapid.T) {
 		m := newMachine(t, 3)
@@ -33,7 +30,7 @@
 			"send":    func(rt *rapid.T) { c.send(rt) },
 			"resend":  func(rt *rapid.T) { c.resend(rt) },
 			"deliver": func(rt *rapid.T) { check(rt, c.deliver(rt)) },
-			"done":    func(rt *rapid.T) { check(rt, c.done(rt)) },
+			"done":    func(rt *rapid.T) { check(rt, c.complete(rt)) },
 			"cancel":  func(rt *rapid.T) { check(rt, c.cancel(rt)) },
 			"bind":    func(rt *rapid.T) { check(rt, c.bind(rt)) },
 			"tick": func(rt *rapid.T) {
@@ -51,7 +48,7 @@
 	}
 }
 
-// callers choose what to do next.
+// callers draws the events of a schedule.
 type callers struct {
 	m    *machine
 	sent []*attempt
@@ -81,7 +78,7 @@
 		return
 	}
 	a := rapid.SampledFrom(c.sent).Draw(rt, "attempt")
-	if a.req.Key == "" && (a.answers == 0 || a.verdict != verdict.NotRun || c.newer(a)) {
+	if a.req.Key == "" && (a.answers == 0 || a.verdict != verdict.NotRun || c.resent(a)) {
 		return
 	}
 	to := rapid.IntRange(0, len(c.m.servers)-1).Draw(rt, "to")
@@ -91,8 +88,8 @@
 	c.sent = append(c.sent, c.m.send(a.action, to, a.req.Key, a.req.Importance))
 }
 
-// newer reports whether the action was already sent again.
-func (c *callers) newer(a *attempt) bool {
+// resent reports whether the action has been resent after attempt a.
+func (c *callers) resent(a *attempt) bool {
 	for _, b := range c.sent {
 		if b.action == a.action && b.req.Seq > a.req.Seq {
 			return true
@@ -102,17 +99,17 @@
 }
 
 func (c *callers) deliver(rt *rapid.T) error {
-	if len(c.m.wires) == 0 {
+	if len(c.m.inTransit) == 0 {
 		return nil
 	}
-	newest := len(c.m.wires) - 1
+	newest := len(c.m.inTransit) - 1
 	if rapid.Bool().Draw(rt, "newest") {
 		return c.m.deliver(newest)
 	}
 	return c.m.deliver(rapid.IntRange(0, newest).Draw(rt, "message"))
 }
 
-func (c *callers) done(rt *rapid.T) error {
+func (c *callers) complete(rt *rapid.T) error {
 	n, id, ok := c.running(rapid.IntRange(0, len(c.m.servers)-1).Draw(rt, "node"))
 	if !ok {
 		return nil
@@ -124,13 +121,14 @@
 		{Verdict: verdict.NotRun, Reason: verdict.Shed},
 		{Verdict: verdict.MayHaveRun, Reason: verdict.Lost, Crashed: true},
 	}).Draw(rt, "result")
-	if err := c.m.done(n, id, r); err != nil {
+	if err := c.m.complete(n, id, r); err != nil {
 		return err
 	}
 	return c.m.apply(n, c.m.servers[n].SetReady(c.m.now, true))
 }
 
-// running finds a running task, from the given node on.
+// running returns the oldest task of the first node, from the given one on, that
+// runs any.
 func (c *callers) running(from int) (node int, id uint64, ok bool) {
 	for i := range c.m.runs {
 		n := (from + i) % len(c.m.runs)
@@ -174,11 +172,10 @@
 	return c.m.apply(n, c.m.servers[n].Drain(c.m.now))
 }
 
-// A caller's notice is refused because the node's backend server has not
-// announced itself; the caller is told "not run" and sends the notice to
-// another node, where it runs. Then the network delivers a copy of the first
-// attempt, to a node that is ready by now. The copy must not run.
-func lateCopy(t *testing.T, m *machine) error {
+// deliverLateCopy has a node without backend server refuse an attempt, runs the action at
+// another node and then delivers a copy of the refused attempt to the first node,
+// which is ready by then. It returns an error if the copy runs.
+func deliverLateCopy(t *testing.T, m *machine) error {
 	is := is.New(t)
 	m.servers[0].SetReady(m.now, false)
 	first := m.send(m.newAction(), 0, "", importance.Normal)
@@ -192,24 +189,22 @@
 	return m.deliver(0)
 }
 
-func TestLateCopyOfARefusedAttemptDoesNotRun(t *testing.T) {
+func TestLateCopyOfRefusedAttemptDoesNotRun(t *testing.T) {
 	is := is.New(t)
-	is.NoErr(lateCopy(t, newMachine(t, 2)))
+	is.NoErr(deliverLateCopy(t, newMachine(t, 2)))
 }
 
-// The same schedule at a callee that remembers no attempts: the check is able
-// to fail.
-func TestNaiveCalleeRunsTheLateCopy(t *testing.T) {
+// Checks that lateCopy detects a callee that does not remember attempts.
+func TestLateCopyCheckDetectsNaiveCallee(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(t, 2)
 	m.forgetful = true
-	is.True(lateCopy(t, m) != nil)
+	is.True(deliverLateCopy(t, m) != nil)
 }
 
-// A node is replaced by another process on the same address while an attempt
-// is on its way. The new process neither runs it, since it may have run before,
-// nor says "not run", for the same reason; the sender concludes by itself.
-func TestCopyForAnEarlierIncarnationDoesNotRun(t *testing.T) {
+// An attempt for an earlier incarnation may have run there: the new one at the same
+// address must neither run it nor answer NotRun.
+func TestAttemptForEarlierIncarnationDoesNotRun(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(t, 1)
 	m.copies = false
@@ -222,8 +217,7 @@
 	is.Equal(len(m.runs[0]), 0)
 }
 
-// A caller sends a key again through another node while its first run goes on.
-// The second attempt joins the first: one run, two equal answers.
+// A resend with the key of a running task must join it instead of running twice.
 func TestResendJoinsTheRunningKey(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(t, 2)
@@ -238,18 +232,16 @@
 
 	id, ok := oldest(m.runs[0])
 	is.True(ok)
-	is.NoErr(m.done(0, id, Result{Verdict: verdict.Ran, Status: 200}))
+	is.NoErr(m.complete(0, id, Result{Verdict: verdict.Ran, Status: 200}))
 
 	is.Equal(first.verdict, verdict.Ran)
 	is.Equal(second.verdict, verdict.Ran)
 	is.Equal(m.oracle.runs[first.action], 1)
 }
 
-// A caller's own key is bound to a node, and the request then waits behind
-// another until the binding has ended. By then a resend may be bound to another
-// node, which knows of no earlier one: starting the first now could run the
-// action twice. It is refused instead.
-func TestQueuedPastTheEndOfItsBindingDoesNotRun(t *testing.T) {
+// A request that is still queued when the binding of its key ends must be refused:
+// a resend may be bound to another node by then, and the action would run twice.
+func TestRequestQueuedPastItsBindingDoesNotRun(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(t, 1)
 	m.servers[0].cfg.Policy = PolicyFixed
@@ -257,7 +249,7 @@
 	m.send(m.newAction(), 0, "", importance.Normal)
 	is.NoErr(m.deliver(0))
 	a := m.send(m.newAction(), 0, "own", importance.Normal)
-	m.wires[1].Budget = 2 * once.DefaultConfig().HeldFor
+	m.inTransit[1].Budget = 2 * once.DefaultConfig().HeldFor
 	is.NoErr(m.deliver(1))
 	is.NoErr(m.bind(0, false, false))
 	is.NoErr(m.bind(0, false, false))
@@ -269,9 +261,8 @@
 	is.Equal(m.oracle.runs[a.action], 0)
 }
 
-// Callers' own keys while the log is down: the node cannot bind the key, so
-// nothing runs and the caller is told "not run" and when to come back.
-func TestOwnKeyInALogOutageIsNotRun(t *testing.T) {
+// While the log is down, a request whose key can't be bound must be refused and not run.
+func TestCallerKeyIsRefusedDuringLogOutage(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(t, 1)
 	a := m.send(m.newAction(), 0, "own", importance.Normal)
--- a/serve/reply.go
+++ b/serve/reply.go
@@ -9,35 +9,37 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// reply answers an accepted attempt; each gets exactly one answer.
+// reply answers an accepted attempt. Each accepted attempt gets exactly one
+// answer.
 func (s *Server) reply(e *Effects, r call.Reply) {
-	if s.owed[r.To]--; s.owed[r.To] <= 0 {
-		delete(s.owed, r.To)
+	if s.pendingReplies[r.To]--; s.pendingReplies[r.To] <= 0 {
+		delete(s.pendingReplies, r.To)
 	}
 	e.reply(r)
 }
 
-// finish answers all that wait for a task that was handed over.
+// finish answers all attempts that wait for a task that was handed to the
+// backend server.
 func (s *Server) finish(now time.Time, t *Task, r Result, e *Effects) {
 	joined := s.finishKey(now, t, r)
-	s.forget(t)
+	s.removeTask(t)
 	a := answer{result: r, heldUntil: t.heldUntil}
 	for _, w := range joined {
-		s.reply(e, s.answerTo(now, w, a))
+		s.reply(e, s.resultReply(now, w, a))
 	}
-	own := s.answerTo(now, recipientOf(&t.Request), a)
+	own := s.resultReply(now, recipientOf(&t.Request), a)
 	own.Unused = r.Unused
 	s.reply(e, own)
 }
 
-// finishUnstarted answers all that wait for a task that was not handed over
-// and now never will be: the attempts' sequence numbers are used up, and the
-// key, if any, is free again.
+// finishUnstarted answers all attempts that wait for a task that was not handed
+// to the backend server. The task can't start later: the sequence numbers of its
+// attempts are used up. Its key, if it has one, is free again.
 func (s *Server) finishUnstarted(t *Task, err *verdict.Error, e *Effects) {
 	for _, w := range s.abandonKey(t) {
-		s.reply(e, s.refusalTo(w, 0, err))
+		s.reply(e, s.refusalReply(w, 0, err))
 	}
-	s.forget(t)
+	s.removeTask(t)
 	s.reply(e, s.refusal(t.Request, err))
 }
 
@@ -47,20 +49,20 @@
 	s.finishUnstarted(t, s.shedError(now), e)
 }
 
-// redirect refuses an attempt here and names the node that may run it.
+// redirect refuses an attempt and names the node that may run it.
 func (s *Server) redirect(t *Task, err *verdict.Error, to wire.NodeID, e *Effects) {
 	reply := s.refusal(t.Request, err)
 	reply.BoundTo = to
 	s.reply(e, reply)
 }
 
-func (s *Server) forget(t *Task) {
+func (s *Server) removeTask(t *Task) {
 	delete(s.tasks, t.ID)
 	delete(s.byCall, t.waiter)
 }
 
-func (s *Server) answerTo(now time.Time, to recipient, a answer) call.Reply {
-	reply := s.replyTo(to)
+func (s *Server) resultReply(now time.Time, to recipient, a answer) call.Reply {
+	reply := s.newReply(to)
 	reply.Verdict = a.result.Verdict
 	reply.Reason = a.result.Reason
 	reply.Detail = a.result.Detail
@@ -71,18 +73,18 @@
 	reply.Offered = a.result.Offered
 	reply.Used = a.result.Used
 	reply.RanFor = a.result.Latency
-	reply.KeyHeld = a.held(now)
+	reply.KeyHeld = a.safeFor(now)
 	return reply
 }
 
 func (s *Server) refusal(req call.Request, err *verdict.Error) call.Reply {
-	reply := s.refusalTo(recipientOf(&req), req.Grant, err)
+	reply := s.refusalReply(recipientOf(&req), req.Grant, err)
 	reply.RequestID = req.RequestID
 	return reply
 }
 
-func (s *Server) refusalTo(to recipient, unused uint32, err *verdict.Error) call.Reply {
-	reply := s.replyTo(to)
+func (s *Server) refusalReply(to recipient, unused uint32, err *verdict.Error) call.Reply {
+	reply := s.newReply(to)
 	reply.Verdict = err.Verdict
 	reply.Reason = err.Reason
 	reply.Detail = err.Detail
@@ -91,7 +93,7 @@
 	return reply
 }
 
-func (s *Server) replyTo(to recipient) call.Reply {
+func (s *Server) newReply(to recipient) call.Reply {
 	return call.Reply{
 		From:     s.cfg.Self,
 		To:       to.from,
@@ -103,15 +105,17 @@
 	}
 }
 
-// Owes reports whether an attempt of the node waits for its answer here.
+// Owes reports whether an attempt from the node id waits for its answer here.
 func (s *Server) Owes(id wire.NodeID) bool {
-	return s.owed[id] > 0
+	return s.pendingReplies[id] > 0
 }
 
-// Exhausted reports that nodes which start from now on are refused here.
+// Exhausted reports whether the table of senders is full, so that attempts from
+// new nodes are refused.
 func (s *Server) Exhausted() bool { return s.senders.Exhausted() }
 
-// Level is what callers' nodes are told to hold back below; zero admits all.
+// Level returns the admission level to publish to the nodes of callers: they
+// hold back requests of lower priority. Zero admits all.
 func (s *Server) Level(now time.Time) uint16 {
 	if s.cfg.Policy != PolicyFull {
 		return 0
--- a/serve/run.go
+++ b/serve/run.go
@@ -9,41 +9,41 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// maxConcurrency stands for no limit; it also bounds the limit reported.
+// maxConcurrency means no limit; it also caps the limit reported in replies.
 const maxConcurrency = 1 << 20
 
-// pump starts as many waiting tasks as the limit allows.
-func (s *Server) pump(now time.Time, e *Effects) {
-	for s.hasRoom() {
+// startQueued starts waiting tasks while there are free slots.
+func (s *Server) startQueued(now time.Time, e *Effects) {
+	for s.hasFreeSlot() {
 		item, ok := s.queue.Pop(now)
 		if !ok {
 			break
 		}
-		s.next(now, item.Value, e)
+		s.startDequeued(now, item.Value, e)
 	}
-	s.pumpLone(now, e)
+	s.startIsolated(now, e)
 }
 
-// hasRoom reports whether a waiting task may start now.
-func (s *Server) hasRoom() bool {
-	return s.ready && s.lone == nil && len(s.running) < s.concurrency()
+// hasFreeSlot reports whether a waiting task may start now.
+func (s *Server) hasFreeSlot() bool {
+	return s.ready && s.isolated == nil && len(s.running) < s.concurrency()
 }
 
-// next starts the task that left the queue, unless it has become suspect since
-// it came.
-func (s *Server) next(now time.Time, t *Task, e *Effects) {
+// startDequeued starts a task that left the queue, unless it has become a suspect while
+// it waited.
+func (s *Server) startDequeued(now time.Time, t *Task, e *Effects) {
 	s.observe(now, admission.Served)
-	if s.quarantined(now, t, e) {
+	if s.checkSuspect(now, t, e) {
 		return
 	}
-	if t.alone {
-		s.lone = t
+	if t.mustIsolate {
+		s.isolated = t
 		return
 	}
 	s.start(now, t, e)
 }
 
-// observe tells the gate of a task that has left the queue.
+// observe reports to the gate that a task has left the queue.
 func (s *Server) observe(now time.Time, event admission.Event) {
 	s.gate.Observe(now, admission.Sample{
 		Event:    event,
@@ -53,10 +53,10 @@
 	})
 }
 
-// quarantined sends a suspect to the one node where its kind runs alone, and
-// refuses it if it has been convicted meanwhile. It marks a suspect that may
-// run here.
-func (s *Server) quarantined(now time.Time, t *Task, e *Effects) bool {
+// checkSuspect refuses a quarantined request and redirects a suspect to its
+// isolation node; it reports whether it has answered the task. A suspect that may
+// run here is marked for an isolated run.
+func (s *Server) checkSuspect(now time.Time, t *Task, e *Effects) bool {
 	if s.cfg.Policy != PolicyFull {
 		return false
 	}
@@ -66,58 +66,58 @@
 		s.counts.Poison++
 		s.finishUnstarted(t, s.guard.Refusal(now, fp), e)
 		return true
-	case poison.Alone:
-		t.alone = true
+	case poison.Isolated:
+		t.mustIsolate = true
 		if t.Request.Key != "" {
-			return false // its key binds it to this node: it runs alone here
+			return false // its key is bound to this node: the isolated run is here
 		}
-		place := s.guard.Place(now, fp, s.peers)
-		if place.IsZero() || place == s.cfg.Self {
+		node := s.guard.IsolationNode(now, fp, s.peers)
+		if node.IsZero() || node == s.cfg.Self {
 			return false
 		}
-		s.forget(t)
-		e.Tell = append(e.Tell, Tell{To: place, Notices: s.guard.About(now, fp)})
-		s.redirect(t, verdict.Refuse(verdict.Poison, "runs alone at another node"), place, e)
+		s.removeTask(t)
+		e.Tell = append(e.Tell, Tell{To: node, Notices: s.guard.NoticeFor(now, fp)})
+		s.redirect(t, verdict.Refuse(verdict.Poison, "isolated run at another node"), node, e)
 		return true
 	default:
-		t.alone = false
+		t.mustIsolate = false
 		return false
 	}
 }
 
-// pumpLone starts a suspect once nothing else runs. While it waits and runs
-// nothing else starts, so that a crash takes no other request with it.
-func (s *Server) pumpLone(now time.Time, e *Effects) {
-	if s.lone == nil || len(s.running) > 0 || !s.ready {
+// startIsolated starts the isolated task once nothing else runs. Nothing else starts
+// until it ends, so that a crash loses no other request.
+func (s *Server) startIsolated(now time.Time, e *Effects) {
+	if s.isolated == nil || len(s.running) > 0 || !s.ready {
 		return
 	}
-	t := s.lone
-	s.lone = nil
-	if s.quarantined(now, t, e) {
-		s.pump(now, e)
+	t := s.isolated
+	s.isolated = nil
+	if s.checkSuspect(now, t, e) {
+		s.startQueued(now, e)
 		return
 	}
-	if !t.alone { // cleared while it waited: it runs like any other
+	if !t.mustIsolate { // cleared while it waited
 		s.start(now, t, e)
-		s.pump(now, e)
+		s.startQueued(now, e)
 		return
 	}
-	if !s.guard.Start(now, t.Request.Fingerprint) {
-		s.finishUnstarted(t, verdict.Refuse(verdict.Shed, "another suspect runs alone").After(s.cfg.RefuseRetryAfter), e)
-		s.pump(now, e)
+	if !s.guard.StartIsolated(now, t.Request.Fingerprint) {
+		s.finishUnstarted(t, verdict.Refuse(verdict.Shed, "another isolated run is in progress").After(s.cfg.RefuseRetryAfter), e)
+		s.startQueued(now, e)
 		return
 	}
-	s.lone = t
+	s.isolated = t
 	s.start(now, t, e)
 }
 
-func (s *Server) refuseLone(reason verdict.Reason, e *Effects) {
-	if s.lone == nil || s.running[s.lone.ID] != nil {
+func (s *Server) refuseIsolated(reason verdict.Reason, e *Effects) {
+	if s.isolated == nil || s.running[s.isolated.ID] != nil {
 		return
 	}
-	t := s.lone
-	s.lone = nil
-	err := verdict.Refuse(reason, "refused while waiting to run alone").After(s.cfg.RefuseRetryAfter)
+	t := s.isolated
+	s.isolated = nil
+	err := verdict.Refuse(reason, "refused while waiting for an isolated run").After(s.cfg.RefuseRetryAfter)
 	s.finishUnstarted(t, err, e)
 }
 
@@ -143,55 +143,55 @@
 	e.Start = append(e.Start, t)
 }
 
-// Calling notes that a running task began (change 1) or ended (change -1) a
-// call of its own: the time that it waits for others is not the backend
-// server's.
+// Calling records that a running task began (change 1) or ended (change -1) an
+// outgoing call. The time in which it waits for outgoing calls does not count as
+// latency of the backend server.
 func (s *Server) Calling(now time.Time, id uint64, change int) {
 	t, ok := s.running[id]
 	if !ok {
 		return
 	}
-	before := t.calls
-	t.calls += change
+	before := t.openCalls
+	t.openCalls += change
 	switch {
-	case before == 0 && t.calls > 0:
-		t.waitSince = now
+	case before == 0 && t.openCalls > 0:
+		t.callsSince = now
 		s.limit.Waiting(now, 1)
-	case before > 0 && t.calls == 0:
-		t.downstream += now.Sub(t.waitSince)
+	case before > 0 && t.openCalls == 0:
+		t.callTime += now.Sub(t.callsSince)
 		s.limit.Waiting(now, -1)
 	}
 }
 
-// Done takes the result of a task that Effects.Start handed out.
+// Done handles the result of a task that Effects.Start listed.
 func (s *Server) Done(now time.Time, id uint64, r Result) Effects {
 	var e Effects
 	t, ok := s.running[id]
 	if !ok {
 		return e
 	}
-	if t.calls > 0 {
-		s.Calling(now, id, -t.calls)
+	if t.openCalls > 0 {
+		s.Calling(now, id, -t.openCalls)
 	}
 	if r.Crashed {
 		s.crash(now, &e)
 	} else {
-		s.judge(now, t, r, &e)
-		s.faults.note(r.Latency-t.downstream, r)
+		s.reportFinished(now, t, r, &e)
+		s.faults.record(r.Latency-t.callTime, r)
 	}
 	delete(s.running, id)
-	if s.lone == t {
-		s.lone = nil
+	if s.isolated == t {
+		s.isolated = nil
 	}
 	s.limit.End(now, limit.Sample{
 		Latency:    r.Latency,
-		Downstream: t.downstream,
+		Downstream: t.callTime,
 		InFlight:   t.inFlight,
 		Outcome:    outcome(r),
 		Class:      t.class,
 	})
 	s.finish(now, t, r, &e)
-	s.pump(now, &e)
+	s.startQueued(now, &e)
 	return e
 }
 
@@ -206,20 +206,20 @@
 	}
 }
 
-// judge tells the guard how a task ended that did not crash.
-func (s *Server) judge(now time.Time, t *Task, r Result, e *Effects) {
+// reportFinished reports the end of a task without a crash to the guard.
+func (s *Server) reportFinished(now time.Time, t *Task, r Result, e *Effects) {
 	fp := t.Request.Fingerprint
 	if r.Verdict == verdict.Ran {
 		e.Notices = append(e.Notices, s.guard.Finished(now, fp)...)
 		return
 	}
-	if t.alone {
+	if t.mustIsolate {
 		s.guard.Abandoned(fp)
 	}
 }
 
-// Restarted takes the news that another process of the backend server has
-// announced itself: what still ran at the old one ended with it.
+// Restarted handles the announcement of a new process of the backend server.
+// Tasks that still ran at the old process are treated as lost in a crash.
 func (s *Server) Restarted(now time.Time) Effects {
 	var e Effects
 	s.faults = faults{}
@@ -229,32 +229,33 @@
 	return e
 }
 
-// crash makes suspects of all that ran at the backend server. Each request
-// that ran reports the crash; only the first report counts, since later ones
-// would miss the requests that were answered in between.
+// crash marks all requests that ran at the backend server as suspects. Each of
+// them reports the same crash. Only the first report counts: the later ones
+// miss the requests that have been answered since.
 func (s *Server) crash(now time.Time, e *Effects) {
 	if s.crashed {
 		return
 	}
 	s.crashed = true
 	s.counts.Crashes++
-	prints := make([]uint64, 0, len(s.running))
+	fingerprints := make([]uint64, 0, len(s.running))
 	for _, t := range s.running {
-		prints = append(prints, t.Request.Fingerprint)
+		fingerprints = append(fingerprints, t.Request.Fingerprint)
 	}
-	alone := s.lone != nil && s.running[s.lone.ID] != nil
-	e.Notices = append(e.Notices, s.guard.Crashed(now, prints, alone)...)
+	isolatedRun := s.isolated != nil && s.running[s.isolated.ID] != nil
+	e.Notices = append(e.Notices, s.guard.Crashed(now, fingerprints, isolatedRun)...)
 	s.ready = false
 	s.refuseWaiting(now, verdict.NoBackend, e)
 }
 
-// Hear takes a notice about suspects from another node and returns what is to
-// be passed on.
+// Hear applies a notice about suspects from another node and returns the notices
+// to forward.
 func (s *Server) Hear(now time.Time, n poison.Notice) []poison.Notice {
 	return s.guard.Receive(now, n)
 }
 
-// Gossip returns notices to repeat to one other node of the service.
+// Gossip returns at most limit fingerfingerprints, as notices to repeat to one other
+// node of the service.
 func (s *Server) Gossip(now time.Time, limit int) []poison.Notice {
 	return s.guard.Gossip(now, limit)
 }
--- a/serve/server.go
+++ b/serve/server.go
@@ -17,7 +17,7 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Server is the callee's side of one node.
+// Server is the callee side of one node. It is not safe for concurrent use.
 type Server struct {
 	cfg     Config
 	senders *once.Senders
@@ -33,124 +33,124 @@
 
 	tasks   map[uint64]*Task   // waiting or running
 	running map[uint64]*Task   // handed to the backend server
-	byCall  map[waiter]uint64  // attempt to task, for cancellation
-	parked  map[string][]*Task // by key, until it is bound
-	// parkedBytes is the size of the bodies of those.
-	parkedBytes int
-	lone        *Task               // runs, or waits to run, with nothing beside it
-	peers       []wire.NodeID       // ready nodes of the service, with this one
-	owed        map[wire.NodeID]int // answers that each node awaits
-	nextID      uint64
-	slots       int  // at once, by the backend server's own word; zero for unknown
-	ready       bool // the backend server takes requests
-	crashed     bool // it crashed and has not announced itself since
-	drain       bool
-	counts      Counts
+	byCall  map[waiter]uint64  // task ID by attempt, for cancellation
+	parked  map[string][]*Task // by key; they wait for its binding
+	// parkedBytes is the total size of the bodies of parked requests.
+	parkedBytes    int
+	isolated       *Task               // the isolated task, waiting or running
+	peers          []wire.NodeID       // ready nodes of the service, including this one
+	pendingReplies map[wire.NodeID]int // pending replies by sending node
+	nextID         uint64
+	slots          int  // usable slots that the backend server stated; zero if unknown
+	ready          bool // the backend server accepts requests
+	crashed        bool // it crashed and has not announced itself since
+	draining       bool
+	counts         Counts
 }
 
-// New returns the Server of an incarnation that started at start. Its backend
-// server has not announced itself yet. secret is drawn at random for it.
+// New returns the Server of an incarnation that started at start. It refuses
+// work until SetReady. secret must be random and new for each incarnation.
 func New(cfg Config, secret [once.SecretLen]byte, start time.Time) *Server {
 	return &Server{
-		cfg:     cfg,
-		senders: once.NewSenders(cfg.Once),
-		mint:    once.NewMint(cfg.Once, cfg.Self, secret, start),
-		keys:    once.NewKeys[answer, recipient](cfg.Once, start, answerSize),
-		binder:  once.NewBinder(cfg.Once, cfg.Self, start),
-		limit:   limit.New(cfg.Limit),
-		queue:   queue.New[*Task](cfg.Queue),
-		gate:    admission.NewGate(cfg.Gate),
-		guard:   poison.New(cfg.Poison, cfg.Self),
-		random:  rand.New(rand.NewPCG(cfg.Seed, 0)),
-		tasks:   make(map[uint64]*Task),
-		running: make(map[uint64]*Task),
-		byCall:  make(map[waiter]uint64),
-		owed:    make(map[wire.NodeID]int),
-		parked:  make(map[string][]*Task),
+		cfg:            cfg,
+		senders:        once.NewSenders(cfg.Once),
+		mint:           once.NewMint(cfg.Once, cfg.Self, secret, start),
+		keys:           once.NewKeys[answer, recipient](cfg.Once, start, answerSize),
+		binder:         once.NewBinder(cfg.Once, cfg.Self, start),
+		limit:          limit.New(cfg.Limit),
+		queue:          queue.New[*Task](cfg.Queue),
+		gate:           admission.NewGate(cfg.Gate),
+		guard:          poison.New(cfg.Poison, cfg.Self),
+		random:         rand.New(rand.NewPCG(cfg.Seed, 0)),
+		tasks:          make(map[uint64]*Task),
+		running:        make(map[uint64]*Task),
+		byCall:         make(map[waiter]uint64),
+		pendingReplies: make(map[wire.NodeID]int),
+		parked:         make(map[string][]*Task),
 	}
 }
 
-// SetPeers names the nodes of the service that take work, this one included.
+// SetPeers sets the ready nodes of the service, including this one.
 func (s *Server) SetPeers(peers []wire.NodeID) { s.peers = peers }
 
-// SetReady says whether the backend server takes requests.
+// SetReady sets whether the backend server accepts requests. Waiting tasks are
+// refused when it does not.
 func (s *Server) SetReady(now time.Time, ready bool) Effects {
 	var e Effects
 	s.ready = ready
 	if ready {
 		s.crashed = false
-		s.pump(now, &e)
+		s.startQueued(now, &e)
 		return e
 	}
 	s.refuseWaiting(now, verdict.NoBackend, &e)
 	return e
 }
 
-// SetSlots takes the number of requests that the backend server says it works
-// on at once. From then on that number bounds the concurrency and not a
-// measured limit: latencies that hold the calls of the backend server's own
-// say nothing about its slots.
+// SetSlots sets the number of requests that the backend server states it can
+// process at once; zero means unknown. A known number replaces the measured
+// limit, which latencies that include outgoing calls distort.
 func (s *Server) SetSlots(now time.Time, slots int) Effects {
 	var e Effects
 	s.slots = max(0, int(float64(slots)*s.cfg.SlotShare))
 	if slots > 0 {
 		s.slots = max(1, s.slots)
 	}
-	s.pump(now, &e)
+	s.startQueued(now, &e)
 	return e
 }
 
-// Drain refuses new work from now on. What runs goes on; what waits is
-// refused, so that another node takes it at once.
+// Drain refuses all further attempts and those that wait, so that another node
+// serves them at once. Running tasks continue.
 func (s *Server) Drain(now time.Time) Effects {
 	var e Effects
-	s.drain = true
+	s.draining = true
 	s.refuseWaiting(now, verdict.Draining, &e)
 	return e
 }
 
-// Tasks is the number of attempts that wait or run.
+// Tasks returns the number of tasks that wait or run, plus the number of keys
+// whose requests wait for a binding.
 func (s *Server) Tasks() int { return len(s.tasks) + len(s.parked) }
 
-// Waiting reports whether a task waits for its turn, for its key's binding or
-// for the moment to run alone: Tick has something to look after.
+// Waiting reports whether a task waits in the queue, for the binding of its key
+// or for an isolated run, so that Tick must be called.
 func (s *Server) Waiting() bool {
-	return s.queue.Len() > 0 || len(s.parked) > 0 || s.lone != nil && s.running[s.lone.ID] == nil
+	return s.queue.Len() > 0 || len(s.parked) > 0 || s.isolated != nil && s.running[s.isolated.ID] == nil
 }
 
-// Arrive takes one attempt. op is nil when the configuration does not know
-// the operation; configured is false while there is no configuration.
+// Arrive handles an attempt. op is nil if the configuration does not declare the
+// operation; configured is false while the node has no configuration.
 func (s *Server) Arrive(now time.Time, req call.Request, op *graph.Operation, configured bool) Effects {
 	var e Effects
 	s.counts.Arrived++
-	// Meant for an earlier incarnation at this address. It may have run
-	// there, so "not run" would be a claim that nobody here can make: the
-	// sender finds out by the end of its connection.
+	// The attempt was sent to an earlier incarnation at this address and may
+	// have run there, so NotRun could be wrong. The sender learns that it is
+	// lost when its connection closes.
 	if req.To != s.cfg.Self {
 		s.counts.Misdirected++
 		return e
 	}
 	if s.senders.Refuses(req.From) {
-		e.reply(s.refusal(req, verdict.Refuse(verdict.Shed, "no room for another sender; this node must be replaced")))
+		e.reply(s.refusal(req, verdict.Refuse(verdict.Shed, "no capacity for another sender; this node must be replaced")))
 		return e
 	}
-	// A copy of an attempt, however late: the first one has its own answer,
-	// which may have been "not run". Saying nothing is the only answer that
-	// cannot contradict it.
+	// A duplicate of an attempt gets no reply: any reply could contradict the
+	// answer to the first copy, which may have been NotRun.
 	if !s.senders.Accept(req.From, req.Seq) {
 		s.counts.Duplicates++
 		return e
 	}
-	s.owed[req.From]++
+	s.pendingReplies[req.From]++
 	if err := s.precheck(req, op, configured); err != nil {
 		s.reply(&e, s.refusal(req, err))
 		return e
 	}
-	t := s.task(now, req, op)
+	t := s.newTask(now, req, op)
 	if req.Key == "" {
 		s.admit(now, t, &e)
 	} else {
-		s.takeKeyed(now, t, &e)
+		s.handleKeyed(now, t, &e)
 	}
 	return e
 }
@@ -164,16 +164,16 @@
 	case op == nil:
 		return verdict.Refuse(verdict.UnknownOperation, "%s.%s is not declared", req.Service, req.Operation)
 	case int(req.Depth) >= graph.MaxDepth:
-		// The graph has no cycles, but two versions of it may be in force
-		// for a moment; a request must not go round between them.
-		return verdict.Refuse(verdict.TooDeep, "%d calls above this one", req.Depth)
+		// Each version of the graph is acyclic, but nodes may use different
+		// versions for a short time, so that a request could loop.
+		return verdict.Refuse(verdict.TooDeep, "request is %d calls deep", req.Depth)
 	case req.Budget <= 0:
-		return verdict.Refuse(verdict.Deadline, "no time left at arrival")
+		return verdict.Refuse(verdict.Deadline, "deadline passed before arrival")
 	}
 	return nil
 }
 
-func (s *Server) task(now time.Time, req call.Request, op *graph.Operation) *Task {
+func (s *Server) newTask(now time.Time, req call.Request, op *graph.Operation) *Task {
 	s.nextID++
 	return &Task{
 		ID:        s.nextID,
@@ -187,25 +187,25 @@
 	}
 }
 
-// admit lets a task wait for its turn, or refuses it.
+// admit queues a task or refuses it.
 func (s *Server) admit(now time.Time, t *Task, e *Effects) {
-	if err := s.refuseNow(now, t); err != nil {
+	if err := s.checkAdmission(now, t); err != nil {
 		s.finishUnstarted(t, err, e)
 		return
 	}
-	if s.quarantined(now, t, e) {
+	if s.checkSuspect(now, t, e) {
 		return
 	}
 	item := queue.Item[*Task]{ID: t.ID, Deadline: t.Deadline, Value: t}
 	if s.cfg.Policy == PolicyFull {
 		item.Priority = t.priority
 		item.UnderWay = t.Request.Root != ""
-		item.Need = s.need(t)
+		item.Need = s.expectedRunTime(t)
 	}
 	if s.queue.Late(now, &item) {
 		s.counts.Expired++
 		s.observe(now, admission.Shed)
-		s.finishUnstarted(t, s.tooLate(), e)
+		s.finishUnstarted(t, s.expiryRefusal(), e)
 		return
 	}
 	s.tasks[t.ID] = t
@@ -213,33 +213,33 @@
 	for _, dropped := range s.queue.Push(now, item) {
 		s.shed(now, dropped.Value, e)
 	}
-	s.pump(now, e)
+	s.startQueued(now, e)
 }
 
-// need is the time that a task is taken to need once it starts. It is only what
-// such tasks usually took: a task of a request under way that can start at once
-// is tried with whatever time it has left, because refusing it would waste what
-// was spent on that request.
-func (s *Server) need(t *Task) time.Duration {
-	if s.cfg.TellOnly && s.queue.Len() == 0 && s.hasRoom() {
+// expectedRunTime returns the expected run time of a task, from the usual run time of its
+// class. It is zero for a task of a request under way that can start at once:
+// the estimate may be wrong, and refusing the task would waste the work done for
+// the request.
+func (s *Server) expectedRunTime(t *Task) time.Duration {
+	if s.cfg.TellOnly && s.queue.Len() == 0 && s.hasFreeSlot() {
 		return 0
 	}
 	return s.limit.Expect(t.class)
 }
 
-// tooLate refuses a task that would not get its turn in time. Where only the
-// levels at the entry shed, another node may still have a place for it.
-func (s *Server) tooLate() *verdict.Error {
-	const detail = "would expire before its turn"
+// expiryRefusal returns the refusal of a task that would expire in the queue. Where
+// only entry nodes shed, the reason is Shed: another node may have a free slot.
+func (s *Server) expiryRefusal() *verdict.Error {
+	const detail = "would expire in the queue"
 	if s.cfg.TellOnly {
 		return verdict.Refuse(verdict.Shed, detail)
 	}
 	return verdict.Refuse(verdict.Deadline, detail)
 }
 
-func (s *Server) refuseNow(now time.Time, t *Task) *verdict.Error {
+func (s *Server) checkAdmission(now time.Time, t *Task) *verdict.Error {
 	switch {
-	case s.drain:
+	case s.draining:
 		return verdict.Refuse(verdict.Draining, "backend server is leaving").After(s.cfg.RefuseRetryAfter)
 	case !s.ready:
 		return verdict.Refuse(verdict.NoBackend, "backend server has not announced itself").After(s.cfg.RefuseRetryAfter)
@@ -259,15 +259,15 @@
 	return verdict.Refuse(verdict.Shed, "%s sheds below priority %d", s.cfg.Service, s.gate.Level(now)).After(s.gate.RetryAfter(now, s.random))
 }
 
-// Cancel ends one attempt that nobody waits for. Work that has not started
-// leaves the queue at once: it would take a slot from a request that somebody
-// waits for, which is how overload outlives its trigger.
+// Cancel ends an attempt whose caller has given up. A task that has not started
+// leaves the queue at once. Running it would take capacity from requests that
+// are still wanted and prolong an overload.
 func (s *Server) Cancel(now time.Time, c call.Cancel) Effects {
 	var e Effects
 	if c.To != s.cfg.Self {
 		return e
 	}
-	// A cancel that overtook its call: the call must not run afterwards.
+	// If the cancel has overtaken its call, the call must not run afterwards.
 	s.senders.Accept(c.From, c.Seq)
 	w := waiter{from: c.From, seq: c.Seq}
 	id, ok := s.byCall[w]
@@ -276,12 +276,12 @@
 		return e
 	}
 	s.counts.Canceled++
-	s.leave(now, s.tasks[id], &e)
+	s.cancelTask(now, s.tasks[id], &e)
 	return e
 }
 
-// leave ends a task whose own caller has gone, unless others joined it.
-func (s *Server) leave(now time.Time, t *Task, e *Effects) {
+// cancelTask ends a task whose caller has canceled, unless other attempts joined it.
+func (s *Server) cancelTask(now time.Time, t *Task, e *Effects) {
 	if t.Request.Key != "" && s.keys.Joined(t.Request.Key) > 0 {
 		return
 	}
@@ -289,16 +289,16 @@
 		e.Stop = append(e.Stop, t.ID)
 		return
 	}
-	if s.lone == t {
-		s.lone = nil
+	if s.isolated == t {
+		s.isolated = nil
 	}
 	s.queue.Remove(t.ID)
 	s.finishUnstarted(t, verdict.Refuse(verdict.Canceled, "canceled before it started"), e)
-	s.pump(now, e)
+	s.startQueued(now, e)
 }
 
-// Tick drops expired work and what waits below the level; to be called every
-// few milliseconds.
+// Tick refuses waiting tasks that have expired or are below the admission level.
+// The node calls it every few milliseconds while Waiting holds.
 func (s *Server) Tick(now time.Time) Effects {
 	var e Effects
 	if s.cfg.Policy == PolicyFull && !s.cfg.TellOnly {
@@ -308,7 +308,7 @@
 	}
 	s.expire(now, &e)
 	s.tickKeys(now, &e)
-	s.pump(now, &e)
+	s.startQueued(now, &e)
 	return e
 }
 
@@ -318,9 +318,9 @@
 		s.observe(now, admission.Shed)
 		s.finishUnstarted(item.Value, verdict.Refuse(verdict.Deadline, "expired while waiting"), e)
 	}
-	if s.lone != nil && s.running[s.lone.ID] == nil && !now.Before(s.lone.Deadline) {
+	if s.isolated != nil && s.running[s.isolated.ID] == nil && !now.Before(s.isolated.Deadline) {
 		s.counts.Expired++
-		s.refuseLone(verdict.Deadline, e)
+		s.refuseIsolated(verdict.Deadline, e)
 	}
 }
 
@@ -334,5 +334,5 @@
 		err := verdict.Refuse(reason, "refused while waiting").After(s.cfg.RefuseRetryAfter)
 		s.finishUnstarted(item.Value, err, e)
 	}
-	s.refuseLone(reason, e)
+	s.refuseIsolated(reason, e)
 }
--- a/serve/slots_test.go
+++ b/serve/slots_test.go
@@ -15,8 +15,8 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// callee is a Server as on a platform where backend servers state their slots and
-// only entries shed.
+// callee is a Server whose backend server states its slots and which only publishes the
+// admission level (Config.TellOnly).
 type callee struct {
 	*Server
 	now time.Time
@@ -45,8 +45,8 @@
 	}, c.op, true)
 }
 
-// learnThatASecondIsUsual has requests run for a second each.
-func (c *callee) learnThatASecondIsUsual() {
+// trainRunTimeOneSecond runs requests of one second each.
+func (c *callee) trainRunTimeOneSecond() {
 	for range 50 {
 		e := c.arrive(importance.Low, time.Minute)
 		c.now = c.now.Add(time.Second)
@@ -54,9 +54,8 @@
 	}
 }
 
-// A backend server says how many requests it works on at once. It is given 95% of
-// that from the first request on, however long their own calls take; the rest
-// waits, and the most important goes first.
+// The stated slots must bound the concurrency from the first request on, whatever the
+// latency of outgoing calls; the most important waiting request starts first.
 func TestStatedSlotsBoundTheConcurrency(t *testing.T) {
 	is := is.New(t)
 	c := newCallee(20)
@@ -66,22 +65,21 @@
 	}
 	is.Equal(len(running), 19)
 	is.Equal(c.arrive(importance.Critical, time.Minute).Start, nil)
-	c.now = c.now.Add(10 * time.Second) // their calls take long
+	c.now = c.now.Add(10 * time.Second) // slow outgoing calls
 	e := c.Done(c.now, running[0].ID, Result{Verdict: verdict.Ran, Status: 200, Latency: 10 * time.Second})
 	is.Equal(len(e.Start), 1)
 	is.Equal(e.Start[0].Request.Importance, importance.Critical)
 	is.Equal(c.Dump(c.now).Concurrency, 19)
 
 	e = c.SetSlots(c.now, 40)
-	is.Equal(len(e.Start), 6) // all that waited
+	is.Equal(len(e.Start), 6) // all waiting tasks
 	c.SetSlots(c.now, 1)
-	is.Equal(c.Dump(c.now).Concurrency, 1) // never none
+	is.Equal(c.Dump(c.now).Concurrency, 1) // at least one
 }
 
-// Requests under way pile up beside a backend server that is short. None is
-// refused by the level: it is only told, for the entries to act on. One that would
-// come too late is refused at once, so that another node may take it.
-func TestLevelIsToldAndNotUsed(t *testing.T) {
+// With TellOnly an overloaded node must publish its admission level without enforcing it.
+// A request that would expire in the queue is refused at once for another node to serve.
+func TestTellOnlyPublishesLevelWithoutEnforcing(t *testing.T) {
 	is := is.New(t)
 	c := newCallee(2)
 	var running []*Task
@@ -105,27 +103,26 @@
 		}
 	}
 	is.True(c.Level(c.now) > 0)
-	is.True(c.Dump(c.now).Counts.Started > 350) // 100 a second, all the while
+	is.True(c.Dump(c.now).Counts.Started > 350) // nearly 100 per second
 }
 
-// A request that has little time left comes while nothing waits. That such requests
-// usually take longer is no reason to refuse it: it is tried.
-func TestShortOfTimeIsTriedWhenNothingWaits(t *testing.T) {
+// A request with little remaining deadline must not be refused while a slot is free, even
+// if such requests usually take longer.
+func TestShortDeadlineStartsOnFreeSlot(t *testing.T) {
 	is := is.New(t)
 	c := newCallee(4)
-	c.learnThatASecondIsUsual()
+	c.trainRunTimeOneSecond()
 	held := c.arrive(importance.Low, time.Minute)
 	is.Equal(len(held.Start), 1)
 	is.Equal(len(c.arrive(importance.Low, 500*time.Millisecond).Start), 1)
 }
 
-// Every slot is taken and a request comes that has less time left than such
-// requests take. It could only start when it is too late for it: it is refused at
-// once, as not run, so that another node may take it.
-func TestShortOfTimeIsRefusedWhenItHadToWait(t *testing.T) {
+// With no free slot, a request whose remaining deadline is below the usual run time must
+// be refused as NotRun at once, so that another node can serve it.
+func TestShortDeadlineIsRefusedWithoutFreeSlot(t *testing.T) {
 	is := is.New(t)
 	c := newCallee(4)
-	c.learnThatASecondIsUsual()
+	c.trainRunTimeOneSecond()
 	for range 3 { // 95% of 4
 		is.Equal(len(c.arrive(importance.Low, time.Minute).Start), 1)
 	}
@@ -135,10 +132,9 @@
 	is.Equal(e.Replies[0].Verdict, verdict.NotRun)
 }
 
-// Callers choose among nodes of which all slots are taken. The node tells of those
-// that wait, too: told only of those that run, they would take the longest queue for
-// as good as the shortest.
-func TestReplyTellsOfTheQueue(t *testing.T) {
+// Replies must count waiting tasks as in flight; otherwise callers can't tell a long queue
+// from a short one when all slots are taken.
+func TestReplyInFlightCountsQueuedTasks(t *testing.T) {
 	is := is.New(t)
 	c := newCallee(3) // two at once
 	first := c.arrive(importance.Normal, time.Minute).Start[0]
--- a/serve/task.go
+++ b/serve/task.go
@@ -10,14 +10,14 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// waiter is one attempt that gets a task's answer. A task has its own and, when
-// callers sent the same key again while it was running, those that joined it.
+// waiter identifies an attempt that waits for the answer of a task. Besides its
+// own attempt, a task answers those that joined it with the same key while it ran.
 type waiter struct {
 	from wire.NodeID
 	seq  uint64
 }
 
-// recipient is a waiter and the connection that its attempt came by.
+// recipient is a waiter and the connection on which its attempt arrived.
 type recipient struct {
 	waiter
 	via uint64
@@ -27,8 +27,8 @@
 	return recipient{waiter: waiter{from: r.From, seq: r.Seq}, via: r.Via}
 }
 
-// Task is one request that this node has taken: it waits for its turn or runs
-// at the backend server.
+// Task is a request that this node has accepted. It waits, or runs at the backend
+// server.
 type Task struct {
 	ID        uint64
 	Request   call.Request
@@ -37,72 +37,75 @@
 
 	waiter   waiter
 	priority uint16
-	class    uint32
-	// arrived and started are when it came and when it was handed over.
+	class    uint32 // hash of the operation, for the expected run time
+	// arrived is the time of arrival; started is the time of the hand-over to
+	// the backend server.
 	arrived, started time.Time
-	// heldUntil is when a resend with the same key stops being safe.
+	// heldUntil is the time until which a resend with the same key is safe.
 	heldUntil time.Time
-	// alone says that nothing else may run beside it.
-	alone bool
+	// mustIsolate is set if nothing else may run at the same time.
+	mustIsolate bool
 	// inFlight is the number of tasks that ran when this one began.
 	inFlight int
-	// calls is the number of calls of its own that it waits for, since
-	// waitSince; downstream is the time that it has waited for them.
-	calls      int
-	waitSince  time.Time
-	downstream time.Duration
+	// openCalls is the number of its open outgoing calls, callsSince the time
+	// at which that number became positive, and callTime the total of earlier
+	// periods with open calls.
+	openCalls  int
+	callsSince time.Time
+	callTime   time.Duration
 }
 
-// Waited is the time that the task waited for its turn.
+// Waited returns the time from the arrival of the task to its start.
 func (t *Task) Waited() time.Duration { return t.started.Sub(t.arrived) }
 
-// Result is what became of a task that was handed to the backend server.
+// Result is the outcome of a task that was handed to the backend server.
 type Result struct {
 	Verdict verdict.Verdict
 	Reason  verdict.Reason
 	Detail  string
-	// RetryAfter is what the backend server proposed.
+	// RetryAfter is the Retry-After of the backend server's answer.
 	RetryAfter time.Duration
-	// Status, Header and Body are the backend server's answer; Status is
-	// zero when there was none.
+	// Status, Header and Body are the backend server's answer; Status is zero
+	// if there was none.
 	Status int
 	Header []call.Field
 	Body   []byte
-	// Latency is from the hand-over to the answer.
+	// Latency is the time from the hand-over to the answer.
 	Latency time.Duration
-	// Crashed says that the backend server's process ended while the task
-	// ran there.
+	// Crashed reports that the backend server's process ended while it ran
+	// the task.
 	Crashed bool
-	// Offered says that a request which did not run had reached the backend
-	// server.
+	// Offered reports, for a request that did not run, that it had reached
+	// the backend server.
 	Offered bool
-	// CallsFailed says that a call which the task made failed: a failure that
-	// the backend server answers may not be its own.
+	// CallsFailed reports that an outgoing call of the task failed, which may
+	// have caused a failure answered by the backend server.
 	CallsFailed bool
-	// Used is the slot time that calls made for the task took at each service
-	// that they reached.
+	// Used is the slot time that the calls made for the task used at each
+	// service that they reached.
 	Used []call.Use
-	// Unused is what is left of the request's grant of extra attempts.
+	// Unused is the unused part of the request's grant of extra attempts.
 	Unused uint32
 }
 
-// Tell is what one other node of the service must know before a request that
-// is sent there arrives.
+// Tell lists notices that one other node of the service must receive before a
+// redirected request arrives there.
 type Tell struct {
 	To      wire.NodeID
 	Notices []poison.Notice
 }
 
-// Effects are what the shell has to do after an event, in this order.
+// Effects are the actions that the node performs after an event, in the order of
+// the fields.
 type Effects struct {
-	// Notices go to all nodes of this node's service.
+	// Notices go to all nodes of the service.
 	Notices []poison.Notice
 	Tell    []Tell
-	// Stop lists running tasks that nobody waits for any more.
+	// Stop lists the IDs of running tasks to cancel.
 	Stop []uint64
-	// Start lists tasks to hand to the backend server now.
+	// Start lists the tasks to hand to the backend server now.
 	Start []*Task
-	// Replies are to be sent to their To.
+	// Replies are sent to the node in their To field.
 	Replies []call.Reply
 }
 
