--- a/once/bench_test.go
+++ b/once/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// perItem reports the live heap that each of n items holds.
+// perItem reports the live heap per item of the n items that fill creates.
 func perItem(b *testing.B, n int, fill func() any) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -43,7 +43,7 @@
 	mint, keys := testKeys(cfg)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		now := epoch.Add(time.Duration(i) * 100 * time.Microsecond) // 10,000 keys a second
+		now := epoch.Add(time.Duration(i) * 100 * time.Microsecond)
 		key := mint.Mint(now, service, operation)
 		_ = mint.Verify(now, key, service, operation)
 		keys.Begin(now, key, 1, 0)
--- a/once/binder.go
+++ b/once/binder.go
@@ -8,75 +8,74 @@
 )
 
 const (
-	// downAfter is the number of failures in a row after which new keys are
-	// refused at once between two tries.
-	downAfter = 2
-	// ownShare of HeldFor is left out at the node of a record, so that clocks
-	// of slightly different rates do not make it outlast the others.
-	ownShare = 8
-	// fillTenths of MaxBindings are used for new keys of this node.
-	fillTenths = 9
+	// failuresUntilDown is the number of consecutive append failures after which new
+	// keys are refused at once until the next attempt.
+	failuresUntilDown = 2
+	// ownMarginDivisor is the divisor of HeldFor for the margin by which a binding ends
+	// earlier at its own node. With different clock rates it must not end later
+	// there than at other nodes.
+	ownMarginDivisor = 8
+	// newKeyFillTenths is the fill level of MaxBindings, in tenths, from which this
+	// node refuses new keys.
+	newKeyFillTenths = 9
 )
 
-// BindState says where a caller's own key may run.
+// BindState states where a caller-made key may run.
 type BindState uint8
 
 // The states.
 const (
-	// Pending: the key waits for its binding; a Resolution follows.
+	// Pending means that the key waits for its binding; a Resolution follows.
 	Pending BindState = iota + 1
-	// BoundHere: this incarnation may run it, by Keys.
+	// BoundHere means that this incarnation may run the key, subject to Keys.
 	BoundHere
-	// BoundTo: only another incarnation may.
+	// BoundTo means that only another incarnation, the holder, may run it.
 	BoundTo
-	// Refused with an error.
+	// Refused means that the key can't be bound now; Err has the reason.
 	Refused
 )
 
-// Resolution says where one key may run.
+// Resolution states where a key may run.
 type Resolution struct {
 	Key    string
 	State  BindState
 	Holder wire.NodeID
-	// Held is how long a resend stays safe, for BoundHere. A request that
-	// still waits for its run after that must be abandoned: another node may
-	// bind the key by then.
+	// Held is how long a resend is safe, for BoundHere. A request that has not
+	// started by then must be abandoned, because another node may bind the key.
 	Held time.Duration
 	Err  *verdict.Error
 }
 
-// Binder binds callers' own keys to incarnations by the order of the stream
-// "bind.<service>". It is not safe for concurrent use.
+// Binder binds caller-made keys to incarnations by the order of records in the log
+// stream "bind.<service>". It is not safe for concurrent use.
 //
-// A key runs here only once this node has folded the log up to its own record
-// for the key and no earlier one names another holder. So two nodes never both
-// run it: of their two records one is first, and the node of the second has
-// read the first before its own.
+// A key runs here only after this node has applied the log up to its own record for
+// the key, if no earlier record names another holder. Two nodes never both run it:
+// the node of the later record has read the earlier one first.
 //
-// A record counts at every other node for HeldFor from the moment it was read.
-// At its own node it counts for less, and from the moment the append was
-// started, which is earlier. The log keeps it for HeldFor at least. So a node
-// that does not know the record any more, or that started after it was trimmed,
-// binds the key anew only when the first holder has stopped running it. A node
-// that falls behind by more than the retention goes on at the oldest record for
-// the same reason. All this needs of clocks is that their rates agree within a
-// twentieth, and that HeldFor passes within the retention on each of them.
+// At every other node a record is valid for HeldFor from the time it is read. At its
+// own node it is valid for a shorter time, counted from the start of the append. The
+// log keeps records for at least HeldFor. A node that has forgotten a record, or
+// that started after the log dropped it, can therefore bind the key again only after
+// the first holder has stopped running it. For the same reason a node that lags by
+// more than the retention may continue at the oldest record. This requires that the
+// rates of clocks agree within 5% and that HeldFor is shorter than the retention on
+// each clock.
 //
-// An append whose answer was lost may have taken effect, or may still. It is
-// made again, with the keys that still wait: a second record of the same node
-// changes nothing, and a key that was refused meanwhile is bound to this node
-// without having run.
+// An append whose answer is lost may take effect, even later. It is repeated with
+// the keys that still wait: a second record of the same node has no effect. A key
+// that was refused in the meantime is then bound to this node without having run.
 type Binder struct {
 	cfg    Config
 	self   wire.NodeID
 	clock  clock
 	claims claims
-	next   uint64 // the first offset that is not folded
+	next   uint64 // the first offset that has not been applied
 
-	pending map[digest]*pendingKey
-	waiting []*pendingKey // in the order of their deadlines
-	queue   []*pendingKey // for the next append
-	sent    int           // pending keys that may be in the log
+	pending    map[digest]*pendingKey
+	byDeadline []*pendingKey // in order of deadline
+	queue      []*pendingKey // for the next append
+	sent       int           // number of pending keys that may be in the log
 
 	appending  []*pendingKey
 	inAppend   bool
@@ -98,21 +97,21 @@
 	done     bool
 }
 
-// BinderState is the state of a Binder for the dump.
+// BinderState is a snapshot of a Binder for operators.
 type BinderState struct {
-	Next     uint64 `json:"next"`
-	Claims   int    `json:"claims"`
-	Blind    bool   `json:"blind,omitempty"`
-	Pending  int    `json:"pending"`
-	Failures int    `json:"failures,omitempty"`
-	Appends  uint64 `json:"appends"`
-	Lost     uint64 `json:"appends_failed"`
-	Refused  uint64 `json:"refused"`
-	Skipped  uint64 `json:"records_skipped"`
+	Next       uint64 `json:"next"`
+	Claims     int    `json:"claims"`
+	Incomplete bool   `json:"blind,omitempty"`
+	Pending    int    `json:"pending"`
+	Failures   int    `json:"failures,omitempty"`
+	Appends    uint64 `json:"appends"`
+	Lost       uint64 `json:"appends_failed"`
+	Refused    uint64 `json:"refused"`
+	Skipped    uint64 `json:"records_skipped"`
 }
 
-// NewBinder returns the binder of an incarnation that started at start. It
-// knows nothing, and reads the stream from its oldest record.
+// NewBinder returns the Binder of an incarnation that started at start. It reads
+// the stream from its oldest record.
 func NewBinder(cfg Config, self wire.NodeID, start time.Time) *Binder {
 	return &Binder{
 		cfg:     cfg,
@@ -125,11 +124,11 @@
 	}
 }
 
-// Want asks for a key. The caller of Want keeps the request while it is
-// Pending, until Page or Tick resolves the key.
-func (b *Binder) Want(now time.Time, key string) Resolution {
-	age := b.clock.at(now)
-	b.claims.forget(age)
+// Bind returns where a caller-made key may run. If the result is Pending, the
+// caller keeps the request until Page or Tick returns a Resolution for the key.
+func (b *Binder) Bind(now time.Time, key string) Resolution {
+	age := b.clock.ageAt(now)
+	b.claims.removeEnded(age)
 	d := digestOf(key)
 	if r, ok := b.lookup(age, key, d); ok {
 		return r
@@ -143,25 +142,26 @@
 	}
 	p := &pendingKey{text: key, key: d, deadline: age + b.cfg.PendingFor}
 	b.pending[d] = p
-	b.waiting = append(b.waiting, p)
+	b.byDeadline = append(b.byDeadline, p)
 	b.queue = append(b.queue, p)
 	return Resolution{Key: key, State: Pending}
 }
 
-// Tick refuses the keys that have waited too long for their binding.
+// Tick refuses the keys that have waited for their binding for PendingFor.
 func (b *Binder) Tick(now time.Time) []Resolution {
-	return b.expire(b.clock.at(now))
+	return b.expire(b.clock.ageAt(now))
 }
 
-// Busy reports whether a key waits, so that the four calls above are due often.
-func (b *Binder) Busy() bool { return len(b.pending) > 0 }
+// HasPending reports whether a key waits for its binding, so that Tick, WantAppend and
+// WantRead must be called often.
+func (b *Binder) HasPending() bool { return len(b.pending) > 0 }
 
-// Dump returns the state for the dump.
+// Dump returns a snapshot of the state.
 func (b *Binder) Dump() BinderState {
 	s := b.counts
 	s.Next = b.next
 	s.Claims = len(b.claims.order)
-	s.Blind = b.clock.latest < b.claims.blindUntil
+	s.Incomplete = b.clock.latest < b.claims.incompleteUntil
 	s.Pending = len(b.pending)
 	s.Failures = b.failures
 	return s
@@ -176,18 +176,18 @@
 	if c.holder != b.self {
 		return r, true
 	}
-	if c.unsure {
+	if c.uncertain {
 		r.State = Refused
-		r.Err = b.full(age)
+		r.Err = b.fullError(age)
 		return r, true
 	}
 	r.State = BoundHere
-	r.Held = c.until - age
+	r.Held = c.validUntil - age
 	return r, true
 }
 
-// refusal says why a key that is not bound cannot be bound now. No record for
-// it is made, so this attempt does not run.
+// refusal returns why an unbound key can't be bound now, or nil. Nothing is
+// appended for a refused key, so the attempt does not run.
 func (b *Binder) refusal(age time.Duration, key string) *verdict.Error {
 	info, err := ParseKey(key)
 	if err != nil {
@@ -196,46 +196,46 @@
 	if info.Minted {
 		return verdict.Refuse(verdict.KeyInvalid, "a minted key is not bound by the log")
 	}
-	room := len(b.claims.order) < b.cfg.MaxBindings*fillTenths/10
-	if !room || age < b.claims.blindUntil || len(b.pending) >= b.cfg.MaxPending {
-		return b.full(age)
+	hasSpace := len(b.claims.order) < b.cfg.MaxBindings*newKeyFillTenths/10
+	if !hasSpace || age < b.claims.incompleteUntil || len(b.pending) >= b.cfg.MaxPending {
+		return b.fullError(age)
 	}
-	if b.failures >= downAfter && age < b.retryAt {
-		return b.notBound(age)
+	if b.failures >= failuresUntilDown && age < b.retryAt {
+		return b.notBoundError(age)
 	}
 	return nil
 }
 
-func (b *Binder) full(age time.Duration) *verdict.Error {
-	err := verdict.Refuse(verdict.Shed, "all places for callers' own keys are taken")
-	return err.After(max(b.cfg.PendingFor, b.claims.roomIn(age)))
+func (b *Binder) fullError(age time.Duration) *verdict.Error {
+	err := verdict.Refuse(verdict.Shed, "too many caller-made keys are in use")
+	return err.After(max(b.cfg.PendingFor, b.claims.nextEndIn(age)))
 }
 
-func (b *Binder) notBound(age time.Duration) *verdict.Error {
-	err := verdict.Refuse(verdict.KeyNotBound, "the log does not bind the key now")
+func (b *Binder) notBoundError(age time.Duration) *verdict.Error {
+	err := verdict.Refuse(verdict.KeyNotBound, "the log can't bind the key now")
 	return err.After(max(b.cfg.RetryEvery, b.retryAt-age))
 }
 
 func (b *Binder) expire(age time.Duration) []Resolution {
 	var out []Resolution
-	for len(b.waiting) > 0 {
-		p := b.waiting[0]
+	for len(b.byDeadline) > 0 {
+		p := b.byDeadline[0]
 		if !p.done && p.deadline > age {
 			break
 		}
-		b.waiting[0] = nil
-		b.waiting = b.waiting[1:]
+		b.byDeadline[0] = nil
+		b.byDeadline = b.byDeadline[1:]
 		if p.done {
 			continue
 		}
-		b.settle(p)
+		b.removePending(p)
 		b.counts.Refused++
-		out = append(out, Resolution{Key: p.text, State: Refused, Err: b.notBound(age)})
+		out = append(out, Resolution{Key: p.text, State: Refused, Err: b.notBoundError(age)})
 	}
 	return out
 }
 
-func (b *Binder) settle(p *pendingKey) {
+func (b *Binder) removePending(p *pendingKey) {
 	p.done = true
 	delete(b.pending, p.key)
 	if p.sent {
--- a/once/bindlog.go
+++ b/once/bindlog.go
@@ -6,24 +6,24 @@
 	"github.com/cassialoom/cassialoom/applog"
 )
 
-// maxBackoff bounds the growth of RetryEvery while the log fails, as a factor.
+// maxBackoff is the maximum factor of RetryEvery while the log fails.
 const maxBackoff = 8
 
-// WantAppend returns a record to append; Appended or AppendFailed must follow.
-// A key that waits alone is sent at once, others that come meanwhile share the
-// next record.
-func (b *Binder) WantAppend(now time.Time) ([]byte, bool) {
-	age := b.clock.at(now)
+// NextAppend returns the next record to append, if one is due; the caller must
+// report the outcome by Appended or AppendFailed. The first waiting key is sent at
+// once. Keys that arrive during an append share the next record.
+func (b *Binder) NextAppend(now time.Time) ([]byte, bool) {
+	age := b.clock.ageAt(now)
 	if b.inAppend || age < b.retryAt || age < b.lastAppend+b.cfg.BatchEvery {
 		return nil, false
 	}
-	batch := b.takeBatch(age)
+	batch := b.dequeueBatch(age)
 	if len(batch) == 0 {
 		return nil, false
 	}
 	data, err := encodeBind(b.record(age, batch))
 	if err != nil {
-		// Cannot happen with these types; the keys expire as not run.
+		// Can't happen with these types; the keys would expire as not run.
 		return nil, false
 	}
 	b.inAppend = true
@@ -33,19 +33,19 @@
 	return data, true
 }
 
-// Appended reports that the record has been written.
+// Appended records that the append has succeeded.
 func (b *Binder) Appended(now time.Time) {
-	age := b.clock.at(now)
+	age := b.clock.ageAt(now)
 	b.inAppend = false
 	b.appending = nil
 	b.failures = 0
 	b.readAt = min(b.readAt, age)
 }
 
-// AppendFailed reports an append without a good answer, whatever it says about
-// the effect: its keys are read for and go into the next record too.
+// AppendFailed records an append that failed or whose outcome is unknown. Its keys
+// are appended again, and read for in case the append took effect.
 func (b *Binder) AppendFailed(now time.Time) {
-	age := b.clock.at(now)
+	age := b.clock.ageAt(now)
 	b.inAppend = false
 	b.queue = append(b.appending, b.queue...)
 	b.appending = nil
@@ -54,9 +54,10 @@
 	b.readAt = min(b.readAt, age)
 }
 
-// WantRead returns the offset to read from; Page or ReadFailed must follow.
-func (b *Binder) WantRead(now time.Time) (from uint64, ok bool) {
-	age := b.clock.at(now)
+// NextRead returns the offset to read from, if a read is due; the caller must report
+// the outcome by Page or ReadFailed.
+func (b *Binder) NextRead(now time.Time) (from uint64, ok bool) {
+	age := b.clock.ageAt(now)
 	if b.inRead || age < b.readAt {
 		return 0, false
 	}
@@ -64,38 +65,37 @@
 	return b.next, true
 }
 
-// ReadFailed reports a read without an answer.
+// ReadFailed records a failed read.
 func (b *Binder) ReadFailed(now time.Time) {
 	b.inRead = false
-	b.readAt = b.clock.at(now) + b.cfg.RetryEvery
+	b.readAt = b.clock.ageAt(now) + b.cfg.RetryEvery
 }
 
-// Page folds the answer to the read from the given offset and returns the keys
-// that it settles. A page for another offset, which is one that came late, is
-// dropped: it could leave a hole in the fold.
+// Page applies the records read from the given offset and returns the keys that are
+// resolved now. It ignores a late page for another offset, which could leave a gap.
 func (b *Binder) Page(now time.Time, from uint64, page applog.Page) []Resolution {
-	age := b.clock.at(now)
+	age := b.clock.ageAt(now)
 	b.inRead = false
-	// Those that have waited too long first: they must get one answer only.
+	// Expire first: an expired key must not get a second Resolution below.
 	out := b.expire(age)
 	if from != b.next {
 		return out
 	}
-	b.claims.forget(age)
+	b.claims.removeEnded(age)
 	b.next = max(b.next, page.Oldest)
 	for _, rec := range page.Records {
 		if rec.Offset < b.next {
 			continue
 		}
-		out = b.fold(age, rec, out)
+		out = b.applyRecord(age, rec, out)
 		b.next = rec.Offset + 1
 	}
-	b.readAt = age + b.readPause(page)
+	b.readAt = age + b.readDelay(page)
 	return out
 }
 
-// takeBatch takes keys that still wait off the queue.
-func (b *Binder) takeBatch(age time.Duration) []*pendingKey {
+// dequeueBatch removes up to MaxBatch keys that still wait from the queue.
+func (b *Binder) dequeueBatch(age time.Duration) []*pendingKey {
 	var batch []*pendingKey
 	n := 0
 	for n < len(b.queue) && len(batch) < b.cfg.MaxBatch {
@@ -123,30 +123,31 @@
 	return r
 }
 
-func (b *Binder) fold(age time.Duration, rec applog.Record, out []Resolution) []Resolution {
+// applyRecord applies a record and appends the resolved keys to out.
+func (b *Binder) applyRecord(age time.Duration, rec applog.Record, out []Resolution) []Resolution {
 	r, err := decodeBind(rec.Data)
 	if err != nil {
-		// Every reader skips the same records.
+		// All nodes skip the same records, so they agree on the first one.
 		b.counts.Skipped++
 		return out
 	}
-	until := b.until(age, r)
+	validUntil := b.validUntil(age, r)
 	for _, d := range r.digests() {
-		b.claims.add(age, claim{key: d, holder: r.Node, until: until})
+		b.claims.add(age, claim{key: d, holder: r.Node, validUntil: validUntil})
 		out = b.resolve(age, d, out)
 	}
 	return out
 }
 
-// until is the age at which the record ends for this node.
-func (b *Binder) until(age time.Duration, r bindRecord) time.Duration {
+// validUntil returns the age of this incarnation at which the record ends.
+func (b *Binder) validUntil(age time.Duration, r bindRecord) time.Duration {
 	if r.Node == b.self {
-		return r.Age + b.cfg.HeldFor - b.cfg.HeldFor/ownShare
+		return r.Age + b.cfg.HeldFor - b.cfg.HeldFor/ownMarginDivisor
 	}
 	return age + b.cfg.HeldFor
 }
 
-// resolve settles a key that waits, if a claim for it is known now.
+// resolve appends the Resolution of a waiting key to out if it has a claim now.
 func (b *Binder) resolve(age time.Duration, key digest, out []Resolution) []Resolution {
 	p, ok := b.pending[key]
 	if !ok {
@@ -156,11 +157,11 @@
 	if !ok {
 		return out
 	}
-	b.settle(p)
+	b.removePending(p)
 	return append(out, r)
 }
 
-func (b *Binder) readPause(page applog.Page) time.Duration {
+func (b *Binder) readDelay(page applog.Page) time.Duration {
 	if b.next < page.Next && len(page.Records) > 0 {
 		return 0
 	}
--- a/once/claims.go
+++ b/once/claims.go
@@ -8,11 +8,12 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// digestLen is long enough that two keys never share a digest by chance.
+// digestLen is the length of a digest in bytes: long enough to rule out chance
+// collisions.
 const digestLen = 16
 
-// digest stands for a caller's own key in the log and in memory: the callers'
-// text stays out of the log, and the size is known.
+// digest represents a caller-made key in the log and in memory. It has a fixed size
+// and keeps the text of callers out of the log.
 type digest [digestLen]byte
 
 func digestOf(key string) digest {
@@ -20,14 +21,14 @@
 	return digest(sum[:digestLen])
 }
 
-// bindRecord is one record of the stream "bind.<service>": the node asks to be
-// the holder of the keys.
+// bindRecord is a record of the stream "bind.<service>", by which the node claims
+// the keys.
 type bindRecord struct {
 	Node wire.NodeID `cbor:"1,keyasint"`
-	// Age of the node's incarnation when it started the append. Only that
-	// incarnation reads it.
+	// Age is the age of the node's incarnation at the start of the append. Only
+	// that incarnation uses it.
 	Age time.Duration `cbor:"2,keyasint"`
-	// Digests of the keys, one after the other.
+	// Digests is the concatenation of the digests of the keys.
 	Digests []byte `cbor:"3,keyasint"`
 }
 
@@ -52,27 +53,28 @@
 	return out
 }
 
-// claim is what one record says about one key.
+// claim is the ownership claim of one record for one key.
 type claim struct {
-	key    digest
-	holder wire.NodeID
-	until  time.Duration // age of this incarnation at which it ends
-	// unsure: an earlier claim may have found no room.
-	unsure bool
-	next   *claim // the later claim for the same key
+	key        digest
+	holder     wire.NodeID
+	validUntil time.Duration // age of this incarnation at which it ends
+	// uncertain is set if an earlier claim for the key may have been dropped for
+	// lack of space.
+	uncertain bool
+	next      *claim // the next claim for the same key
 }
 
-// claims are the folded records, for each key in the order of the log. The
-// first that has not ended names the holder. Later ones are kept too: should
-// the first end here later than at another reader, the other may already have
-// run the key by the next one, and this reader must come to know it.
+// claims holds the claims of the applied records, for each key in log order. The
+// first one that has not ended names the holder. Later ones are kept too: the first
+// may end later here than at another node, which may then run the key by the next
+// claim.
 type claims struct {
 	max   int
 	first map[digest]*claim
-	order []*claim // as folded
-	// blindUntil is set when a claim found no room: until then an unknown
-	// key may be a bound one.
-	blindUntil time.Duration
+	order []*claim // in log order
+	// incompleteUntil is the age until which an unknown key may be bound, because a
+	// claim was dropped for lack of space.
+	incompleteUntil time.Duration
 }
 
 func newClaims(limit int) claims {
@@ -82,21 +84,21 @@
 // holder returns the first claim for the key that has not ended.
 func (c *claims) holder(age time.Duration, key digest) *claim {
 	for f := c.first[key]; f != nil; f = f.next {
-		if f.until > age {
+		if f.validUntil > age {
 			return f
 		}
 	}
 	return nil
 }
 
-// add folds a claim and keeps it until the given age.
+// add adds a claim, unless it has ended or there is no space.
 func (c *claims) add(age time.Duration, n claim) {
-	if n.until <= age {
+	if n.validUntil <= age {
 		return
 	}
-	n.unsure = age < c.blindUntil
+	n.uncertain = age < c.incompleteUntil
 	if len(c.order) >= c.max {
-		c.blindUntil = max(c.blindUntil, n.until)
+		c.incompleteUntil = max(c.incompleteUntil, n.validUntil)
 		return
 	}
 	c.order = append(c.order, &n)
@@ -116,11 +118,11 @@
 	return l
 }
 
-// forget removes ended claims from the front. A claim of this node ends a
-// little before its elders and waits there for them.
-func (c *claims) forget(age time.Duration) {
+// removeEnded removes ended claims from the front of the order. A claim of this node may
+// end before older ones and is removed after them.
+func (c *claims) removeEnded(age time.Duration) {
 	n := 0
-	for n < len(c.order) && c.order[n].until <= age {
+	for n < len(c.order) && c.order[n].validUntil <= age {
 		c.unlink(c.order[n])
 		c.order[n] = nil
 		n++
@@ -128,8 +130,8 @@
 	c.order = c.order[n:]
 }
 
-// unlink takes out the claim, which is the first of its key, as the order in
-// which they were folded is that of the chain.
+// unlink removes a claim from its chain. It is the first of its key: the chains and
+// the order both follow the log.
 func (c *claims) unlink(old *claim) {
 	if old.next == nil {
 		delete(c.first, old.key)
@@ -138,10 +140,10 @@
 	c.first[old.key] = old.next
 }
 
-// roomIn returns when the oldest claim ends.
-func (c *claims) roomIn(age time.Duration) time.Duration {
+// nextEndIn returns the time until the oldest claim ends.
+func (c *claims) nextEndIn(age time.Duration) time.Duration {
 	if len(c.order) == 0 {
 		return 0
 	}
-	return max(0, c.order[0].until-age)
+	return max(0, c.order[0].validUntil-age)
 }
--- a/once/keys.go
+++ b/once/keys.go
@@ -8,57 +8,57 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// fullRetryAfter is proposed when no used key has ended, so that nothing is
-// known about when there will be room.
+// fullRetryAfter is the minimum Retry-After when all places for keys are taken. It
+// applies alone if all used keys are running, so that no expiry is known.
 const fullRetryAfter = time.Second
 
-// Action is what to do with a request that carries a key.
+// Action states what to do with a request that carries a key.
 type Action uint8
 
 // The actions.
 const (
-	// Run it; Finish or Abandon must follow.
+	// Run means to run the request; Finish or Abandon must follow.
 	Run Action = iota + 1
-	// Join the running one; Finish or Abandon hands the waiter back.
+	// Join means to wait for the running request with the key; Finish or
+	// Abandon returns the waiter.
 	Join
-	// Replay the stored answer.
+	// Replay means to answer with the stored answer.
 	Replay
-	// Refuse with the error.
+	// Refuse means to answer with the error.
 	Refuse
 )
 
-// Decision about one request with a key.
+// Decision states what to do with one request that carries a key.
 type Decision[A any] struct {
 	Action Action
 	// Answer is the stored answer to replay.
 	Answer A
 	// Err is set for Refuse.
 	Err *verdict.Error
-	// Held is how long a resend with a minted key stays safe. For a key of
-	// the caller's own see Resolution.Held.
+	// Held is how long a resend with a minted key is safe. For a caller-made
+	// key see Resolution.Held.
 	Held time.Duration
 }
 
-// Keys remembers the used keys of one incarnation. A is a stored answer, W
-// whatever names a request that joined. It is not safe for concurrent use.
+// Keys tracks the used keys of one incarnation. A is the type of a stored answer, W
+// the type that identifies a request that joined. It is not safe for concurrent use.
 //
-// A used key is never forgotten before it expires: a resend would run again.
-// When all places are taken by unexpired keys, a new key is refused instead.
-// Expiry is decided here alone and by a clock that never goes back, so that no
-// key can pass as unexpired after it was forgotten.
+// A used key is kept until it expires; otherwise a resend would run again. While all
+// places are taken by unexpired keys, new keys are refused. Expiry follows a clock
+// that never goes back, so that a removed key can't become valid again.
 type Keys[A, W any] struct {
 	cfg   Config
 	size  func(A) int
 	clock clock
 
-	used    map[string]*use[A, W]
-	ended   useHeap[A, W]
-	answers *list.List // of stored[A, W], the oldest in front
+	used    map[string]*usedKey[A, W]
+	ended   expiryHeap[A, W]
+	answers *list.List // of stored[A, W], oldest first
 	bytes   int
 	counts  KeysState
 }
 
-// KeysState is the state of Keys for the dump.
+// KeysState is a snapshot of Keys for operators.
 type KeysState struct {
 	Used           int    `json:"used"`
 	Running        int    `json:"running"`
@@ -71,8 +71,8 @@
 	AnswersDropped uint64 `json:"answers_dropped"`
 }
 
-// use is one used key.
-type use[A, W any] struct {
+// usedKey is one used key.
+type usedKey[A, W any] struct {
 	key         string
 	minted      bool
 	fingerprint uint64
@@ -80,35 +80,34 @@
 	verdict     verdict.Verdict
 	expires     time.Duration
 	waiters     []W
-	stored      *list.Element // of its answer, nil when that was dropped
+	stored      *list.Element // its answer, nil if dropped
 	index       int           // in the heap of ended keys
 }
 
-// stored is the answer of an ended key. It is apart from the key, which stays
-// longer.
+// stored is the answer of an ended key. The key may be kept longer than its answer.
 type stored[A, W any] struct {
-	use    *use[A, W]
-	answer A
+	usedKey *usedKey[A, W]
+	answer  A
 }
 
-// NewKeys returns the memory of an incarnation that started at start, the same
-// time as for its Mint. size gives the bytes that a stored answer holds.
+// NewKeys returns the Keys of an incarnation that started at start, which must be
+// the start of its Mint too. size returns the size of a stored answer in bytes.
 func NewKeys[A, W any](cfg Config, start time.Time, size func(A) int) *Keys[A, W] {
 	return &Keys[A, W]{
 		cfg:     cfg,
 		size:    size,
 		clock:   clock{start: start},
-		used:    make(map[string]*use[A, W]),
+		used:    make(map[string]*usedKey[A, W]),
 		answers: list.New(),
 	}
 }
 
-// Begin decides about a request whose key may run here: Mint.Verify passed, or
-// the Binder said BoundHere. The fingerprint names its content. The waiter is
-// kept only if the decision is Join.
+// Begin decides what to do with a request whose key may run here, according to
+// Mint.Verify or to BoundHere of the Binder. The fingerprint identifies its content.
+// The waiter is kept only if the decision is Join.
 func (k *Keys[A, W]) Begin(now time.Time, key string, fingerprint uint64, waiter W) Decision[A] {
-	age := k.clock.at(now)
-	k.forget(age)
+	age := k.clock.ageAt(now)
+	k.removeExpired(age)
 	d := k.decide(age, key, fingerprint, waiter)
 	k.count(d.Action)
 	return d
@@ -116,7 +115,7 @@
 
 func (k *Keys[A, W]) decide(age time.Duration, key string, fingerprint uint64, waiter W) Decision[A] {
 	if u, ok := k.used[key]; ok {
-		return k.again(age, u, fingerprint, waiter)
+		return k.resend(age, u, fingerprint, waiter)
 	}
 	info, err := ParseKey(key)
 	if err != nil {
@@ -127,21 +126,21 @@
 		expires = info.Expires
 	}
 	if age >= expires {
-		return refuse[A](expired())
+		return refuse[A](expiredError())
 	}
 	if len(k.used) >= k.cfg.MaxKeys {
-		full := verdict.Refuse(verdict.Shed, "all %d places for keys are taken", k.cfg.MaxKeys)
-		return refuse[A](full.After(k.roomIn(age)))
+		full := verdict.Refuse(verdict.Shed, "all %d places for used keys are taken", k.cfg.MaxKeys)
+		return refuse[A](full.After(k.nextExpiryIn(age)))
 	}
-	u := &use[A, W]{key: key, minted: info.Minted, fingerprint: fingerprint, running: true, expires: expires}
+	u := &usedKey[A, W]{key: key, minted: info.Minted, fingerprint: fingerprint, running: true, expires: expires}
 	k.used[key] = u
-	return Decision[A]{Action: Run, Held: u.held(age)}
+	return Decision[A]{Action: Run, Held: u.safeFor(age)}
 }
 
-// again decides about a key that is in use. Other content under the same key
-// is refused, and the verdict is that of the key: "not run" could lead the
-// caller to repeat an action that did run, with a new key.
-func (k *Keys[A, W]) again(age time.Duration, u *use[A, W], fingerprint uint64, waiter W) Decision[A] {
+// resend decides about a resend with a used key. Different content with the same key
+// is refused with the verdict of the key: after NotRun the caller could repeat, with
+// a new key, an action that has run.
+func (k *Keys[A, W]) resend(age time.Duration, u *usedKey[A, W], fingerprint uint64, waiter W) Decision[A] {
 	if u.fingerprint != fingerprint {
 		return u.refuse(verdict.KeyInvalid, "key was used with another request")
 	}
@@ -151,24 +150,24 @@
 			return u.refuse(verdict.Duplicate, "too many resends wait for the running request")
 		}
 		u.waiters = append(u.waiters, waiter)
-		return Decision[A]{Action: Join, Held: u.held(age)}
+		return Decision[A]{Action: Join, Held: u.safeFor(age)}
 	}
 	if u.stored == nil {
-		return u.refuse(verdict.AnswerDropped, "the answer is not kept any more")
+		return u.refuse(verdict.AnswerDropped, "the answer is no longer stored")
 	}
 	answer := u.stored.Value.(stored[A, W]).answer
-	return Decision[A]{Action: Replay, Answer: answer, Held: u.held(age)}
+	return Decision[A]{Action: Replay, Answer: answer, Held: u.safeFor(age)}
 }
 
-// Finish ends a run that was handed to the backend server and returns the
-// requests that joined it; they get the same answer. The key stays used
-// whatever the verdict is: only Abandon makes it usable again.
+// Finish ends a run that was handed to the backend server and returns the requests
+// that joined it, which get the same answer. The key stays used whatever the verdict
+// is; only Abandon frees it.
 func (k *Keys[A, W]) Finish(now time.Time, key string, answer A, v verdict.Verdict) []W {
 	u, ok := k.used[key]
 	if !ok || !u.running {
 		return nil
 	}
-	age := k.clock.at(now)
+	age := k.clock.ageAt(now)
 	k.extend(age, u)
 	u.running = false
 	u.verdict = v
@@ -179,10 +178,10 @@
 	return waiters
 }
 
-// Abandon ends a run that was never handed to the backend server and never
-// will be, and returns the requests that joined it: they were not run either.
-// The key is usable again, here and only here: the attempts refused now are
-// remembered by their numbers, so no late copy of them can take the key.
+// Abandon ends a run that was not and will not be handed to the backend server, and
+// returns the requests that joined it, which have not run either. It frees the key,
+// at this incarnation only. Late copies of the refused attempts can't use it, because
+// Senders rejects their sequence numbers.
 func (k *Keys[A, W]) Abandon(key string) []W {
 	u, ok := k.used[key]
 	if !ok || !u.running {
@@ -192,8 +191,8 @@
 	return u.waiters
 }
 
-// Joined returns how many requests wait for the running one. While there are
-// any, it must not be cancelled because its first sender has gone.
+// Joined returns the number of requests that wait for the running one. While it is
+// positive, the run must not be canceled because its first sender has gone.
 func (k *Keys[A, W]) Joined(key string) int {
 	if u, ok := k.used[key]; ok {
 		return len(u.waiters)
@@ -201,7 +200,7 @@
 	return 0
 }
 
-// Dump returns the state for the dump.
+// Dump returns a snapshot of the state.
 func (k *Keys[A, W]) Dump() KeysState {
 	s := k.counts
 	s.Used = len(k.used)
@@ -211,9 +210,9 @@
 	return s
 }
 
-// extend keeps a key of the caller's own for as long as its binding can still
-// bring it here. A binding may be renewed; the key must not be forgotten first.
-func (k *Keys[A, W]) extend(age time.Duration, u *use[A, W]) {
+// extend prolongs the expiry of a caller-made key. Its binding may be renewed, and
+// the key must not expire before the binding.
+func (k *Keys[A, W]) extend(age time.Duration, u *usedKey[A, W]) {
 	if u.minted {
 		return
 	}
@@ -223,34 +222,33 @@
 	}
 }
 
-func (k *Keys[A, W]) store(u *use[A, W], answer A) {
+func (k *Keys[A, W]) store(u *usedKey[A, W], answer A) {
 	u.stored = k.answers.PushBack(stored[A, W]{u, answer})
 	k.bytes += k.size(answer)
 	for k.bytes > k.cfg.MaxAnswerBytes {
-		k.drop(k.answers.Front().Value.(stored[A, W]).use)
+		k.dropAnswer(k.answers.Front().Value.(stored[A, W]).usedKey)
 		k.counts.AnswersDropped++
 	}
 }
 
-func (k *Keys[A, W]) drop(u *use[A, W]) {
+func (k *Keys[A, W]) dropAnswer(u *usedKey[A, W]) {
 	old := k.answers.Remove(u.stored).(stored[A, W])
 	k.bytes -= k.size(old.answer)
 	u.stored = nil
 }
 
-// forget removes the ended keys that have expired. A running one is not among
-// them, however long it takes.
-func (k *Keys[A, W]) forget(age time.Duration) {
+// removeExpired removes the ended keys that have expired. A running key is never removed.
+func (k *Keys[A, W]) removeExpired(age time.Duration) {
 	for len(k.ended) > 0 && k.ended[0].expires <= age {
-		u := heap.Pop(&k.ended).(*use[A, W])
+		u := heap.Pop(&k.ended).(*usedKey[A, W])
 		delete(k.used, u.key)
 		if u.stored != nil {
-			k.drop(u)
+			k.dropAnswer(u)
 		}
 	}
 }
 
-func (k *Keys[A, W]) roomIn(age time.Duration) time.Duration {
+func (k *Keys[A, W]) nextExpiryIn(age time.Duration) time.Duration {
 	if len(k.ended) == 0 {
 		return fullRetryAfter
 	}
@@ -270,14 +268,14 @@
 	}
 }
 
-func (u *use[A, W]) held(age time.Duration) time.Duration {
+func (u *usedKey[A, W]) safeFor(age time.Duration) time.Duration {
 	if !u.minted {
 		return 0
 	}
 	return max(0, u.expires-age)
 }
 
-func (u *use[A, W]) refuse(reason verdict.Reason, detail string) Decision[A] {
+func (u *usedKey[A, W]) refuse(reason verdict.Reason, detail string) Decision[A] {
 	v := verdict.MayHaveRun
 	if !u.running && u.verdict != verdict.Unknown {
 		v = u.verdict
@@ -289,27 +287,27 @@
 	return Decision[A]{Action: Refuse, Err: err}
 }
 
-// useHeap orders ended keys by expiry, the first to expire on top.
-type useHeap[A, W any] []*use[A, W]
+// expiryHeap is a min-heap of ended keys by expiry.
+type expiryHeap[A, W any] []*usedKey[A, W]
 
-func (h useHeap[A, W]) Len() int           { return len(h) }
-func (h useHeap[A, W]) Less(i, j int) bool { return h[i].expires < h[j].expires }
+func (h expiryHeap[A, W]) Len() int           { return len(h) }
+func (h expiryHeap[A, W]) Less(i, j int) bool { return h[i].expires < h[j].expires }
 
 // Swap implements sort.Interface.
-func (h useHeap[A, W]) Swap(i, j int) {
+func (h expiryHeap[A, W]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
 
 // Push implements heap.Interface.
-func (h *useHeap[A, W]) Push(x any) {
-	u := x.(*use[A, W])
+func (h *expiryHeap[A, W]) Push(x any) {
+	u := x.(*usedKey[A, W])
 	u.index = len(*h)
 	*h = append(*h, u)
 }
 
 // Pop implements heap.Interface.
-func (h *useHeap[A, W]) Pop() any {
+func (h *expiryHeap[A, W]) Pop() any {
 	last := len(*h) - 1
 	u := (*h)[last]
 	(*h)[last] = nil
--- a/once/keys_test.go
+++ b/once/keys_test.go
@@ -19,9 +19,8 @@
 	return mint, NewKeys[string, int](cfg, epoch, func(s string) int { return len(s) })
 }
 
-// A caller uses more keys than there is room for. Answers are dropped first,
-// and then told from "not run"; a key is not forgotten before it expires, even
-// if the clock goes back, and a new one is refused with the time to come back.
+// Keys must not be forgotten before they expire, even if the clock goes back. When full,
+// answers are dropped without a NotRun verdict, and new keys are refused.
 func TestKeysAreBoundedAndNotForgotten(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
@@ -46,9 +45,8 @@
 	is.Equal(gone.Verdict, verdict.MayHaveRun)
 }
 
-// While a key runs, resends join it, within a bound; other content is refused
-// with the verdict of the key. A run that was never handed over gives all that
-// joined back, and the key can be tried again.
+// Resends must join a running key, up to MaxJoined, and other content must be refused
+// with the verdict of the key. An abandoned run returns all joined requests.
 func TestResendsJoinTheRunningRequest(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
@@ -72,8 +70,8 @@
 	is.Equal(keys.Abandon(key), nil) // too late
 }
 
-// A forged key, one for another operation, one of another incarnation and an
-// expired one are all refused, and only an expired one may have run.
+// Forged and expired keys, and keys for other operations or incarnations, must be
+// refused; only an expired one may have run.
 func TestMintedKeysAreVerified(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
@@ -92,8 +90,8 @@
 	is.Equal([]any{expired.Reason, expired.Verdict}, []any{verdict.KeyExpired, verdict.MayHaveRun})
 }
 
-// Whatever a caller sends as a key: no crash, a bounded length, and nothing
-// but the minted key itself is accepted as minted here.
+// No text may crash the parser or exceed the maximum length, and only the minted key
+// itself may pass Verify.
 func FuzzParseKey(f *testing.F) {
 	cfg := DefaultConfig()
 	mint, _ := testKeys(cfg)
@@ -104,7 +102,7 @@
 	f.Fuzz(func(t *testing.T, key string) {
 		info, err := ParseKey(key)
 		if err == nil && (len(key) == 0 || len(key) > MaxKeyLen || info.Minted != strings.HasPrefix(key, keyPrefix)) {
-			t.Fatalf("key %q taken as %+v", key, info)
+			t.Fatalf("key %q parsed as %+v", key, info)
 		}
 		if key != good && mint.Verify(epoch, key, service, operation) == nil {
 			t.Fatalf("forged key %q verified", key)
@@ -112,10 +110,9 @@
 	})
 }
 
-// More bindings come through the log than there is room for, among them one
-// for a key that waits here. When old ones have made room, this node's own
-// record for the key arrives: it may not be the first, so the key must not run.
-func TestBindingThatFoundNoRoomKeepsItsKeyFromRunning(t *testing.T) {
+// If a full table dropped another node's binding for a key, this node's later record may
+// not be the first, so the key must not run here.
+func TestDroppedBindingPreventsRun(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.MaxBindings = 10
@@ -134,17 +131,17 @@
 	}
 	fold(epoch, wire.NodeID{1}, "1", "2", "3", "4", "5", "6", "7", "8")
 	now := epoch.Add(cfg.HeldFor - cfg.PendingFor/2)
-	is.Equal(b.Want(now, "key").State, Pending)
-	is.Equal(b.Want(now, "1").State, BoundTo)
+	is.Equal(b.Bind(now, "key").State, Pending)
+	is.Equal(b.Bind(now, "1").State, BoundTo)
 	is.Equal(len(fold(now, wire.NodeID{2}, "9", "10", "key")), 0)
 	now = epoch.Add(cfg.HeldFor)
 	got := fold(now, self, "key")
 	is.Equal(len(got), 1)
 	is.Equal(got[0].State, Refused)
 	is.Equal(got[0].Err.Verdict, verdict.NotRun)
-	is.Equal(b.Want(now, "another").Err.Reason, verdict.Shed)
+	is.Equal(b.Bind(now, "another").Err.Reason, verdict.Shed)
 	is.Equal(fold(now, wire.NodeID{2}), nil)
 	late := applog.Page{Records: []applog.Record{{Offset: offset + 5}}, Next: offset + 6}
-	is.Equal(b.Page(now, offset+5, late), nil) // would leave a hole
+	is.Equal(b.Page(now, offset+5, late), nil) // would leave a gap
 	is.Equal(b.Dump().Next, offset)
 }
--- a/once/mint.go
+++ b/once/mint.go
@@ -13,8 +13,8 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// The form of a minted key: the prefix, then in base64url the holder, its
-// expiry, a serial number and the MAC.
+// Format of a minted key: the prefix, then in base64url the holder, its expiry,
+// a serial number and the MAC. Lengths are in bytes.
 const (
 	keyPrefix = "cl1."
 	holderLen = len(wire.NodeID{})
@@ -23,28 +23,29 @@
 	signedLen = holderLen + 2*numberLen
 	keyLen    = signedLen + macLen
 
-	// MaxKeyLen bounds a key of either kind.
+	// MaxKeyLen is the maximum length of a key in bytes, minted or caller-made.
 	MaxKeyLen = 255
 )
 
-// SecretLen is the length of the secret of a Mint.
+// SecretLen is the length of the secret of a Mint in bytes.
 const SecretLen = sha256.Size
 
 var keyEncoding = base64.RawURLEncoding.Strict()
 
-// KeyInfo is what a key's text alone says. It is not verified.
+// KeyInfo is the unverified content of a key.
 type KeyInfo struct {
-	// Minted tells a key that a node minted from one of the caller's own.
+	// Minted reports whether a node minted the key; otherwise the caller made it.
 	Minted bool
 	// Holder is the incarnation that may run the request of a minted key.
 	Holder wire.NodeID
 	// Expires is the age of the holder's incarnation at which a minted key
-	// ends. It means nothing to anyone else: no clock is shared.
+	// expires. Other nodes can't interpret it, as clocks are not synchronized.
 	Expires time.Duration
 }
 
-// ParseKey reads the text of a key. Text without the prefix of minted keys is
-// a key of the caller's own.
+// ParseKey parses a key without verifying it. Text without the prefix of minted
+// keys is a caller-made key. The error reports a bad length, a byte that is not
+// visible ASCII, or a malformed minted key.
 func ParseKey(key string) (KeyInfo, error) {
 	if err := checkText(key); err != nil {
 		return KeyInfo{}, err
@@ -91,11 +92,11 @@
 	return raw, nil
 }
 
-// Mint makes and verifies the keys of one incarnation. It is not safe for
+// Mint issues and verifies the minted keys of one incarnation. It is not safe for
 // concurrent use.
 //
-// The secret dies with the incarnation, so no other can verify its keys, let
-// alone run them: a node that restarts on the same address refuses them.
+// The secret belongs to the incarnation, so no other one accepts the keys: a node that
+// restarts at the same address refuses them.
 type Mint struct {
 	cfg    Config
 	self   wire.NodeID
@@ -104,29 +105,28 @@
 	serial uint64
 }
 
-// NewMint returns the mint of an incarnation that started at start; secret is
-// drawn at random for it.
+// NewMint returns the Mint of an incarnation that started at start. secret must be
+// random and new for each incarnation.
 func NewMint(cfg Config, self wire.NodeID, secret [SecretLen]byte, start time.Time) *Mint {
 	return &Mint{cfg: cfg, self: self, secret: secret, clock: clock{start: start}}
 }
 
-// Mint returns a new key for one operation. Keys differ by their serial
-// number, which the MAC keeps from being guessed.
+// Mint returns a new key for one operation, valid for KeyTTL. Keys differ in their
+// serial number; the MAC prevents forging.
 func (m *Mint) Mint(now time.Time, service, operation string) string {
 	var raw [keyLen]byte
 	m.serial++
 	copy(raw[:], m.self[:])
-	expires := m.clock.at(now) + m.cfg.KeyTTL
+	expires := m.clock.ageAt(now) + m.cfg.KeyTTL
 	binary.BigEndian.PutUint64(raw[holderLen:], uint64(expires))
 	binary.BigEndian.PutUint64(raw[holderLen+numberLen:], m.serial)
 	copy(raw[signedLen:], m.mac(raw[:signedLen], service, operation))
 	return keyPrefix + keyEncoding.EncodeToString(raw[:])
 }
 
-// Verify checks a minted key that names this incarnation.
-//
-// A key that is not valid here has never run and never will: "not run". One
-// that has expired may have been used and forgotten, so nothing is claimed.
+// Verify checks that the key was minted by this incarnation for the operation and
+// has not expired. A key that this incarnation did not mint has not run here, so the
+// verdict is NotRun. A key that has expired or names another holder may have run.
 func (m *Mint) Verify(now time.Time, key, service, operation string) *verdict.Error {
 	info, err := ParseKey(key)
 	if err != nil {
@@ -142,8 +142,8 @@
 	if !hmac.Equal(raw[signedLen:], m.mac(raw[:signedLen], service, operation)) {
 		return verdict.Refuse(verdict.KeyInvalid, "key was not minted for %s.%s", service, operation)
 	}
-	if m.clock.at(now) >= info.Expires {
-		return expired()
+	if m.clock.ageAt(now) >= info.Expires {
+		return expiredError()
 	}
 	return nil
 }
@@ -151,7 +151,7 @@
 func (m *Mint) mac(signed []byte, service, operation string) []byte {
 	h := hmac.New(sha256.New, m.secret[:])
 	h.Write(signed)
-	// The length keeps "a"+"bc" apart from "ab"+"c".
+	// The length prefix distinguishes "a"+"bc" from "ab"+"c".
 	var n [numberLen]byte
 	binary.BigEndian.PutUint64(n[:], uint64(len(service)))
 	h.Write(n[:])
@@ -160,6 +160,6 @@
 	return h.Sum(nil)[:macLen]
 }
 
-func expired() *verdict.Error {
-	return verdict.Doubt(verdict.KeyExpired, "key has expired: whether it was used is not known any more")
+func expiredError() *verdict.Error {
+	return verdict.Doubt(verdict.KeyExpired, "key has expired; it may have been used")
 }
--- a/once/naive_test.go
+++ b/once/naive_test.go
@@ -7,7 +7,7 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// naiveVersion replaces one of the mechanisms; the zero value replaces none.
+// naiveVersion replaces one mechanism by a naive one; the zero value replaces none.
 type naiveVersion struct {
 	name       string
 	forgetful  bool
@@ -28,7 +28,7 @@
 	return v.makeBinder(n, b)
 }
 
-// forgetful remembers the attempts that run, but not those that it refused.
+// forgetful is an accepter that forgets the attempts that were refused.
 type forgetful struct{ seen map[forgetfulKey]bool }
 
 type forgetfulKey struct {
@@ -44,21 +44,21 @@
 
 func (f *forgetful) forget(from wire.NodeID, seq uint64) { delete(f.seen, forgetfulKey{from, seq}) }
 
-// localCache trusts the keys that the node itself has seen.
+// localCache binds every key to its own node without asking the log.
 type localCache struct{ *Binder }
 
-func (l localCache) Want(_ time.Time, key string) Resolution {
+func (l localCache) Bind(_ time.Time, key string) Resolution {
 	return Resolution{Key: key, State: BoundHere, Held: l.cfg.HeldFor}
 }
 
-// lastWins gives a key to the node of its latest record.
+// lastWins binds a key to the node of its latest record instead of the first.
 type lastWins struct {
 	*Binder
 	holders map[digest]claim
 }
 
-func (l *lastWins) Want(now time.Time, key string) Resolution {
-	r := l.Binder.Want(now, key)
+func (l *lastWins) Bind(now time.Time, key string) Resolution {
+	r := l.Binder.Bind(now, key)
 	if r.State != Pending {
 		l.correct(&r)
 	}
@@ -69,7 +69,7 @@
 	for _, rec := range page.Records {
 		r, _ := decodeBind(rec.Data)
 		for _, d := range r.digests() {
-			l.holders[d] = claim{holder: r.Node, until: l.until(l.clock.latest, r)}
+			l.holders[d] = claim{holder: r.Node, validUntil: l.validUntil(l.clock.latest, r)}
 		}
 	}
 	out := l.Binder.Page(now, from, page)
@@ -81,17 +81,17 @@
 
 func (l *lastWins) correct(r *Resolution) {
 	last, ok := l.holders[digestOf(r.Key)]
-	if !ok || r.State == Refused || last.until <= l.clock.latest {
+	if !ok || r.State == Refused || last.validUntil <= l.clock.latest {
 		return
 	}
 	r.State, r.Holder = BoundTo, last.holder
 	if last.holder == l.self {
-		r.State, r.Held = BoundHere, last.until-l.clock.latest
+		r.State, r.Held = BoundHere, last.validUntil-l.clock.latest
 	}
 }
 
-// leased lets a node run a key while it holds a lease on it, which others take
-// over when it has lapsed. The leases themselves are kept without any fault.
+// leased binds a key by a lease, which another node takes over after it expires. The
+// lease service itself is free of faults.
 type leased struct {
 	*Binder
 	n      *node
@@ -103,9 +103,9 @@
 	until  time.Time
 }
 
-const leaseLife = 2 * time.Second
+const leaseTTL = 2 * time.Second
 
-func (l *leased) Want(_ time.Time, key string) Resolution {
+func (l *leased) Bind(_ time.Time, key string) Resolution {
 	now := l.n.w.now
 	held := l.leases[key]
 	if held == nil || !now.Before(held.until) {
@@ -115,7 +115,7 @@
 	if held.holder != l.n.id {
 		return Resolution{Key: key, State: BoundTo, Holder: held.holder}
 	}
-	held.until = now.Add(leaseLife)
+	held.until = now.Add(leaseTTL)
 	return Resolution{Key: key, State: BoundHere, Held: l.cfg.HeldFor}
 }
 
--- a/once/once.go
+++ b/once/once.go
@@ -1,31 +1,30 @@
-// Package once decides whether a request may be handed to the backend server,
-// so that a non-idempotent operation runs at most once whatever is resent,
-// repeated, delayed or lost.
+// Package once decides whether a request may be handed to the backend server, so
+// that a non-idempotent operation runs at most once even if messages are resent,
+// duplicated, delayed or lost.
 //
-// No promise rests on a lease: a lease can lapse while its holder is paused,
-// and a backend server cannot check a fence. The right to run one request is
-// bound for good to one incarnation of one node and never moves. When that
-// incarnation is gone, the answer is "may have run", never a second run.
+// It uses no leases: a lease can expire while its holder is paused, and a backend
+// server can't check a fencing token. The right to run a request is bound to one
+// incarnation of one node and does not move. After that incarnation has ended, the
+// answer is verdict.MayHaveRun; no other node runs the request.
 //
-// Three duties, each a plain type, and the order in which a node asks them:
+// A node asks three types, in this order:
 //
-//  1. Senders: each attempt carries its sender and a sequence number. A number
-//     is accepted once, so a late copy of an attempt that was refused, or that
-//     was cancelled before it arrived, cannot run afterwards.
-//  2. Mint.Verify for a key that a node minted, which names the incarnation
-//     that may run it; or Binder for a key of the caller's own, which the log
-//     binds to an incarnation: the first record for a key names it.
-//  3. Keys: the keys used at this incarnation. A key that is running is joined,
-//     one that has ended has its answer replayed.
+//  1. Senders: each attempt carries its sender and a sequence number. A number is
+//     accepted once, so that a late copy of an attempt can't run after the attempt
+//     was refused, or canceled before it arrived.
+//  2. Mint.Verify or Binder: a minted key names the incarnation that may run it. A
+//     caller-made key is bound to an incarnation by the first record for the key
+//     in the log.
+//  3. Keys: the keys used at this incarnation. A resend joins a running key and
+//     gets the stored answer of an ended one.
 //
-// What is promised, and for how long: a minted key until the expiry that its
-// holder gave it; a key of the caller's own until its binding ends, which the
-// holder's answer tells (seven eighths of HeldFor). Later the same key is a new
-// one. Without a key a resend is a new request.
+// The guarantee is limited in time. For a minted key it holds until the expiry set
+// by its holder, for a caller-made key until its binding ends; the holder's answer
+// states how long that is (7/8 of HeldFor at most). After that the same key is new.
+// Without a key every resend is a new request.
 //
-// "Not run" is said of the attempt that it answers. Whoever sends a key again
-// after an attempt with an unknown end does not know from it that the earlier
-// one did not run.
+// NotRun applies to the answered attempt only. An earlier attempt with the same key
+// whose outcome is unknown may have run.
 package once
 
 import (
@@ -33,61 +32,57 @@
 	"time"
 )
 
-// Config of the three duties.
+// Config configures Senders, Mint, Binder and Keys.
 type Config struct {
-	// MaxSenders bounds the senders with a full window, 1.3 KB each. 4096 is
-	// above the 3,500 nodes that could send to one node.
+	// MaxSenders is the maximum number of senders with a full window. It should
+	// exceed the number of nodes that send to one node.
 	MaxSenders int
-	// MaxFloors bounds the senders of which only the highest number is kept,
-	// 55 bytes each. 32768 is a month's worth of replaced nodes at 1,200 a
-	// day, if every one of them sends here.
+	// MaxFloors is the maximum number of former senders of which only the
+	// highest sequence number is kept. Each replaced node that has sent here
+	// needs one for the lifetime of this incarnation.
 	MaxFloors int
 
-	// KeyTTL is the life of a minted key. Ten minutes cover a caller that
-	// fetches keys ahead and then resends through an outage of minutes.
+	// KeyTTL is the lifetime of a minted key. It should cover a caller that
+	// fetches keys ahead and resends during an outage.
 	KeyTTL time.Duration
-	// HeldFor is how long a binding of a caller's own key is kept. It must
-	// stay a twentieth below the log's retention: a record that the log has
-	// dropped cannot be read by a node that starts. Half an hour covers
-	// callers that resend through an outage, at a bounded memory.
+	// HeldFor is how long the binding of a caller-made key is kept. It must be
+	// at most 95% of the retention of the log: a node that starts can't read a
+	// record that the log has dropped.
 	HeldFor time.Duration
-	// MaxKeys bounds the used keys of this incarnation, 300 bytes each. When
-	// they are all unexpired a new key is refused: over KeyTTL that is 80 keyed
-	// requests a second at one node.
+	// MaxKeys is the maximum number of used keys of this incarnation. New keys
+	// are refused while that many are unexpired.
 	MaxKeys int
-	// MaxAnswerBytes bounds the stored answers. The oldest are dropped first;
-	// their keys stay. 4 MB hold some seconds of answers of a few KB, which
-	// is when most resends come, and leave room in the node's 64 MB.
+	// MaxAnswerBytes is the maximum total size of stored answers in bytes. The
+	// oldest answers are dropped first; their keys stay.
 	MaxAnswerBytes int
-	// MaxJoined bounds the resends that wait for one running request, so
-	// that a caller that resends in a loop cannot fill the memory.
+	// MaxJoined is the maximum number of resends that wait for one running
+	// request, so that a caller that resends in a loop can't exhaust memory.
 	MaxJoined int
 
-	// MaxBindings bounds the folded bindings of the node's service, 110 bytes
-	// each. New keys are refused from nine tenths of it, so that the records
-	// of other nodes still find room: over HeldFor that is 25 new keys a
-	// second for the service.
+	// MaxBindings is the maximum number of claims kept for the service. From 90%
+	// of it the node refuses new keys, to leave space for the records of other
+	// nodes.
 	MaxBindings int
-	// MaxPending bounds the keys that wait for their binding at this node.
+	// MaxPending is the maximum number of keys that wait for their binding at
+	// this node.
 	MaxPending int
-	// BatchEvery is the least time between the starts of two appends. With 17
-	// nodes for each of 200 services, only those whose callers bring keys of
-	// their own append; 20 ms is what such a call waits on top of the log.
+	// BatchEvery is the minimum interval between the starts of two appends. A
+	// key may wait that long in addition to the latency of the log.
 	BatchEvery time.Duration
-	// MaxBatch bounds the keys in one record; 256 make a record of 4 KB.
+	// MaxBatch is the maximum number of keys in one record, 16 bytes each.
 	MaxBatch int
 	// PendingFor is how long a key may wait for its binding before it is
-	// refused. It bounds what a caller waits in an outage of the log.
+	// refused, for example during an outage of the log.
 	PendingFor time.Duration
-	// RetryEvery is the time between appends, and between reads, while the
-	// log fails. One batch in each such period tells when it is back.
+	// RetryEvery is the interval between appends, and between reads, while the
+	// log fails. The interval between appends grows by a backoff.
 	RetryEvery time.Duration
-	// ReadEvery is the time between reads while no key waits. It keeps the
-	// fold close to the tail, so that a key's binding is soon read back.
+	// ReadEvery is the interval between reads while no key waits. It keeps this
+	// node close to the end of the log, so that new bindings are read soon.
 	ReadEvery time.Duration
 }
 
-// DefaultConfig returns the settings that the reasons above are given for.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		MaxSenders: 4096, MaxFloors: 32768,
@@ -100,7 +95,7 @@
 	}
 }
 
-// Check names the first setting that is out of its range.
+// Check returns an error for the first setting that is out of range.
 func (c Config) Check() error {
 	counts := []struct {
 		name  string
@@ -112,14 +107,14 @@
 	}
 	for _, n := range counts {
 		if n.value < 1 {
-			return fmt.Errorf("once: bound of %s %d: want 1 or more", n.name, n.value)
+			return fmt.Errorf("once: limit of %s is %d: want 1 or more", n.name, n.value)
 		}
 	}
 	times := []struct {
 		name  string
 		value time.Duration
 	}{
-		{"key life", c.KeyTTL}, {"binding life", c.HeldFor}, {"batch interval", c.BatchEvery},
+		{"key lifetime", c.KeyTTL}, {"binding lifetime", c.HeldFor}, {"batch interval", c.BatchEvery},
 		{"pending limit", c.PendingFor}, {"retry interval", c.RetryEvery},
 		{"read interval", c.ReadEvery},
 	}
@@ -131,14 +126,15 @@
 	return nil
 }
 
-// clock measures the life of one incarnation. It never goes back: a key that
-// was forgotten as expired must not become valid again.
+// clock measures the age of one incarnation. It never goes back: a key that was
+// removed as expired must not become valid again.
 type clock struct {
 	start  time.Time
 	latest time.Duration
 }
 
-func (c *clock) at(now time.Time) time.Duration {
+// ageAt returns the age at now, or the highest age returned before.
+func (c *clock) ageAt(now time.Time) time.Duration {
 	c.latest = max(c.latest, now.Sub(c.start))
 	return c.latest
 }
--- a/once/prove_test.go
+++ b/once/prove_test.go
@@ -15,7 +15,7 @@
 
 const stepsPerSchedule = 300
 
-// submit lets a caller send an action by an entry node.
+// submit sends an action through an entry node, unless the node is frozen.
 func (w *world) submit(entry int, act *action) *request {
 	r := &request{action: act}
 	w.reqs = append(w.reqs, r)
@@ -38,7 +38,7 @@
 	return act
 }
 
-// step does one thing, chosen at random.
+// step performs one randomly chosen event.
 func (w *world) step() {
 	n := w.nodes[w.choose(addresses)]
 	kind := w.choose(30)
@@ -57,7 +57,7 @@
 	case 15, 16, 17:
 		w.resend(n.address)
 	case 18, 19:
-		w.flow(true)
+		w.advance(true)
 	case 20:
 		w.now = w.now.Add(time.Duration(1+w.choose(200)) * time.Millisecond)
 	case 21:
@@ -65,7 +65,7 @@
 	case 22:
 		w.faultStep(n)
 	case 23:
-		w.giveUp(n)
+		w.abandonAttempt(n)
 	case 24:
 		n.appended(n.append, false)
 		n.readDone(n.read, 0, noPage, errTimeout)
@@ -86,8 +86,8 @@
 	}
 }
 
-// newRequest sends a new action. A world with few keys soon sends old ones
-// only, so that bindings end and are made anew.
+// newRequest sends a new action. With fewKeys it resends the first few actions, so
+// that their bindings end and are made again.
 func (w *world) newRequest(entry int) {
 	switch {
 	case !w.fewKeys:
@@ -99,9 +99,9 @@
 	}
 }
 
-// flow lets things go their way for a while; without work nothing is handed
-// to the backend servers and nothing ends there.
-func (w *world) flow(work bool) {
+// advance advances the world for a while without faults. Unless work is set, nothing is
+// handed to the backend servers and nothing ends there.
+func (w *world) advance(work bool) {
 	for range 8 + w.choose(16) {
 		for _, n := range w.nodes {
 			if n.frozen {
@@ -120,7 +120,7 @@
 	}
 }
 
-// deliverFirst hands over the oldest packet whose receiver is not frozen.
+// deliverFirst delivers the oldest packet whose receiver is not frozen.
 func (w *world) deliverFirst() {
 	for i, p := range w.net {
 		if p.address == toLog || !w.nodes[p.address].frozen {
@@ -130,7 +130,8 @@
 	}
 }
 
-// resend sends a keyed action again; without a key it would be a new one.
+// resend resends a recent action if it has a key; without a key it would be a new
+// request.
 func (w *world) resend(entry int) {
 	if len(w.actions) == 0 {
 		return
@@ -146,7 +147,7 @@
 	case 0:
 		n.frozen = true
 	case 1:
-		w.start(n.address) // the old incarnation is gone with all that it had
+		w.start(n.address) // the state of the old incarnation is lost
 	case 2:
 		w.log.Outage(w.now.Add(time.Duration(w.choose(w.choose(15)+1)) * time.Second))
 	case 3:
@@ -154,8 +155,8 @@
 	}
 }
 
-// giveUp ends the wait for an attempt, with a cancellation or without.
-func (w *world) giveUp(n *node) {
+// abandonAttempt stops waiting for an attempt, and cancels it or not.
+func (w *world) abandonAttempt(n *node) {
 	for seq := uint64(1); seq <= n.seq; seq++ {
 		a := n.sent[seq]
 		if a == nil || w.choose(2) == 1 {
@@ -164,7 +165,7 @@
 		if w.choose(2) == 0 {
 			target := w.find(a.to)
 			if target != nil {
-				w.post(target.address, false, func() { w.nodes[target.address].cancel(a) })
+				w.enqueue(target.address, false, func() { w.nodes[target.address].cancel(a) })
 			}
 			return
 		}
@@ -194,8 +195,8 @@
 	}
 }
 
-// even draws numbers evenly; rapid's own integers are mostly small.
-var even = rapid.Custom(func(t *rapid.T) int {
+// uniformInt draws uniformly distributed integers; those of rapid are biased to small ones.
+var uniformInt = rapid.Custom(func(t *rapid.T) int {
 	v := 0
 	for range 9 {
 		v <<= 1
@@ -206,13 +207,11 @@
 	return v
 })
 
-// Callers send notices through any node and send them again; messages come
-// late, twice or never; nodes freeze, wake, crash and come back empty; the log
-// has outages, loses answers and forgets. No action runs twice, and no request
-// that was answered "not run" ever runs.
+// Under random faults of the network, the nodes and the log, no action may run twice
+// and no request may run after the answer NotRun.
 func TestAtMostOnceAndNotRunUnderRandomFaults(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		w := newWorld(naiveVersion{}, func(n int) int { return even.Draw(t, "choice") % n })
+		w := newWorld(naiveVersion{}, func(n int) int { return uniformInt.Draw(t, "choice") % n })
 		w.run(stepsPerSchedule)
 		if w.broken != "" {
 			t.Fatal(w.broken)
@@ -227,8 +226,8 @@
 	return w
 }
 
-// The same random schedules break each naive version, and not ours: the oracle
-// is able to see what the naive ones do wrong.
+// Checks that the oracle detects the fault of each naive version under the random
+// schedules that the package passes.
 func TestRandomSchedulesBreakEachNaiveVersion(t *testing.T) {
 	const seeds = 400
 	for _, v := range append([]naiveVersion{{name: "ours"}}, naiveVersions()...) {
--- a/once/window.go
+++ b/once/window.go
@@ -6,8 +6,8 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// WindowSize is the number of sequence numbers below the highest that a Window
-// can still accept: far more attempts than one sender has on the way.
+// WindowSize is the number of sequence numbers, up to the highest seen, that a Window
+// tracks. It is far above the number of attempts that one sender has in flight.
 const WindowSize = 8192
 
 const (
@@ -15,26 +15,25 @@
 	windowWords = WindowSize / wordBits
 )
 
-// Window accepts each sequence number of one sender at most once. Its zero
-// value accepts any number from 1 on.
+// Window accepts each sequence number of one sender at most once. The zero value is
+// ready to use and accepts any number from 1 on.
 //
-// The failure it is for: an attempt is refused as "not run", its caller sends
-// the request again, and then a copy of the first attempt arrives and runs.
-// The number of the refused attempt was taken when it was first seen, so the
-// copy finds it taken; a number too old to be told apart is refused as well.
+// It prevents a late copy of a refused attempt from running after the caller has
+// resent the request. Refused attempts use up their numbers too. Numbers below the
+// window are rejected, because the window does not record whether they were seen.
 type Window struct {
-	top  uint64
-	seen [windowWords]uint64
+	highest uint64
+	seen    [windowWords]uint64
 }
 
-// Accept takes seq and reports whether it was free. False claims nothing about
-// the request: the attempt that took the number may run, and is the one that
-// answers. A cancellation that overtakes its attempt takes the number too, and
-// may then say "not run".
+// Accept marks seq as seen and reports whether it was new. False does not mean that
+// the request has not run: the attempt that used the number may run, and is the one
+// that gets an answer. A cancellation that overtakes its attempt uses up the number
+// and may then answer NotRun.
 func (w *Window) Accept(seq uint64) bool {
-	if seq > w.top {
+	if seq > w.highest {
 		w.advance(seq)
-	} else if seq == 0 || w.top-seq >= WindowSize {
+	} else if seq == 0 || w.highest-seq >= WindowSize {
 		return false
 	}
 	word, bit := position(seq)
@@ -46,14 +45,14 @@
 }
 
 func (w *Window) advance(seq uint64) {
-	if seq-w.top >= WindowSize {
+	if seq-w.highest >= WindowSize {
 		w.seen = [windowWords]uint64{}
-		w.top = seq
+		w.highest = seq
 		return
 	}
-	for w.top < seq {
-		w.top++
-		word, bit := position(w.top)
+	for w.highest < seq {
+		w.highest++
+		word, bit := position(w.highest)
 		w.seen[word] &^= bit
 	}
 }
@@ -65,26 +64,24 @@
 
 // fillBelow marks every number up to floor as seen.
 func (w *Window) fillBelow(floor uint64) {
-	w.top = floor
+	w.highest = floor
 	for i := range w.seen {
 		w.seen[i] = ^uint64(0)
 	}
 }
 
-// Senders keeps a Window for each sender, within bounds. A sender is one
-// incarnation of a node and counts up from 1. It is not safe for concurrent
-// use.
+// Senders holds a Window for each sender, up to a limit. A sender is an incarnation of
+// a node and numbers its attempts from 1. It is not safe for concurrent use.
 //
-// Forgetting a sender would let its old numbers run again. So a sender that
-// has been idle longest gives up its window but leaves a floor, its highest
-// number, and later only higher ones are accepted. A floor is never given up:
-// when both bounds are reached, senders that were never seen are refused, and
-// the node should drain and restart, as Exhausted tells. At 1,200 replaced
-// nodes a day the default bounds last about a month.
+// If a sender were forgotten, its old numbers could run again. When the limit is
+// reached, the window of the least recently used sender is therefore replaced by a
+// floor, its highest number, and only higher numbers are accepted later. Floors are
+// never removed. When both limits are reached, new senders are refused and Exhausted
+// returns true; the node should then drain and restart.
 type Senders struct {
 	cfg     Config
 	windows map[wire.NodeID]*list.Element
-	recent  *list.List // of *sender, the last used in front
+	recent  *list.List // of *sender, most recently used first
 	floors  map[wire.NodeID]uint64
 	refused uint64
 }
@@ -94,7 +91,7 @@
 	window Window
 }
 
-// SendersState is the state of Senders for the dump.
+// SendersState is a snapshot of Senders for operators.
 type SendersState struct {
 	Windows   int    `json:"windows"`
 	Floors    int    `json:"floors"`
@@ -102,7 +99,7 @@
 	Exhausted bool   `json:"exhausted,omitempty"`
 }
 
-// NewSenders returns an empty memory of senders.
+// NewSenders returns a Senders that has seen no sender.
 func NewSenders(cfg Config) *Senders {
 	return &Senders{
 		cfg:     cfg,
@@ -112,8 +109,8 @@
 	}
 }
 
-// Accept takes the number seq of a sender; see Window.Accept for what false
-// means.
+// Accept marks seq of a sender as seen and reports whether it was new; see
+// Window.Accept for the meaning of false.
 func (s *Senders) Accept(from wire.NodeID, seq uint64) bool {
 	w := s.window(from)
 	if w == nil || !w.Accept(seq) {
@@ -123,8 +120,9 @@
 	return true
 }
 
-// Refuses reports that nothing of this sender is or ever was accepted, since
-// it came when there was no room. Of its attempts "not run" is true.
+// Refuses reports whether all attempts of this sender are refused because there is no
+// space for another sender. None of its attempts was accepted before, so the answer
+// NotRun is correct.
 func (s *Senders) Refuses(from wire.NodeID) bool {
 	if _, ok := s.windows[from]; ok {
 		return false
@@ -133,12 +131,12 @@
 	return !known && s.Exhausted()
 }
 
-// Exhausted reports that senders never seen before are refused.
+// Exhausted reports whether new senders are refused for lack of space.
 func (s *Senders) Exhausted() bool {
 	return len(s.windows) >= s.cfg.MaxSenders && len(s.floors) >= s.cfg.MaxFloors
 }
 
-// Dump returns the state for the dump.
+// Dump returns a snapshot of the state.
 func (s *Senders) Dump() SendersState {
 	return SendersState{
 		Windows: len(s.windows), Floors: len(s.floors),
@@ -173,5 +171,5 @@
 	old := oldest.Value.(*sender)
 	s.recent.Remove(oldest)
 	delete(s.windows, old.id)
-	s.floors[old.id] = old.window.top
+	s.floors[old.id] = old.window.highest
 }
--- a/once/window_test.go
+++ b/once/window_test.go
@@ -10,9 +10,8 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Numbers come in any order, repeated, and far ahead; senders push each other
-// out of the bounded memory. No number is ever accepted twice, and one that is
-// new and not far below the highest of a sender with a window is accepted.
+// No number may be accepted twice, whatever the order and although senders evict each
+// other. A new number within the window of a sender must be accepted.
 func TestNoNumberIsAcceptedTwice(t *testing.T) {
 	type numbered struct {
 		id  wire.NodeID
@@ -24,7 +23,7 @@
 		taken := make(map[numbered]bool)
 		top := make(map[wire.NodeID]uint64)
 		for range 100 {
-			id := wire.NodeID{byte(even.Draw(t, "sender") % 6)}
+			id := wire.NodeID{byte(uniformInt.Draw(t, "sender") % 6)}
 			seq := top[id] + uint64(rapid.SampledFrom([]int{0, 1, 2, 3, WindowSize - 1, WindowSize, WindowSize + 1}).Draw(t, "ahead"))
 			seq -= min(seq, uint64(rapid.SampledFrom([]int{0, 1, 2, 64, WindowSize - 1, WindowSize, WindowSize + 1}).Draw(t, "behind")))
 			_, resident := s.windows[id]
@@ -47,8 +46,8 @@
 	})
 }
 
-// Both memories are full. A sender that is known goes on, one that was never
-// seen is refused, and the node can tell.
+// When windows and floors are full, known senders must continue, new ones must be
+// refused, and Exhausted must report it.
 func TestSendersAreNeverForgotten(t *testing.T) {
 	is := is.New(t)
 	s := NewSenders(Config{MaxSenders: 1, MaxFloors: 1})
@@ -57,7 +56,7 @@
 	is.True(s.Accept(b, 1))
 	is.True(s.Exhausted())
 	is.True(!s.Accept(c, 1))
-	is.True(!s.Accept(a, 4)) // may have been seen before the window was given up
+	is.True(!s.Accept(a, 4)) // may have been seen before the window was evicted
 	is.True(s.Accept(a, 6))
 	is.True(s.Accept(b, 2))
 	is.Equal(s.Dump(), SendersState{Windows: 1, Floors: 1, Refused: 2, Exhausted: true})
--- a/once/world_test.go
+++ b/once/world_test.go
@@ -20,20 +20,20 @@
 	retention = 12 * time.Second
 	toLog     = -1
 	maxTries  = 3
-	noAnswer  = -1 // of a request that ran, but whose answer was dropped
+	noAnswer  = -1 // the request ran and its answer was dropped
 )
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// action is what a caller wants done once, by one key or without a key.
+// action is an operation that a caller wants to run once, with one key or without.
 type action struct {
 	key       string
 	own       bool
 	execs     []int
-	heldUntil time.Time // the latest promise given for a key of its own
+	heldUntil time.Time // latest end of the guarantee for a caller-made key
 }
 
-// request is one send of an action by its caller.
+// request is one submission of an action by its caller.
 type request struct {
 	action      *action
 	tries       int
@@ -43,13 +43,13 @@
 	fingerprint uint64
 }
 
-// attempt is one message by which a node asks another to run a request.
+// attempt is a message by which a node asks another to run a request.
 type attempt struct {
 	from, to wire.NodeID
 	entry    int
 	seq      uint64
 	req      *request
-	// heldUntil is until when a key of the caller's own may run here.
+	// heldUntil is the time until which a caller-made key may run here.
 	heldUntil time.Time
 }
 
@@ -60,23 +60,25 @@
 	redirect wire.NodeID
 }
 
-// accepter and binding are what the naive versions replace.
+// accepter is the part of Senders that a naive version can replace.
 type accepter interface {
 	Accept(from wire.NodeID, seq uint64) bool
 }
 
+// binding is the part of Binder that a naive version can replace.
 type binding interface {
-	Want(now time.Time, key string) Resolution
+	Bind(now time.Time, key string) Resolution
 	Tick(now time.Time) []Resolution
-	WantAppend(now time.Time) ([]byte, bool)
+	NextAppend(now time.Time) ([]byte, bool)
 	Appended(now time.Time)
 	AppendFailed(now time.Time)
-	WantRead(now time.Time) (uint64, bool)
+	NextRead(now time.Time) (uint64, bool)
 	ReadFailed(now time.Time)
 	Page(now time.Time, from uint64, page applog.Page) []Resolution
 }
 
-// node is one incarnation at an address: entry for callers and holder of keys.
+// node is one incarnation at an address. It is an entry node for callers and a holder
+// of keys.
 type node struct {
 	w       *world
 	address int
@@ -94,19 +96,19 @@
 	parked  map[string][]*attempt
 	queue   []*attempt // not yet handed to the backend server
 	running []*attempt
-	append  int // numbers of the requests to the log that are out
+	append  int // IDs of the pending append and read of the log; zero if none
 	read    int
 }
 
 type packet struct {
 	address int
-	once    bool // requests to the log are not repeated by the network
+	once    bool // the network delivers no copies
 	run     func()
 }
 
-// world joins the nodes by a network that reorders, repeats and loses, and a
-// log with outages, lost answers and retention. Its oracle is in exec and
-// answer: how often each action ran, and which requests ever did.
+// world simulates nodes, a network that reorders, duplicates and loses packets, and a
+// log with outages, lost answers and retention. The oracle is in exec, replied and
+// answer.
 type world struct {
 	choose  func(n int) int
 	cfg     Config
@@ -139,8 +141,8 @@
 	return w
 }
 
-// start puts a new incarnation with empty state at the address. Its clock is
-// off by days and may run a twentieth fast or slow.
+// start puts a new incarnation with empty state at the address. Its clock may be off
+// by days and run 5% fast or slow.
 func (w *world) start(address int) {
 	w.started++
 	id := wire.NodeID{byte(w.started), byte(w.started >> 8), 1}
@@ -176,11 +178,11 @@
 	}
 }
 
-func (w *world) post(address int, once bool, run func()) {
+func (w *world) enqueue(address int, once bool, run func()) {
 	w.net = append(w.net, packet{address, once, run})
 }
 
-// deliver hands over the packet at i, or a copy of it.
+// deliver delivers the i-th packet, or a copy of it if keep is set.
 func (w *world) deliver(i int, keep bool) {
 	p := w.net[i]
 	if p.address != toLog && w.nodes[p.address].frozen {
@@ -194,16 +196,16 @@
 
 func (w *world) drop(i int) { w.net = append(w.net[:i:i], w.net[i+1:]...) }
 
-// send makes the entry node ask the target to run the request.
+// send sends an attempt for the request from the entry node to the target.
 func (w *world) send(entry, target *node, r *request) {
 	entry.seq++
 	a := &attempt{from: entry.id, to: target.id, entry: entry.address, seq: entry.seq, req: r}
 	entry.sent[a.seq] = a
 	r.tries++
-	w.post(target.address, false, func() { w.nodes[target.address].receive(a) })
+	w.enqueue(target.address, false, func() { w.nodes[target.address].receive(a) })
 }
 
-// route sends a request to the holder of its key, or to any node.
+// route sends a request to the holder of its minted key, or to any node.
 func (w *world) route(entry *node, r *request) {
 	target := w.nodes[w.choose(addresses)]
 	if info, err := ParseKey(r.action.key); err == nil && info.Minted {
@@ -225,7 +227,7 @@
 	case key == "":
 		n.queue = append(n.queue, a)
 	case !info.Minted:
-		n.settle(a, n.binder.Want(n.clock(), key))
+		n.settle(a, n.binder.Bind(n.clock(), key))
 	default:
 		if err := n.mint.Verify(n.clock(), key, service, operation); err != nil {
 			n.reply(a, result{verdict: err.Verdict})
@@ -271,7 +273,7 @@
 	}
 }
 
-// exec hands a request to the backend server, if its binding has not ended.
+// exec hands a request to the backend server, or sheds it if its binding has ended.
 func (n *node) exec(i int) {
 	a := n.queue[i]
 	if a.req.action.own && n.w.now.After(a.heldUntil) {
@@ -288,18 +290,18 @@
 		w.fail("action %q ran again", act.key)
 	}
 	a.req.ran = true
-	act.promise(a.heldUntil)
+	act.extendHeld(a.heldUntil)
 	w.execs = append(w.execs, act)
 	act.execs = append(act.execs, len(w.execs)-1)
 }
 
-func (a *action) promise(until time.Time) {
+func (a *action) extendHeld(until time.Time) {
 	if until.After(a.heldUntil) {
 		a.heldUntil = until
 	}
 }
 
-// shed refuses a request that was not handed over, and those that joined it.
+// shed refuses a queued request and those that joined it.
 func (n *node) shed(i int) {
 	a := n.queue[i]
 	n.queue = append(n.queue[:i:i], n.queue[i+1:]...)
@@ -308,7 +310,7 @@
 	}
 }
 
-// finish ends a run, with the backend server's answer or without.
+// finish ends a run with the given verdict.
 func (n *node) finish(i int, v verdict.Verdict) {
 	a := n.running[i]
 	n.running = append(n.running[:i:i], n.running[i+1:]...)
@@ -322,7 +324,7 @@
 	if f, ok := n.senders.(*forgetful); ok && r.verdict == verdict.NotRun {
 		f.forget(a.from, a.seq)
 	}
-	n.w.post(a.entry, false, func() { n.w.nodes[a.entry].replied(a, r) })
+	n.w.enqueue(a.entry, false, func() { n.w.nodes[a.entry].replied(a, r) })
 }
 
 func (n *node) replied(a *attempt, r result) {
@@ -335,7 +337,7 @@
 		if w.execs[r.exec] != req.action {
 			w.fail("answer of another action")
 		}
-		req.action.promise(a.heldUntil)
+		req.action.extendHeld(a.heldUntil)
 	}
 	again := r.verdict == verdict.NotRun && !req.answered && req.tries < maxTries
 	switch holder := w.find(r.redirect); {
@@ -350,7 +352,7 @@
 	}
 }
 
-// answer is what the caller is told, once.
+// answer answers the caller, unless it has an answer.
 func (w *world) answer(r *request, v verdict.Verdict) {
 	if r.answered {
 		return
@@ -364,7 +366,7 @@
 	}
 }
 
-// cancel is taken by the holder, perhaps before the attempt itself.
+// cancel handles a cancellation, which may arrive before its attempt.
 func (n *node) cancel(a *attempt) {
 	if n.id != a.to {
 		return
@@ -381,31 +383,31 @@
 	}
 }
 
-// poll lets the node's binder do what is due: refuse, append, read.
+// poll performs what is due for the binder of the node: expiry, append, read.
 func (n *node) poll() {
 	now, w := n.clock(), n.w
 	n.resolved(n.binder.Tick(now))
-	if data, ok := n.binder.WantAppend(now); ok {
+	if data, ok := n.binder.NextAppend(now); ok {
 		w.ops++
 		op := w.ops
 		n.append = op
-		w.post(toLog, true, func() {
+		w.enqueue(toLog, true, func() {
 			_, err := w.log.Append(context.Background(), stream, data)
-			w.post(n.address, true, func() { n.appended(op, err == nil) })
+			w.enqueue(n.address, true, func() { n.appended(op, err == nil) })
 		})
 	}
-	if from, ok := n.binder.WantRead(now); ok {
+	if from, ok := n.binder.NextRead(now); ok {
 		w.ops++
 		op := w.ops
 		n.read = op
-		w.post(toLog, true, func() {
+		w.enqueue(toLog, true, func() {
 			page, err := w.log.Read(context.Background(), stream, from, 4)
-			w.post(n.address, true, func() { n.readDone(op, from, page, err) })
+			w.enqueue(n.address, true, func() { n.readDone(op, from, page, err) })
 		})
 	}
 }
 
-// appended ends an append: by its answer, or by a timeout.
+// appended ends an append, by its answer or by a timeout.
 func (n *node) appended(op int, ok bool) {
 	if n.append != op || op == 0 {
 		return
--- a/serve/key.go
+++ b/serve/key.go
@@ -43,7 +43,7 @@
 		return
 	}
 	if !info.Minted {
-		s.applyResolution(now, t, s.binder.Want(now, key), e)
+		s.applyResolution(now, t, s.binder.Bind(now, key), e)
 		return
 	}
 	if info.Holder != s.cfg.Self {
@@ -152,7 +152,7 @@
 
 // WantBindings returns the next record to append to the log of bindings, if there
 // is one. The node must report the outcome by BindingsAppended or BindingsFailed.
-func (s *Server) WantBindings(now time.Time) ([]byte, bool) { return s.binder.WantAppend(now) }
+func (s *Server) WantBindings(now time.Time) ([]byte, bool) { return s.binder.NextAppend(now) }
 
 // BindingsAppended handles a successful append.
 func (s *Server) BindingsAppended(now time.Time) { s.binder.Appended(now) }
@@ -162,7 +162,7 @@
 
 // WantPage returns the offset to read the log of bindings from, if a read is due.
 // The node must report the outcome by Page or PageFailed.
-func (s *Server) WantPage(now time.Time) (uint64, bool) { return s.binder.WantRead(now) }
+func (s *Server) WantPage(now time.Time) (uint64, bool) { return s.binder.NextRead(now) }
 
 // PageFailed handles a failed read.
 func (s *Server) PageFailed(now time.Time) { s.binder.ReadFailed(now) }
