--- a/node/authorize.go
+++ b/node/authorize.go
@@ -13,17 +13,18 @@
 	"github.com/cassialoom/cassialoom/workspace"
 )
 
-// authorize returns the workspace whose key a request bears, nil if it needs none and has
-// none. A key is judged by a configuration that cannot lack its withdrawal.
+// authorize returns the workspace that the key of a request belongs to, nil if the request
+// needs no key and has none. It checks the key only against a configuration that is proven
+// fresh, so that a revoked key is not accepted.
 func (n *Node) authorize(ctx context.Context, route *routes.Route, key string) (*workspace.Workspace, *verdict.Error) {
 	if n.routing.table().Workspaces == nil || route.Open && key == "" {
 		return nil, nil
 	}
-	// Also for a key that is not known: it may be newer than the configuration.
+	// An unknown key waits too: it may be newer than the configuration.
 	if err := n.awaitFresh(ctx); err != nil && !route.Open {
 		return nil, err
 	}
-	// The version that is in force after the proof of its age, not one from before.
+	// Read the table after the freshness check: the version may have changed meanwhile.
 	table := n.routing.table()
 	w, known := table.Workspaces.Find(key)
 	if !known && !route.Open {
@@ -32,16 +33,17 @@
 	return w, nil
 }
 
-// quotaUse is what one request takes of its workspace's quota.
+// quotaUse is the share of a workspace's quota that one request uses.
 type quotaUse struct {
 	node      *Node
 	workspace *workspace.Workspace
 	token     quota.Token
-	taken     bool
+	hasToken  bool
 }
 
-// take takes a token, if the workspace has a quota.
-func (u *quotaUse) take(ctx context.Context) *verdict.Error {
+// takeToken takes a token if the workspace has a quota, and refuses the request if it gets
+// none.
+func (u *quotaUse) takeToken(ctx context.Context) *verdict.Error {
 	if !u.workspace.Quota.Limited() || u.node.cfg.Quota.Parts == 0 {
 		return nil
 	}
@@ -49,18 +51,18 @@
 	if err != nil {
 		return err
 	}
-	u.token, u.taken = token, true
+	u.token, u.hasToken = token, true
 	return nil
 }
 
-// settle gives the token of a request back that has not run.
+// settle returns the token if the request has not run.
 func (u *quotaUse) settle(out call.Outcome) {
-	if u.taken && out.Verdict == verdict.NotRun {
-		u.node.quotas.giveBack(u.token)
+	if u.hasToken && out.Verdict == verdict.NotRun {
+		u.node.quotas.returnToken(u.token)
 	}
 }
 
-// noteRefused notes a request that was refused for its key or its workspace.
+// noteRefused records that a request was refused because of its key or its workspace.
 func (n *Node) noteRefused(in entry.Incoming, version uint64, err *verdict.Error) {
 	n.notes.Note(time.Now(), explain.Event{
 		RequestID: in.RequestID, Step: explain.Refused, Verdict: err.Verdict.String(), Reason: err.Reason,
--- a/node/drain_test.go
+++ b/node/drain_test.go
@@ -37,7 +37,7 @@
 	testnode.Await(t, "the request runs", func() bool { return leaving.Backend.Runs("held") == 1 })
 	c.Add("fieldlog", held)
 	c.AwaitWhole()
-	deaf := leaving.Dial(t, wire.NewNodeID())
+	unaware := leaving.Dial(t, wire.NewNodeID())
 
 	stopped := make(chan error, 1)
 	go func() { stopped <- leaving.Stop(t.Context()) }()
@@ -52,9 +52,9 @@
 		is.Equal(desk.Must(t, "fieldlog", "file", fmt.Sprint(i)).Verdict(), verdict.Ran)
 		is.Equal(leaving.Backend.Runs(fmt.Sprint(i)), 0)
 	}
-	is.NoErr(deaf.Send(wire.KindCall, request(deaf, leaving, 1, "deaf")))
+	is.NoErr(unaware.Send(wire.KindCall, request(unaware, leaving, 1, "deaf")))
 	var reply call.Reply
-	is.NoErr(deaf.NextOf(wire.KindReply, &reply))
+	is.NoErr(unaware.NextOf(wire.KindReply, &reply))
 	is.Equal(reply.Verdict, verdict.NotRun)
 	is.Equal(reply.Reason, verdict.Draining)
 	is.Equal(leaving.Backend.Runs("deaf"), 0)
@@ -75,16 +75,16 @@
 	c := start(t, func(cfg *node.Config) { cfg.DrainGrace = time.Minute })
 	leaving := c.Add("fieldlog", testnode.Echo)
 	c.AwaitWhole()
-	deaf := leaving.Dial(t, wire.NewNodeID())
-	is.NoErr(deaf.Send(wire.KindMint, mintRequest{Seq: 1, Operation: "file"}))
+	unaware := leaving.Dial(t, wire.NewNodeID())
+	is.NoErr(unaware.Send(wire.KindMint, mintRequest{Seq: 1, Operation: "file"}))
 	var before mintReply
-	is.NoErr(deaf.NextOf(wire.KindMinted, &before))
+	is.NoErr(unaware.NextOf(wire.KindMinted, &before))
 	is.True(before.Key != "")
 
 	leaving.Node.Drain()
-	is.NoErr(deaf.Send(wire.KindMint, mintRequest{Seq: 2, Operation: "file"}))
+	is.NoErr(unaware.Send(wire.KindMint, mintRequest{Seq: 2, Operation: "file"}))
 	var after mintReply
-	is.NoErr(deaf.NextOf(wire.KindMinted, &after))
+	is.NoErr(unaware.NextOf(wire.KindMinted, &after))
 	is.Equal(after.Key, "")
 	is.Equal(after.Reason, verdict.Draining)
 }
--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -76,10 +76,10 @@
 // (A minted key in the same place is answered key-holder-gone, may have run.)
 func TestOwnKeyOfADeadHolderIsNotNotRun(t *testing.T) {
 	is := is.New(t)
-	k := startKeyed(t)
+	k := startKeyCluster(t)
 	close(k.release)
 	is.Equal(k.desks[0].Must(t, "fieldlog", "file", "x", headers.IdempotencyKey, "own").Verdict(), verdict.Ran)
-	k.holder("x").Kill()
+	k.runner("x").Kill()
 	for _, desk := range k.desks {
 		a := desk.Must(t, "fieldlog", "file", "x", headers.IdempotencyKey, "own")
 		t.Log(a)
--- a/node/fleet_view.go
+++ b/node/fleet_view.go
@@ -11,10 +11,10 @@
 type fleetView struct {
 	started time.Time
 	// count is the latest number, since is when it became that.
-	count int
-	since time.Time
+	lastReachable int
+	since         time.Time
 	// most fades slowly.
-	most float64
+	peak float64
 }
 
 const (
@@ -22,24 +22,24 @@
 	// nodes before it may own quotas: while it learns of the others it would take itself
 	// for an owner, as would most nodes of a fleet that starts together, and the parts
 	// would go round between them.
-	settleFor = 250 * time.Millisecond
+	settleTime = 250 * time.Millisecond
 	// settleMost is the time after its start from which that does not matter: nodes may
 	// come and go all the time.
-	settleMost = 3 * time.Second
+	maxSettleTime = 3 * time.Second
 )
 
 // settled reports whether the node knows the fleet well enough to own quotas.
-func (f *fleetView) settled(now time.Time, reached int) bool {
-	if reached != f.count {
-		f.count, f.since = reached, now
+func (f *fleetView) settled(now time.Time, reachable int) bool {
+	if reachable != f.lastReachable {
+		f.lastReachable, f.since = reachable, now
 	}
-	return now.Sub(f.since) >= settleFor || now.Sub(f.started) >= settleMost
+	return now.Sub(f.since) >= settleTime || now.Sub(f.started) >= maxSettleTime
 }
 
 // listing is what a node that restarted makes of the addresses of the fleet.
-type listing struct {
+type addressOwners struct {
 	// first says that the node should own quotas by them alone.
-	first bool
+	self bool
 	// others says that there are other nodes that should.
 	others bool
 }
@@ -48,27 +48,27 @@
 // After a restart of all nodes it takes seconds until each knows enough of the others, and
 // no request with a quota is let in without owners. An address at which there is no node
 // any more costs that time: then the order of those that are known decides.
-func firstsOf(addrs map[string][]string) []string {
-	var firsts []string
+func ownersByAddress(addrs map[string][]string) []string {
+	var owners []string
 	for _, list := range addrs {
-		firsts = append(firsts, firstsIn(list, len(addrs))...)
+		owners = append(owners, ownersInDataCentre(list, len(addrs))...)
 	}
-	return firsts
+	return owners
 }
 
-func firstsIn(list []string, centres int) []string {
-	ordered := slices.SortedFunc(slices.Values(list), func(a, b string) int { return cmp.Compare(place(a), place(b)) })
-	return ordered[:min(len(ordered), readersEach(centres))]
+func ownersInDataCentre(list []string, centres int) []string {
+	ordered := slices.SortedFunc(slices.Values(list), func(a, b string) int { return cmp.Compare(rank(a), rank(b)) })
+	return ordered[:min(len(ordered), readersPerDataCentre(centres))]
 }
 
 // cutOff reports whether this node reaches less than half of the nodes that it knew a
 // while ago. It may still reach the store: its leases would go on, and the nodes that it
 // does not reach would get no tokens.
-func (f *fleetView) cutOff(reached int) bool {
-	f.most = max(float64(reached), f.most*fleetFade)
-	return float64(reached) < f.most/2
+func (f *fleetView) cutOff(reachable int) bool {
+	f.peak = max(float64(reachable), f.peak*peakDecay)
+	return float64(reachable) < f.peak/2
 }
 
 // fleetFade is what is left of the largest number of nodes known, from one renewal of a
 // lease to the next: a fleet that shrinks by half is believed after a minute.
-const fleetFade = 0.99
+const peakDecay = 0.99
--- a/node/forward.go
+++ b/node/forward.go
@@ -93,7 +93,7 @@
 	use := quotaUse{node: n, workspace: space}
 	p.Importance = route.ImportanceFor(space)
 	p.Workspace = space.Name
-	p.Enter = use.take
+	p.Enter = use.takeToken
 	out := n.forwardRoot(ctx, p)
 	use.settle(out)
 	return out
--- a/node/graphs.go
+++ b/node/graphs.go
@@ -12,10 +12,10 @@
 // graphs puts a lock around the spread of the configuration; what is in force
 // is read without it, since every call asks.
 type graphs struct {
-	mu     sync.Mutex
-	spread *config.Spread
-	force  atomic.Pointer[config.State]
-	seen   uint64 // version of the membership that the spread knows
+	mu                sync.Mutex
+	spread            *config.Spread
+	current           atomic.Pointer[config.State]
+	membershipVersion uint64 // version of the membership that the spread knows
 }
 
 func newGraphs(s *config.Spread) *graphs { return &graphs{spread: s} }
@@ -26,13 +26,13 @@
 	defer g.mu.Unlock()
 	a := f(g.spread)
 	if s := g.spread.State(); s != nil {
-		g.force.Store(s)
+		g.current.Store(s)
 	}
 	return a
 }
 
 // state returns what is in force, nil before anything is known.
-func (g *graphs) state() *config.State { return g.force.Load() }
+func (g *graphs) state() *config.State { return g.current.Load() }
 
 // asOf returns the offset that the configuration in force is folded to.
 func (g *graphs) asOf() uint64 {
@@ -64,14 +64,14 @@
 
 // below lists the services that a service reaches, without those that reach
 // back to it.
-func below(g *graph.Graph, service string) []string {
+func downstreamServices(g *graph.Graph, service string) []string {
 	if g == nil {
 		return nil
 	}
-	own := reachIn(g, service)
+	reachable := reachableServices(g, service)
 	var names []string
-	for name := range own {
-		if name != service && !reachIn(g, name)[service] {
+	for name := range reachable {
+		if name != service && !reachableServices(g, name)[service] {
 			names = append(names, name)
 		}
 	}
@@ -79,7 +79,7 @@
 	return names
 }
 
-func reachIn(g *graph.Graph, service string) map[string]bool {
+func reachableServices(g *graph.Graph, service string) map[string]bool {
 	names := make(map[string]bool)
 	s, ok := g.Service(service)
 	if !ok {
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -26,12 +26,12 @@
 // Beat takes a heartbeat of the backend server beside this node. Once it
 // returns, a start that said it is leaving is handed no more requests.
 func (n *Node) Beat(now time.Time, b Heartbeat) {
-	before, after, taken := n.takeBeat(now, b)
+	before, after, taken := n.applyHeartbeat(now, b)
 	if !taken {
 		n.counts.LateBeats.Add(1)
 		return
 	}
-	restarted := before.start.ID != "" && !sameStart(before, b)
+	restarted := before.start.ID != "" && !sameIncarnation(before, b)
 	if restarted {
 		n.backendRestarted(after.start, before.start)
 	}
@@ -39,7 +39,7 @@
 		n.serve(func(now time.Time, s *serve.Server) serve.Effects { return s.SetSlots(now, after.slots) })
 	}
 	if before.ready != after.ready || restarted || before.start.ID == "" {
-		n.setReady(after.ready, why(after))
+		n.setReady(after.ready, stateName(after))
 	}
 }
 
@@ -54,18 +54,18 @@
 	n.members.with(func(m *membership.Members) { m.Renew(now) })
 }
 
-func why(i instance) string {
+func stateName(i instance) string {
 	if i.ready {
 		return stateReady
 	}
 	return stateDraining
 }
 
-func (n *Node) takeBeat(now time.Time, b Heartbeat) (before, after instance, taken bool) {
+func (n *Node) applyHeartbeat(now time.Time, b Heartbeat) (before, after instance, taken bool) {
 	n.stateMu.Lock()
 	defer n.stateMu.Unlock()
 	before = n.instance
-	n.instance, taken = n.starts.take(now, before, b)
+	n.instance, taken = n.starts.apply(now, before, b)
 	return before, n.instance, taken
 }
 
@@ -74,9 +74,9 @@
 // would leave a backend server without work that runs and is ready.
 func (n *Node) Found(now time.Time, b Heartbeat) {
 	n.stateMu.Lock()
-	known := n.instance.start.ID != "" || n.starts.has(b.Start)
+	known := n.instance.start.ID != "" || n.starts.hasEnded(b.Start)
 	if !known {
-		n.instance = instance{url: b.URL, start: b.Start, ready: true, heard: now, slots: b.Slots}
+		n.instance = instance{url: b.URL, start: b.Start, ready: true, lastReport: now, slots: b.Slots}
 	}
 	n.stateMu.Unlock()
 	if known {
@@ -90,7 +90,7 @@
 // it returns, nothing more is handed to it.
 func (n *Node) BackendLeaves(start Start) {
 	n.stateMu.Lock()
-	ended := n.starts.leave(n.instance, start)
+	ended := n.starts.markLeft(n.instance, start)
 	n.stateMu.Unlock()
-	n.leaveStart(ended)
+	n.backendLeft(ended)
 }
--- a/node/instance.go
+++ b/node/instance.go
@@ -11,16 +11,16 @@
 
 // instance is what the backend server last said of itself.
 type instance struct {
-	url   string
-	start Start
-	ready bool
-	heard time.Time
+	url        string
+	start      Start
+	ready      bool
+	lastReport time.Time
 	// slots is the number of requests that it works on at once; zero if it
 	// has not said.
 	slots int
 	// sequence is that of its last heartbeat, beaten is false before one.
-	sequence uint64
-	beaten   bool
+	sequence    uint64
+	hasSequence bool
 }
 
 // is reports whether a word about a start is about the one in use. The word may be
@@ -60,7 +60,7 @@
 		return fmt.Errorf("url %q: %w", url, err)
 	}
 	before, after := n.setInstance(func(i *instance) {
-		*i = instance{url: url, start: Start{ID: boot}, ready: state == stateReady, heard: now}
+		*i = instance{url: url, start: Start{ID: boot}, ready: state == stateReady, lastReport: now}
 	})
 	restarted := before.start != after.start
 	if restarted && before.start.ID != "" {
@@ -74,9 +74,9 @@
 
 // Leave implements local.Backends. The last word of an earlier boot says
 // nothing about the one that announced itself since.
-func (n *Node) Leave(boot string) { n.leaveStart(Start{ID: boot}) }
+func (n *Node) Leave(boot string) { n.backendLeft(Start{ID: boot}) }
 
-func (n *Node) leaveStart(start Start) {
+func (n *Node) backendLeft(start Start) {
 	before, after := n.setInstance(func(i *instance) {
 		if i.is(start) {
 			i.ready = false
@@ -104,7 +104,7 @@
 // itself for long: it is frozen, or cut off from its node.
 func (n *Node) checkSilence(now time.Time) {
 	before, after := n.setInstance(func(i *instance) {
-		if i.ready && now.Sub(i.heard) > n.cfg.BackendSilence {
+		if i.ready && now.Sub(i.lastReport) > n.cfg.BackendSilence {
 			i.ready = false
 		}
 	})
--- a/node/keys_test.go
+++ b/node/keys_test.go
@@ -14,15 +14,15 @@
 )
 
 // keyed is a cluster with two nodes to enter at and two that file.
-type keyed struct {
+type keyCluster struct {
 	*cluster
 	desks, files [2]*testnode.Instance
 	// release lets what waits at the backend servers go on.
 	release chan struct{}
 }
 
-func startKeyed(t *testing.T) *keyed {
-	k := &keyed{cluster: start(t, nil), release: make(chan struct{})}
+func startKeyCluster(t *testing.T) *keyCluster {
+	k := &keyCluster{cluster: start(t, nil), release: make(chan struct{})}
 	for i := range k.desks {
 		k.desks[i] = k.Add("alertdesk", testnode.Echo)
 		k.files[i] = k.Add("fieldlog", func(ctx context.Context, w *testnode.Work) testnode.Answer {
@@ -38,12 +38,12 @@
 }
 
 // runs is how often an action has run at all backend servers.
-func (k *keyed) runs(body string) int {
+func (k *keyCluster) runs(body string) int {
 	return k.files[0].Backend.Runs(body) + k.files[1].Backend.Runs(body)
 }
 
 // holder is the node whose backend server ran the action.
-func (k *keyed) holder(body string) *testnode.Instance {
+func (k *keyCluster) runner(body string) *testnode.Instance {
 	if k.files[0].Backend.Runs(body) > 0 {
 		return k.files[0]
 	}
@@ -51,7 +51,7 @@
 }
 
 // send sends the same request through every entry node beside each other.
-func (k *keyed) send(t *testing.T, body, key string) (answers func() [2]testnode.Answer) {
+func (k *keyCluster) send(t *testing.T, body, key string) (answers func() [2]testnode.Answer) {
 	var wg sync.WaitGroup
 	var got [2]testnode.Answer
 	for i, desk := range k.desks {
@@ -69,11 +69,11 @@
 // it again and nobody claims that it did not run.
 func TestMintedKeyRunsOnce(t *testing.T) {
 	t.Run("then killed", func(t *testing.T) {
-		mintedKey(t, func(_ *keyed, holder *testnode.Instance) { holder.Kill() })
+		mintedKey(t, func(_ *keyCluster, runner *testnode.Instance) { runner.Kill() })
 	})
 	t.Run("then stopped", func(t *testing.T) {
-		mintedKey(t, func(k *keyed, holder *testnode.Instance) {
-			if err := holder.Stop(t.Context()); err != nil {
+		mintedKey(t, func(k *keyCluster, runner *testnode.Instance) {
+			if err := runner.Stop(t.Context()); err != nil {
 				t.Error(err)
 			}
 			testnode.Await(t, "both know", func() bool {
@@ -83,13 +83,13 @@
 	})
 }
 
-func mintedKey(t *testing.T, end func(k *keyed, holder *testnode.Instance)) {
+func mintedKey(t *testing.T, end func(k *keyCluster, runner *testnode.Instance)) {
 	is := is.New(t)
-	k := startKeyed(t)
+	k := startKeyCluster(t)
 	key := k.desks[0].MintKey(t, "fieldlog", "file")
 	answers := k.send(t, "a", key)
 	testnode.Await(t, "the second joined the first", func() bool {
-		return k.runs("a") == 1 && k.holder("a").State().Serve.Counts.Joined == 1
+		return k.runs("a") == 1 && k.runner("a").State().Serve.Counts.Joined == 1
 	})
 
 	close(k.release)
@@ -102,7 +102,7 @@
 	is.Equal(string(again.Body), "a")
 	is.Equal(k.runs("a"), 1)
 
-	end(k, k.holder("a"))
+	end(k, k.runner("a"))
 	for _, desk := range k.desks {
 		gone := desk.Must(t, "fieldlog", "file", "a", headers.IdempotencyKey, key)
 		is.Equal(gone.Verdict(), verdict.MayHaveRun)
@@ -115,7 +115,7 @@
 // it to one node, where the request runs once for both.
 func TestOwnKeyRunsOnce(t *testing.T) {
 	is := is.New(t)
-	k := startKeyed(t)
+	k := startKeyCluster(t)
 	close(k.release)
 
 	for _, a := range k.send(t, "b", "key-of-b")() {
@@ -134,7 +134,7 @@
 // nothing runs. A minted key needs no log. After the outage both work.
 func TestOwnKeyInAnOutage(t *testing.T) {
 	is := is.New(t)
-	k := startKeyed(t)
+	k := startKeyCluster(t)
 	close(k.release)
 	k.Log.Outage(time.Now().Add(time.Hour))
 
--- a/node/late.go
+++ b/node/late.go
@@ -8,7 +8,7 @@
 
 // lateAfter is the delay from which a call was held up. Callers seldom go away
 // sooner, and no network that works delays a message so long.
-const lateAfter = 250 * time.Millisecond
+const lateCallDelay = 250 * time.Millisecond
 
 // arriveAfter takes a call that was under way for a time beyond the usual.
 //
@@ -16,8 +16,8 @@
 // still, come all at once, and right behind them the cancels of those that nobody
 // waits for any more. Without a wait each would be at the backend server before its
 // cancel is read: callers that left long ago would take slots from those that did not.
-func (n *Node) arriveAfter(delay time.Duration, req call.Request) {
-	if delay < lateAfter {
+func (n *Node) arriveDelayed(delay time.Duration, req call.Request) {
+	if delay < lateCallDelay {
 		n.arrive(req)
 		return
 	}
--- a/node/levels_test.go
+++ b/node/levels_test.go
@@ -13,7 +13,7 @@
 )
 
 // levels is the message by which nodes tell each other levels, as a peer writes it.
-type levels struct {
+type levelsMessage struct {
 	News []call.LevelNews `cbor:"1,keyasint"`
 }
 
@@ -29,11 +29,11 @@
 	is.NoErr(from.Join("alertdesk"))
 	is.NoErr(to.Join("alertdesk"))
 	const age = 40
-	is.NoErr(from.Send(wire.KindLevels, levels{News: []call.LevelNews{{Service: "deep", Priority: 30000, AgeMillis: age}}}))
-	var told levels
-	is.NoErr(to.NextOf(wire.KindLevels, &told))
-	is.Equal(len(told.News), 1)
-	is.Equal(told.News[0].Service, "deep")
-	is.Equal(told.News[0].Priority, uint16(30000))
-	is.True(told.News[0].AgeMillis >= age)
+	is.NoErr(from.Send(wire.KindLevels, levelsMessage{News: []call.LevelNews{{Service: "deep", Priority: 30000, AgeMillis: age}}}))
+	var got levelsMessage
+	is.NoErr(to.NextOf(wire.KindLevels, &got))
+	is.Equal(len(got.News), 1)
+	is.Equal(got.News[0].Service, "deep")
+	is.Equal(got.News[0].Priority, uint16(30000))
+	is.True(got.News[0].AgeMillis >= age)
 }
--- a/node/loops.go
+++ b/node/loops.go
@@ -57,7 +57,7 @@
 func (n *Node) tickServer(now time.Time) {
 	n.serve(func(now time.Time, s *serve.Server) serve.Effects { return s.Tick(now) })
 	n.checkSilence(now)
-	n.tickPressure(now)
+	n.logLevelChange(now)
 }
 
 func (n *Node) tickMembers(now time.Time) {
@@ -74,20 +74,20 @@
 }
 
 // Meet names addresses at which other nodes may be.
-func (n *Node) Meet(addrs []string) { n.members.seeds(addrs) }
+func (n *Node) Meet(addrs []string) { n.members.addSeeds(addrs) }
 
 // Listed names the addresses of the fleet, by data centre, that this node found when it
 // started anew at one of them.
 func (n *Node) Listed(addrs map[string][]string) {
-	firsts := firstsOf(addrs)
-	n.listed.Store(&listing{first: slices.Contains(firsts, n.cfg.PeerAddr), others: len(firsts) > 1})
+	firsts := ownersByAddress(addrs)
+	n.listed.Store(&addressOwners{self: slices.Contains(firsts, n.cfg.PeerAddr), others: len(firsts) > 1})
 	if n.cfg.Quota.Window == 0 {
 		return // nobody here has a quota
 	}
 	for _, addr := range firsts {
 		if addr != n.cfg.PeerAddr {
 			// On the new connection an owner says what it owns.
-			n.posts.postTo(letter{addr: addr, kind: wire.KindQuotaAsk, msg: quotaAsk{Claims: true}})
+			n.posts.postTo(letter{addr: addr, kind: wire.KindQuotaAsk, msg: quotaRequest{Claims: true}})
 		}
 	}
 }
@@ -157,8 +157,8 @@
 	version := n.members.version()
 	peers := n.members.configPeers()
 	n.act(n.graph.do(func(s *config.Spread) config.Actions {
-		if n.graph.seen != version {
-			n.graph.seen = version
+		if n.graph.membershipVersion != version {
+			n.graph.membershipVersion = version
 			s.SetMembers(peers)
 		}
 		return s.Tick(now)
@@ -187,7 +187,7 @@
 	if n.inForce.Swap(version) == version {
 		return // only the place in the log moved
 	}
-	n.dispatch.PassOn(below(n.graph.graph(), n.cfg.Service))
+	n.dispatch.PassOn(downstreamServices(n.graph.graph(), n.cfg.Service))
 	n.counts.ConfigChanges.Add(1)
 	n.log.Info().Uint64("version", version).Msg("configuration in force")
 }
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -28,10 +28,10 @@
 	ops.New(a.Node, a.Counters).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	is.NoErr(err)
-	is.Equal(names(`(?m)^(cassialoom_\w+)`, w.Body.String()), names("(?m)^\\| `(cassialoom_\\w+)` \\|", string(page)))
+	is.Equal(metricNames(`(?m)^(cassialoom_\w+)`, w.Body.String()), metricNames("(?m)^\\| `(cassialoom_\\w+)` \\|", string(page)))
 }
 
-func names(pattern, text string) []string {
+func metricNames(pattern, text string) []string {
 	var out []string
 	for _, m := range regexp.MustCompile(pattern).FindAllStringSubmatch(text, -1) {
 		out = append(out, m[1])
--- a/node/mint.go
+++ b/node/mint.go
@@ -58,8 +58,8 @@
 	if err != nil {
 		return mintReply{}, verdict.Refuse(verdict.Lost, "%v", err).After(refuseRetryAfter)
 	}
-	seq, answer := n.server.expectMint(id)
-	defer n.server.forgetMint(seq)
+	seq, answer := n.server.addPendingMint(id)
+	defer n.server.removePendingMint(seq)
 	if _, err := c.Send(wire.KindMint, mintRequest{Seq: seq, Operation: operation}); err != nil {
 		return mintReply{}, verdict.Refuse(verdict.Lost, "%v", err).After(refuseRetryAfter)
 	}
@@ -96,21 +96,21 @@
 }
 
 // mintWait is a request for a key that awaits its answer.
-type mintWait struct {
+type pendingMint struct {
 	from   wire.NodeID
 	answer chan mintReply // room for one: handing over never blocks
 }
 
-func (s *server) expectMint(from wire.NodeID) (uint64, chan mintReply) {
+func (s *server) addPendingMint(from wire.NodeID) (uint64, chan mintReply) {
 	s.mintMu.Lock()
 	defer s.mintMu.Unlock()
 	s.mintSeq++
 	answer := make(chan mintReply, 1)
-	s.mints[s.mintSeq] = mintWait{from: from, answer: answer}
+	s.mints[s.mintSeq] = pendingMint{from: from, answer: answer}
 	return s.mintSeq, answer
 }
 
-func (s *server) forgetMint(seq uint64) {
+func (s *server) removePendingMint(seq uint64) {
 	s.mintMu.Lock()
 	defer s.mintMu.Unlock()
 	delete(s.mints, seq)
@@ -119,7 +119,7 @@
 // minted hands a key to the request that waits for it. One from a node that was
 // not asked is dropped: numbers can be guessed, and a caller would get a key
 // that nobody can verify.
-func (s *server) minted(from wire.NodeID, r mintReply) {
+func (s *server) deliverMint(from wire.NodeID, r mintReply) {
 	s.mintMu.Lock()
 	defer s.mintMu.Unlock()
 	if w, ok := s.mints[r.Seq]; ok && w.from == from {
--- a/node/node.go
+++ b/node/node.go
@@ -151,7 +151,7 @@
 
 	// listed is what the addresses of the fleet say to a node that restarted; nil if it
 	// did not find its own among them.
-	listed atomic.Pointer[listing]
+	listed atomic.Pointer[addressOwners]
 
 	started  time.Time
 	inForce  atomic.Uint64 // version of the configuration
@@ -209,7 +209,7 @@
 	n.dispatch = dispatch.New(cfg.Dispatch, linker{n}, n.members, n.notes)
 	n.peers = transport.New(cfg.Transport, (*peerHandler)(n))
 	n.posts = newPostman(n)
-	n.members.seeds(cfg.Seeds)
+	n.members.addSeeds(cfg.Seeds)
 	return n, nil
 }
 
@@ -234,8 +234,8 @@
 // Start begins the node's own work; Stop ends it.
 func (n *Node) Start() {
 	n.background(n.watchServer)
-	n.background(n.tellLevels)
-	n.background(n.tendQuotas)
+	n.background(n.gossipLevels)
+	n.background(n.quotaLoop)
 	n.loop(memberTick, n.tickMembers)
 	if !n.routing.enabled() {
 		n.loop(bindingTick, n.tickBindings)
--- a/node/ops.go
+++ b/node/ops.go
@@ -50,7 +50,7 @@
 		Draining:   n.draining.Load(),
 		Entered:    n.entered.Load(),
 		Peers:      len(n.peers.Connected()),
-		Backend:    BackendState{URL: inst.url, Boot: inst.start.ID, Born: inst.start.Born, Ready: inst.ready, Heard: inst.heard},
+		Backend:    BackendState{URL: inst.url, Boot: inst.start.ID, Born: inst.start.Born, Ready: inst.ready, Heard: inst.lastReport},
 		Serve:      n.server.dump(now),
 		Dispatch:   n.dispatch.Dump(now),
 		Config:     n.graph.dump(),
--- a/node/owner_guide.go
+++ b/node/owner_guide.go
@@ -10,36 +10,36 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// strangerShare of the questions for the owners goes to any node: those that should own
-// quotas by this node's view may be gone, or out of reach from here.
-const strangerShare = 0.25
-
-// guide picks one of the other nodes that may know the owners.
-func guide(others []placed) wire.NodeID {
-	if rand.Float64() < strangerShare {
-		return others[rand.IntN(len(others))].id
+// anyNodeShare is the share of owner lookups that goes to a random node: the nodes that
+// should own quotas according to this node's view may be gone or unreachable.
+const anyNodeShare = 0.25
+
+// pickLikelyOwner picks a peer to ask for the owners, usually one that likely is an owner.
+func pickLikelyOwner(peers []rankedNode) wire.NodeID {
+	if rand.Float64() < anyNodeShare {
+		return peers[rand.IntN(len(peers))].id
 	}
-	likely := likelyOwners(others)
+	likely := likelyOwners(peers)
 	return likely[rand.IntN(len(likely))].id
 }
 
-// placed is a node with its place in the order by which readers and owners are chosen.
-type placed struct {
+// rankedNode is a node with its rank in the order by which readers and owners are chosen.
+type rankedNode struct {
 	id         wire.NodeID
 	dataCentre string
-	place      uint64
+	rank       uint64
 }
 
-// place orders nodes by their addresses, by no property of theirs.
-func place(addr string) uint64 { return xxhash.Sum64String(addr) }
+// rank hashes the peer address of a node; lower ranks come first.
+func rank(addr string) uint64 { return xxhash.Sum64String(addr) }
 
-// likelyOwners returns the first node of each data centre.
-func likelyOwners(nodes []placed) []placed {
-	first := make(map[string]placed)
+// likelyOwners returns the node with the lowest rank of each data centre.
+func likelyOwners(nodes []rankedNode) []rankedNode {
+	owners := make(map[string]rankedNode)
 	for _, p := range nodes {
-		if known, ok := first[p.dataCentre]; !ok || p.place < known.place {
-			first[p.dataCentre] = p
+		if known, ok := owners[p.dataCentre]; !ok || p.rank < known.rank {
+			owners[p.dataCentre] = p
 		}
 	}
-	return slices.Collect(maps.Values(first))
+	return slices.Collect(maps.Values(owners))
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -23,7 +23,7 @@
 	if v := n.routing.version(); v > 0 {
 		// A node that starts while the platform is away hears of the routes
 		// here. If the offer is lost, replies name the version, too.
-		_, _ = c.Send(wire.KindRoutes, routesMessage{Version: v, Era: n.era()})
+		_, _ = c.Send(wire.KindRoutes, routesMessage{Version: v, Era: n.currentEra()})
 	}
 	if claim, owns := n.ownClaim(); owns {
 		// A node that has just started knows no owner.
@@ -36,7 +36,7 @@
 	}
 	// A node that dialled is up, whether or not the log has told of it.
 	if _, known := n.members.lookup(c.Peer().ID); !known {
-		n.members.seeds([]string{c.Peer().Addr})
+		n.members.addSeeds([]string{c.Peer().Addr})
 	}
 }
 
@@ -84,7 +84,7 @@
 	case wire.KindMint:
 		return decode(f, func(m mintRequest) { n.handleMint(c, m) })
 	case wire.KindMinted:
-		return decode(f, func(m mintReply) { n.server.minted(from, m) })
+		return decode(f, func(m mintReply) { n.server.deliverMint(from, m) })
 	}
 	n.counts.ControlBytesIn.Add(int64(len(f.Body)))
 	return n.handleControl(from, f)
@@ -123,7 +123,7 @@
 	case wire.KindPoison:
 		return decode(f, func(m poison.Notice) { n.handleNotice(m) })
 	case wire.KindQuotaAsk:
-		return decode(f, func(m quotaAsk) { n.handleQuotaAsk(from, m) })
+		return decode(f, func(m quotaRequest) { n.handleQuotaRequest(from, m) })
 	case wire.KindQuotaAnswer:
 		return decode(f, func(m quotaAnswer) { n.handleQuotaAnswer(from, m) })
 	case wire.KindQuotaClaim:
@@ -152,7 +152,7 @@
 		return
 	}
 	req.Via = c.Number()
-	n.arriveAfter(c.Delay(time.Now(), req.SentMillis), req)
+	n.arriveDelayed(c.Delay(time.Now(), req.SentMillis), req)
 }
 
 func (n *Node) handleCancel(from wire.NodeID, c call.Cancel) {
@@ -166,10 +166,10 @@
 func (n *Node) handleReply(from wire.NodeID, r call.Reply) {
 	n.dispatch.Reply(from, r)
 	if len(r.Levels) > 0 {
-		n.noteLevels()
+		n.wakeLevelGossip()
 	}
 	if n.routing.enabled() {
-		n.sawRoutes(from, r.ConfigVersion)
+		n.requestNewerRoutes(from, r.ConfigVersion)
 		return
 	}
 	if r.ConfigVersion > n.graph.asOf() {
--- a/node/proofs.go
+++ b/node/proofs.go
@@ -11,181 +11,186 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// A node that hears of no newer version knows nothing by that: those who read the store
-// for it may be gone, starting, or out of its reach. So each node keeps a proof that its
-// routes are the newest, asks its peers for a younger one before it is too old, and reads
-// the store itself when they have none.
+// A node that receives no newer version cannot conclude that there is none: the nodes that
+// read the store may be gone, starting or unreachable. So each node keeps a freshness proof
+// of its routes, asks its peers for a younger proof before its own expires, and reads the
+// store itself when they have none.
 
 const (
-	// proofSoon is the part of the age allowed at which the next proof is asked for.
-	proofSoon = 0.65
-	// proofLate is that at which the node reads the store itself. The rest is for a
-	// first read that fails.
-	proofLate = 0.8
+	// proofRequestShare is the share of the maximum proof age at which a node asks a peer
+	// for a younger proof.
+	proofRequestShare = 0.65
+	// proofReadShare is the share of the maximum proof age at which a node reads the store
+	// itself. The rest leaves time to retry a failed read.
+	proofReadShare = 0.8
 )
 
-// Proved says that at a moment, by LeaseClock, nothing newer was published than what is
-// in force here.
+// Proved records that the version in force here was the newest at the given time of
+// LeaseClock.
 func (n *Node) Proved(at time.Time) {
 	version := n.routing.version()
 	n.quotas.with(func(time.Time) {
 		n.quotas.proof.Learn(freshness.Proof{Version: version, At: at})
-		n.quotas.tell()
+		n.quotas.notifyWaiters()
 	})
 }
 
-// EraSeen takes the era that an answer of the store named and returns since when this node
-// or a peer has known it; zero if the store never came back from an older copy.
+// EraSeen records the era named in an answer of the store. It returns when this node or a
+// peer first saw that era, or zero if the store was never restored from an older copy.
 func (n *Node) EraSeen(era uint64) (since time.Time) {
 	n.quotas.with(func(now time.Time) { since = n.quotas.eras.Seen(now, era) })
 	return since
 }
 
-// eraTold is what a node tells others of the store's era.
-type eraTold struct {
+// eraReport tells a peer the era of the store: the epoch between two restores of the store.
+type eraReport struct {
 	_   struct{} `cbor:",toarray"`
 	Era uint64
-	// AgeMillis is how long the sender has known it, rounded down: on its way the message
-	// grows older.
+	// AgeMillis is how long the sender has known the era, rounded down: the time in transit
+	// adds to it.
 	AgeMillis uint64
 }
 
-// eraAgeMost bounds what a peer may say: beyond it an era is old all the same.
-const eraAgeMost = time.Hour
+// maxEraAge bounds the age that a peer may report; a larger age changes no decision.
+const maxEraAge = time.Hour
 
-// era is what this node tells others, nil in the first era.
-func (n *Node) era() (told *eraTold) {
+// currentEra returns the report for peers, nil in the first era.
+func (n *Node) currentEra() (report *eraReport) {
 	n.quotas.with(func(now time.Time) {
-		if era, since := n.quotas.eras.Present(); era > 0 {
-			told = &eraTold{Era: era, AgeMillis: uint64(now.Sub(since).Milliseconds())}
+		if currentEra, since := n.quotas.eras.Present(); currentEra > 0 {
+			report = &eraReport{Era: currentEra, AgeMillis: uint64(now.Sub(since).Milliseconds())}
 		}
 	})
-	return told
+	return report
 }
 
-func (n *Node) heardEra(told *eraTold) {
-	if told == nil {
+// receiveEra applies the era report of a peer, if there is one.
+func (n *Node) receiveEra(report *eraReport) {
+	if report == nil {
 		return
 	}
-	age := time.Duration(min(told.AgeMillis, uint64(eraAgeMost.Milliseconds()))) * time.Millisecond
-	n.quotas.with(func(now time.Time) { n.quotas.eras.Told(now.Add(-age), told.Era) })
+	age := time.Duration(min(report.AgeMillis, uint64(maxEraAge.Milliseconds()))) * time.Millisecond
+	n.quotas.with(func(now time.Time) { n.quotas.eras.Told(now.Add(-age), report.Era) })
 }
 
-// isolatedAfter is how long a node that asks is without an answer before it takes itself
-// for cut off from its peers: two of the longest pauses between questions.
-const isolatedAfter = 2 * proofPauseMost
+// isolatedAfter is the time without an answer from any peer after which a node considers
+// itself isolated: two proof requests at the longest interval.
+const isolatedAfter = 2 * maxProofInterval
 
-// proofs tells what decides whether the node reads the store itself: whether nobody whom it
-// reaches has proved the configuration for long, and whether it reaches anybody.
-func (q *quotas) proofs() (unproved, isolated bool) {
+// proofState returns what decides whether the node reads the store itself: unproved if its
+// freshness proof is about to expire, and isolated if no peer answers.
+func (q *quotas) proofState() (unproved, isolated bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock()
-	return !q.proved(now, proofLate), now.Sub(q.answeredAt) > isolatedAfter
+	return !q.proofWithin(now, proofReadShare), now.Sub(q.lastAnswerAt) > isolatedAfter
 }
 
-// proved reports whether the proof of the configuration is younger than a part of the age
-// allowed; any is where no age is. The caller holds the lock.
-func (q *quotas) proved(now time.Time, part float64) bool {
-	return q.provenWithin == 0 || q.provedFor(now, part) >= 0
+// proofWithin reports whether the freshness proof is younger than a share of the maximum
+// age; always true without a maximum. The caller holds the lock.
+func (q *quotas) proofWithin(now time.Time, share float64) bool {
+	return q.provenWithin == 0 || q.proofRemaining(now, share) >= 0
 }
 
-// provedFor is how long the proof stays younger than a part of the age allowed; negative
-// if it is older or there is none. The caller holds the lock.
-func (q *quotas) provedFor(now time.Time, part float64) time.Duration {
+// proofRemaining returns how long the freshness proof stays younger than a share of the
+// maximum age; negative if it is older or missing. The caller holds the lock.
+func (q *quotas) proofRemaining(now time.Time, share float64) time.Duration {
 	age, known := q.proof.Age(now)
 	if !known {
 		return -1
 	}
-	return time.Duration(part*float64(q.provenWithin)) - age
+	return time.Duration(share*float64(q.provenWithin)) - age
 }
 
-// vainAtOnce questions for a proof may fail before the pauses between them double, up to
-// proofPauseMost: while the store is away no node has one, and all of a fleet ask.
+// After fastProofAttempts failed proof requests the interval between them doubles with each
+// further failure, up to maxProofInterval. This limits the load when the store is down: then
+// no node has a young proof and every node asks.
 const (
-	vainAtOnce     = 3
-	proofPauseMost = 800 * time.Millisecond
+	fastProofAttempts = 3
+	maxProofInterval  = 800 * time.Millisecond
 )
 
-// proofPause is the time between two questions for a proof. The caller holds the lock.
-func (q *quotas) proofPause(now time.Time) time.Duration {
-	waiting := q.inUse(now) && !q.fresh(now)
-	if waiting || q.vain <= vainAtOnce {
-		return guideEvery
+// proofInterval returns the time between two proof requests. The caller holds the lock.
+func (q *quotas) proofInterval(now time.Time) time.Duration {
+	waiting := q.keysInUse(now) && !q.fresh(now)
+	if waiting || q.proofAttempts <= fastProofAttempts {
+		return lookupInterval
 	}
-	return min(guideEvery<<(q.vain-vainAtOnce), proofPauseMost)
+	return min(lookupInterval<<(q.proofAttempts-fastProofAttempts), maxProofInterval)
 }
 
-// askedInVain is the number of questions in a row that brought no young proof, but for the
-// one to be sent now.
-func (q *quotas) askedInVain() int {
+// failedProofAttempts returns the number of consecutive requests that brought no young
+// proof, without the one that is about to be sent.
+func (q *quotas) failedProofAttempts() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return max(0, q.vain-1)
+	return max(0, q.proofAttempts-1)
 }
 
-// fresh reports whether keys may be judged by the configuration. The caller holds the lock.
+// fresh reports whether the configuration is fresh enough to check keys. The caller holds
+// the lock.
 func (q *quotas) fresh(now time.Time) bool {
 	return q.freshWithin == 0 || q.proof.Fresh(now, q.freshWithin)
 }
 
-// proverShare of the questions for a proof goes to the provers of this data centre, and with
-// each one in vain to one more of those that come next: the provers may be gone. nearShare
-// goes to any node there, and the rest to any node: a whole data centre may be cut off from
-// the store.
+// proverShare of the proof requests goes to the provers of the own data centre; each failed
+// attempt adds the node next in rank, since the provers may be gone. localShare goes to any
+// node of that data centre. The rest goes to any node of the fleet: a whole data centre may
+// be cut off from the store.
 const (
 	proverShare = 0.75
-	nearShare   = 0.15
+	localShare  = 0.15
 )
 
-// guideTo picks a node that may know what is missing, false if there is no other node.
-func (n *Node) guideTo(m missing) (wire.NodeID, bool) {
-	others := n.others()
+// pickPeer picks a peer that may have the missing information; false if there is no peer.
+func (n *Node) pickPeer(m missingInfo) (wire.NodeID, bool) {
+	livePeers := n.livePeers()
 	switch {
-	case len(others) == 0:
+	case len(livePeers) == 0:
 		return wire.NodeID{}, false
-	case m == whereabouts:
-		return guide(others), true
+	case m == missingOwners:
+		return pickLikelyOwner(livePeers), true
 	}
-	near, centres := nearOf(others, n.cfg.DataCentre)
-	chance := rand.Float64()
+	local, centres := inDataCentre(livePeers, n.cfg.DataCentre)
+	draw := rand.Float64()
 	switch {
-	case len(near) == 0, chance >= proverShare+nearShare:
-	case chance < proverShare:
-		others = firstOf(near, proversEach(centres, len(near)+1)+n.quotas.askedInVain())
+	case len(local) == 0, draw >= proverShare+localShare:
+	case draw < proverShare:
+		livePeers = lowestRanked(local, proversPerDataCentre(centres, len(local)+1)+n.quotas.failedProofAttempts())
 	default:
-		others = near
+		livePeers = local
 	}
-	return others[rand.IntN(len(others))].id, true
+	return livePeers[rand.IntN(len(livePeers))].id, true
 }
 
-// nearOf returns the nodes of a data centre, and the number of data centres with that one.
-func nearOf(nodes []placed, dataCentre string) (near []placed, centres int) {
+// inDataCentre returns the nodes of a data centre, and the number of all data centres
+// including that one.
+func inDataCentre(nodes []rankedNode, dataCentre string) (local []rankedNode, centres int) {
 	names := map[string]struct{}{dataCentre: {}}
 	for _, o := range nodes {
 		names[o.dataCentre] = struct{}{}
 		if o.dataCentre == dataCentre {
-			near = append(near, o)
+			local = append(local, o)
 		}
 	}
-	return near, len(names)
+	return local, len(names)
 }
 
-// firstOf returns the first nodes by their places.
-func firstOf(nodes []placed, most int) []placed {
-	slices.SortFunc(nodes, func(a, b placed) int { return cmp.Compare(a.place, b.place) })
-	return nodes[:min(len(nodes), most)]
+// lowestRanked returns at most limit nodes, lowest rank first. It sorts nodes in place.
+func lowestRanked(nodes []rankedNode, limit int) []rankedNode {
+	slices.SortFunc(nodes, func(a, b rankedNode) int { return cmp.Compare(a.rank, b.rank) })
+	return nodes[:min(len(nodes), limit)]
 }
 
-// others lists the other nodes that are alive.
-func (n *Node) others() []placed {
-	var others []placed
+// livePeers lists the other nodes that are alive.
+func (n *Node) livePeers() []rankedNode {
+	var livePeers []rankedNode
 	n.members.with(func(m *membership.Members) {
 		for rec := range m.All() {
 			if rec.ID != n.id && rec.State == membership.Alive {
-				others = append(others, placed{id: rec.ID, dataCentre: rec.DataCentre, place: place(rec.PeerAddr)})
+				livePeers = append(livePeers, rankedNode{id: rec.ID, dataCentre: rec.DataCentre, rank: rank(rec.PeerAddr)})
 			}
 		}
 	})
-	return others
+	return livePeers
 }
--- a/node/quota_asks.go
+++ b/node/quota_asks.go
@@ -9,46 +9,47 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// How often the node looks what it has to ask for, while requests with keys come.
-const quotaTick = 50 * time.Millisecond
+// quotaLoopInterval is the time between two checks for due quota requests while requests
+// with keys arrive.
+const quotaLoopInterval = 50 * time.Millisecond
 
-// guideEvery is the time between two questions to nodes that may know the owners.
-const guideEvery = 100 * time.Millisecond
+// lookupInterval is the least time between two requests to peers for owners or a proof.
+const lookupInterval = 100 * time.Millisecond
 
-// quotaAsk asks a node for tokens of the workspaces that it owns, and for its proof of
-// the configuration's age.
-type quotaAsk struct {
-	// Number grows with each question of the sender.
-	Number uint64       `cbor:"1,keyasint"`
-	Wants  []quota.Want `cbor:"2,keyasint,omitempty"`
-	// Claims asks who owns what.
+// quotaRequest asks a node for tokens of the workspaces that it owns, and for its freshness
+// proof of the configuration.
+type quotaRequest struct {
+	// Number increases with each request of the sender.
+	Number        uint64       `cbor:"1,keyasint"`
+	TokenRequests []quota.Want `cbor:"2,keyasint,omitempty"`
+	// Claims asks for the known ownership claims.
 	Claims bool `cbor:"3,keyasint,omitempty"`
 }
 
-// quotaAnswer answers a quotaAsk.
+// quotaAnswer answers a quotaRequest.
 type quotaAnswer struct {
 	Number uint64        `cbor:"1,keyasint"`
 	Grants []quota.Grant `cbor:"2,keyasint,omitempty"`
-	// Foreign says that the sender does not own all that was asked for.
+	// Foreign says that the sender does not own all the workspaces asked for.
 	Foreign bool          `cbor:"3,keyasint,omitempty"`
 	Claims  []quota.Claim `cbor:"4,keyasint,omitempty"`
-	// Version is in force at the sender, and was the newest AgeMillis before it
-	// answered. Proved is false if the sender does not know when it was.
+	// Version is the version in force at the sender. If Proved is set, it was the newest
+	// AgeMillis before the answer.
 	Version   uint64 `cbor:"5,keyasint,omitempty"`
 	AgeMillis uint32 `cbor:"6,keyasint,omitempty"`
 	Proved    bool   `cbor:"7,keyasint,omitempty"`
 }
 
-// outgoingAsk is a question and whom it goes to.
-type outgoingAsk struct {
+// outgoingRequest is a quota request and its recipient.
+type outgoingRequest struct {
 	to  wire.NodeID
-	msg quotaAsk
+	msg quotaRequest
 }
 
-// tendQuotas asks owners for tokens while requests with keys come, and others for proofs
-// all the time.
-func (n *Node) tendQuotas() {
-	timer := time.NewTimer(quotaTick)
+// quotaLoop requests tokens from owners while requests with keys arrive, and freshness
+// proofs from peers at all times.
+func (n *Node) quotaLoop() {
+	timer := time.NewTimer(quotaLoopInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -57,169 +58,175 @@
 		case <-n.quotas.wake:
 		case <-timer.C:
 		}
-		n.askOwners()
-		if d, again := n.quotas.nextLook(); again {
+		n.sendQuotaRequests()
+		if d, again := n.quotas.nextCheck(); again {
 			timer.Reset(d)
 		}
 	}
 }
 
-// nextLook is how long until it may be time for a question; false if only a request that
-// needs a key can bring one about.
-func (q *quotas) nextLook() (d time.Duration, again bool) {
+// nextCheck returns the time until a quota request may be due; false if none is due before
+// a request with a key arrives.
+func (q *quotas) nextCheck() (d time.Duration, again bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock()
 	switch {
-	case q.inUse(now), len(q.asks) > 0:
-		return quotaTick, true
+	case q.keysInUse(now), len(q.requests) > 0:
+		return quotaLoopInterval, true
 	case q.provenWithin == 0:
 		return 0, false
 	}
-	next := max(q.provedFor(now, proofSoon), q.guidedAt.Add(q.proofPause(now)).Sub(now))
-	return max(quotaTick, next), true
+	next := max(q.proofRemaining(now, proofRequestShare), q.lookupSentAt.Add(q.proofInterval(now)).Sub(now))
+	return max(quotaLoopInterval, next), true
 }
 
-func (n *Node) askOwners() {
-	asks, missing := n.quotas.due()
-	if missing != nothing {
-		if guide, known := n.guideTo(missing); known {
-			asks = append(asks, n.quotas.askGuide(guide)...)
+// sendQuotaRequests sends the quota requests that are due.
+func (n *Node) sendQuotaRequests() {
+	requests, missingInfo := n.quotas.dueRequests()
+	if missingInfo != missingNothing {
+		if peer, known := n.pickPeer(missingInfo); known {
+			requests = append(requests, n.quotas.lookupRequest(peer)...)
 		}
 	}
-	for _, out := range asks {
-		n.sendAsk(out)
+	for _, out := range requests {
+		n.sendQuotaRequest(out)
 	}
 }
 
-func (n *Node) sendAsk(out outgoingAsk) {
+// sendQuotaRequest sends a request; one to this node itself is answered directly.
+func (n *Node) sendQuotaRequest(out outgoingRequest) {
 	if out.to == n.id {
-		n.handleQuotaAnswer(n.id, n.answerQuota(n.id, out.msg))
+		n.handleQuotaAnswer(n.id, n.makeQuotaAnswer(n.id, out.msg))
 		return
 	}
 	n.posts.post(out.to, wire.KindQuotaAsk, out.msg)
 }
 
-// missing is what the owners' answers do not bring.
-type missing uint8
+// missingInfo is what a node has to ask peers other than the owners for.
+type missingInfo uint8
 
 const (
-	nothing missing = iota
-	// proofs that the configuration is the newest.
-	proofs
-	// whereabouts of the owners.
-	whereabouts
+	missingNothing missingInfo = iota
+	// missingProof: the freshness proof is too old.
+	missingProof
+	// missingOwners: the owner of a workspace is unknown.
+	missingOwners
 )
 
-// due returns the questions to be sent to owners now, and what another node is to be asked
-// for.
-func (q *quotas) due() ([]outgoingAsk, missing) {
+// dueRequests returns the requests to send to owners now, and what another peer has to be
+// asked for.
+func (q *quotas) dueRequests() ([]outgoingRequest, missingInfo) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock()
-	q.timeOut(now)
-	var asks []outgoingAsk
-	inUse := q.inUse(now)
-	if inUse {
-		asks = q.askTokens(now)
+	q.expireRequests(now)
+	var requests []outgoingRequest
+	keysInUse := q.keysInUse(now)
+	if keysInUse {
+		requests = q.dueTokenRequests(now)
 	}
-	rested := now.Sub(q.guidedAt)
+	sinceLookup := now.Sub(q.lookupSentAt)
 	switch {
-	case q.proved(now, proofSoon):
-		q.vain = 0
-	case len(q.asks) == 0 && rested >= q.proofPause(now):
-		q.vain++
-		return asks, proofs
+	case q.proofWithin(now, proofRequestShare):
+		q.proofAttempts = 0
+	case len(q.requests) == 0 && sinceLookup >= q.proofInterval(now):
+		q.proofAttempts++
+		return requests, missingProof
 	}
-	if inUse && q.lost && rested >= guideEvery {
-		return asks, whereabouts
+	if keysInUse && q.ownersUnknown && sinceLookup >= lookupInterval {
+		return requests, missingOwners
 	}
-	return asks, nothing
+	return requests, missingNothing
 }
 
-// askGuide returns the question to a node that may know the owners.
-func (q *quotas) askGuide(guide wire.NodeID) []outgoingAsk {
+// lookupRequest returns the request for a proof and for unknown owners to a peer, none if an
+// earlier request to it awaits its answer.
+func (q *quotas) lookupRequest(peer wire.NodeID) []outgoingRequest {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if _, asked := q.asks[guide]; asked {
+	if _, asked := q.requests[peer]; asked {
 		return nil
 	}
 	now := q.clock()
-	q.guidedAt = now
-	claims := q.lost
-	q.lost = false
-	return []outgoingAsk{q.ask(now, guide, nil, claims)}
+	q.lookupSentAt = now
+	claims := q.ownersUnknown
+	q.ownersUnknown = false
+	return []outgoingRequest{q.openRequest(now, peer, nil, claims)}
 }
 
-// timeOut gives up questions without an answer.
-func (q *quotas) timeOut(now time.Time) {
-	for id, a := range q.asks {
+// expireRequests gives up requests that have had no answer within AskTimeout.
+func (q *quotas) expireRequests(now time.Time) {
+	for id, a := range q.requests {
 		if now.Sub(a.sent) >= q.cfg.AskTimeout {
-			delete(q.asks, id)
-			q.holder.Unanswered(a.wants)
-			q.lost = true
+			delete(q.requests, id)
+			q.tokenClient.Unanswered(a.tokenRequests)
+			q.ownersUnknown = true
 		}
 	}
 }
 
-// askTokens makes the questions for tokens, one to each owner.
-func (q *quotas) askTokens(now time.Time) []outgoingAsk {
+// dueTokenRequests returns the requests for tokens that are due, one to each owner.
+func (q *quotas) dueTokenRequests(now time.Time) []outgoingRequest {
 	if q.cfg.Parts == 0 {
 		return nil
 	}
 	byOwner := make(map[wire.NodeID][]quota.Want)
-	for _, w := range q.holder.Wants(now, q.askable) {
+	for _, w := range q.tokenClient.Wants(now, q.mayRequestToken) {
 		owner, _ := q.owners.Of(q.cfg.Part(w.Workspace))
 		byOwner[owner] = append(byOwner[owner], w)
 	}
-	var out []outgoingAsk
+	var out []outgoingRequest
 	for owner, wants := range byOwner {
 		if !slices.ContainsFunc(wants, quota.Want.Urgent) {
 			continue
 		}
-		q.holder.Asked(now, wants)
-		out = append(out, q.ask(now, owner, wants, false))
+		q.tokenClient.Asked(now, wants)
+		out = append(out, q.openRequest(now, owner, wants, false))
 	}
 	return out
 }
 
-// askable reports whether the owner of a workspace is known and may be asked now.
-func (q *quotas) askable(workspace string) bool {
+// mayRequestToken reports whether the owner of a workspace is known and has no request
+// awaiting its answer.
+func (q *quotas) mayRequestToken(workspace string) bool {
 	owner, known := q.owners.Of(q.cfg.Part(workspace))
 	if !known {
-		q.lost = true
+		q.ownersUnknown = true
 		return false
 	}
-	_, asked := q.asks[owner]
+	_, asked := q.requests[owner]
 	return !asked
 }
 
-func (q *quotas) ask(now time.Time, to wire.NodeID, wants []quota.Want, claims bool) outgoingAsk {
+// openRequest makes a request and records that it awaits its answer.
+func (q *quotas) openRequest(now time.Time, to wire.NodeID, tokenRequests []quota.Want, claims bool) outgoingRequest {
 	q.number++
-	q.asks[to] = ask{number: q.number, sent: now, wants: wants}
-	return outgoingAsk{to: to, msg: quotaAsk{Number: q.number, Wants: wants, Claims: claims}}
+	q.requests[to] = openRequest{number: q.number, sent: now, tokenRequests: tokenRequests}
+	return outgoingRequest{to: to, msg: quotaRequest{Number: q.number, TokenRequests: tokenRequests, Claims: claims}}
 }
 
-func (n *Node) handleQuotaAsk(from wire.NodeID, m quotaAsk) {
-	n.posts.answer(from, wire.KindQuotaAnswer, n.answerQuota(from, m))
+func (n *Node) handleQuotaRequest(from wire.NodeID, m quotaRequest) {
+	n.posts.answer(from, wire.KindQuotaAnswer, n.makeQuotaAnswer(from, m))
 }
 
-// answerQuota decides what a node is lent and told.
-func (n *Node) answerQuota(from wire.NodeID, m quotaAsk) quotaAnswer {
+// makeQuotaAnswer grants tokens of the workspaces that this node owns, and adds ownership
+// claims and the freshness proof.
+func (n *Node) makeQuotaAnswer(from wire.NodeID, m quotaRequest) quotaAnswer {
 	n.counts.QuotaAsks.Add(1)
 	table := n.routing.table()
 	answer := quotaAnswer{Number: m.Number}
 	n.quotas.with(func(now time.Time) {
 		q := n.quotas
-		if table != nil && q.bank.Accept(from, m.Number) {
-			for _, w := range m.Wants {
+		if table != nil && q.issuer.Accept(from, m.Number) {
+			for _, w := range m.TokenRequests {
 				space, known := table.Workspaces.Named(w.Workspace)
-				since, owned := q.tenure.Owns(now, q.cfg.Part(w.Workspace))
+				since, owned := q.leaseTerm.Owns(now, q.cfg.Part(w.Workspace))
 				if !known || !owned {
 					answer.Foreign = true
 					continue
 				}
-				answer.Grants = append(answer.Grants, q.bank.Lend(now, since, from, w, space.Quota))
+				answer.Grants = append(answer.Grants, q.issuer.Lend(now, since, from, w, space.Quota))
 			}
 		}
 		if answer.Foreign || m.Claims {
@@ -233,37 +240,41 @@
 	return answer
 }
 
-// handleQuotaAnswer takes tokens, a proof and the owners. The proof's moment is counted
-// from before the question was sent: how long the answer was under way is not known.
+// handleQuotaAnswer applies the tokens, the proof and the claims of an answer. The proof
+// counts from before the request was sent: the transit time of the answer is unknown.
 func (n *Node) handleQuotaAnswer(from wire.NodeID, m quotaAnswer) {
-	n.quotas.with(func(now time.Time) { n.quotas.answered(now, from, m) })
-	n.sawRoutes(from, m.Version)
+	n.quotas.with(func(now time.Time) { n.quotas.handleAnswer(now, from, m) })
+	n.requestNewerRoutes(from, m.Version)
 }
 
-func (q *quotas) answered(now time.Time, from wire.NodeID, m quotaAnswer) {
-	for _, c := range m.Claims { // hints, which need no question
+// handleAnswer applies an answer. Claims are only hints and count in any answer; the rest
+// counts only if the answer is to the open request.
+func (q *quotas) handleAnswer(now time.Time, from wire.NodeID, m quotaAnswer) {
+	for _, c := range m.Claims {
 		q.owners.Heard(c)
 	}
-	a, waited := q.asks[from]
+	a, waited := q.requests[from]
 	if !waited || a.number != m.Number {
-		return // given up: what it lends ends by itself
+		return // the request has expired; the tokens granted expire by themselves
 	}
-	delete(q.asks, from)
-	q.answeredAt = now
-	q.holder.Granted(now, a.sent, a.wants, m.Grants)
+	delete(q.requests, from)
+	q.lastAnswerAt = now
+	q.tokenClient.Granted(now, a.sent, a.tokenRequests, m.Grants)
 	if m.Proved {
 		q.proof.Learn(freshness.Proof{Version: m.Version, At: a.sent.Add(-time.Duration(m.AgeMillis) * time.Millisecond)})
 	}
-	q.lost = q.lost || m.Foreign
-	q.tell()
-	q.stir() // requests may wait for an owner that is known now
+	q.ownersUnknown = q.ownersUnknown || m.Foreign
+	q.notifyWaiters()
+	q.wakeLoop() // waiting requests may have a known owner now
 }
 
+// handleQuotaClaim records the ownership claim of a peer. A claim in the name of another
+// node is invalid.
 func (n *Node) handleQuotaClaim(from wire.NodeID, c quota.Claim) {
 	if c.Owner != from {
 		n.counts.BadMessages.Add(1)
 		return
 	}
 	n.quotas.with(func(time.Time) { n.quotas.owners.Heard(c) })
-	n.quotas.stir()
+	n.quotas.wakeLoop()
 }
--- a/node/quota_dump.go
+++ b/node/quota_dump.go
@@ -8,21 +8,22 @@
 	"github.com/cassialoom/cassialoom/quota"
 )
 
-// WorkspacesState is what the node knows of workspaces, for people. It holds no key.
+// WorkspacesState describes the workspaces and quotas of a node for operators. It contains
+// no keys.
 type WorkspacesState struct {
 	// Count is the number of workspaces, zero if requests need no keys.
 	Count int `json:"count"`
-	// Proved says that the configuration was known to be the newest, ProofAgeMs ago.
+	// Proved says that the node has a freshness proof, which is ProofAgeMs old.
 	Proved     bool  `json:"proved"`
 	ProofAgeMs int64 `json:"proof_age_ms,omitempty"`
-	// Generation and Parts are this node's leases.
+	// Generation and Parts describe the lease of this node.
 	Generation uint64 `json:"lease_generation,omitempty"`
 	Parts      []int  `json:"owned_parts,omitempty"`
-	// Accounts are those of the workspaces that it owns, the shortest first.
+	// Accounts are those of the workspaces that it owns, fewest tokens first.
 	Accounts []quota.AccountState `json:"accounts,omitempty"`
-	// Owners are what it has heard of others.
+	// Owners are the ownership claims that it knows.
 	Owners []quota.Claim `json:"owners,omitempty"`
-	// Asking is the number of questions under way.
+	// Asking is the number of quota requests that await an answer.
 	Asking int `json:"asking"`
 }
 
@@ -39,10 +40,10 @@
 		if age, proved := q.proof.Age(now); proved {
 			s.Proved, s.ProofAgeMs = true, age.Milliseconds()
 		}
-		s.Generation, s.Parts = q.tenure.Generation(), q.tenure.Parts(now)
-		s.Accounts = q.bank.Dump()
+		s.Generation, s.Parts = q.leaseTerm.Generation(), q.leaseTerm.Parts(now)
+		s.Accounts = q.issuer.Dump()
 		s.Owners = q.owners.Claims()
-		s.Asking = len(q.asks)
+		s.Asking = len(q.requests)
 	})
 	slices.SortFunc(s.Accounts, func(a, b quota.AccountState) int {
 		return cmp.Or(cmp.Compare(a.Tokens, b.Tokens), cmp.Compare(a.Workspace, b.Workspace))
@@ -51,8 +52,7 @@
 	return s
 }
 
-// proofAge is the time since the configuration was known to be the newest, zero if it
-// never was.
+// proofAge returns the age of the freshness proof, zero if there is none.
 func (q *quotas) proofAge() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/node/quota_owner.go
+++ b/node/quota_owner.go
@@ -8,56 +8,57 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// WantsLease reports whether this node should be one of the few that own quotas.
+// WantsLease reports whether this node should hold a lease on quotas. Only a few nodes of a
+// fleet do.
 func (n *Node) WantsLease() bool {
 	table := n.routing.table()
 	if table == nil || table.Workspaces == nil || n.draining.Load() {
 		return false
 	}
-	reached := n.reached()
-	if n.quotas.fleet.cutOff(reached) {
+	reachable := n.reachable()
+	if n.quotas.fleet.cutOff(reachable) {
 		return false
 	}
 	if listed := n.listed.Load(); listed != nil {
 		switch {
-		case reached < 2 && listed.others:
-			return false // cut off since its start: nobody could ask it
-		case time.Since(n.started) < settleMost:
-			return listed.first
+		case reachable < 2 && listed.others:
+			return false // isolated since its start: no peer could request tokens from it
+		case time.Since(n.started) < maxSettleTime:
+			return listed.self
 		}
 	}
-	return !n.joining() && n.quotas.fleet.settled(time.Now(), reached) && n.Reader()
+	return !n.joining() && n.quotas.fleet.settled(time.Now(), reachable) && n.Reader()
 }
 
-// reached is the number of nodes that are not suspected to be gone, this one included.
-func (n *Node) reached() int {
-	reached := 0
+// reachable returns the number of nodes that are not suspect, including this one.
+func (n *Node) reachable() int {
+	reachable := 0
 	n.members.with(func(m *membership.Members) {
 		for rec := range m.All() {
 			if rec.State != membership.Suspect {
-				reached++
+				reachable++
 			}
 		}
 	})
-	return reached
+	return reachable
 }
 
-// LeaseMember is the name of this node among the owners. A node that restarts has the
-// same one, so it gets its leases back at once. The start before cannot use them any
-// more: it held the address at which this one listens.
+// LeaseMember returns the name of this node among the owners. A restarted node has the same
+// name, so it gets its leases back at once. Its earlier incarnation cannot use them any more:
+// it has released the address at which this one listens.
 func (n *Node) LeaseMember() string { return n.cfg.PeerAddr }
 
-// LeaseClock is the clock by which a renewal's sending is told.
+// LeaseClock returns the present time of the clock that lease times and proofs use.
 func (n *Node) LeaseClock() time.Time { return n.quotas.clock() }
 
-// LeaseRenewed takes the store's answer to a renewal, and reports whether what this node
-// owns changed.
+// LeaseRenewed applies the store's answer to a renewal, and reports whether the parts that
+// this node owns changed.
 func (n *Node) LeaseRenewed(lease quota.Lease) (changed bool) {
 	var claim quota.Claim
 	n.quotas.with(func(now time.Time) {
 		q := n.quotas
-		changed = q.tenure.Renewed(lease)
-		q.bank.Keep(func(name string) bool { _, owned := q.tenure.Owns(now, q.cfg.Part(name)); return owned })
+		changed = q.leaseTerm.Renewed(lease)
+		q.issuer.Keep(func(name string) bool { _, owned := q.leaseTerm.Owns(now, q.cfg.Part(name)); return owned })
 		claim = q.claim(now, n.id)
 		q.owners.Heard(claim)
 	})
@@ -65,14 +66,14 @@
 		return false
 	}
 	n.log.Info().Uint64("generation", lease.Generation).Ints("parts", lease.Parts).Msg("owns quotas")
-	n.tellClaim(claim)
-	n.quotas.stir()
+	n.publishClaim(claim)
+	n.quotas.wakeLoop()
 	return true
 }
 
-// tellClaim tells all nodes what this one owns: those that it knows, and those that are
-// connected, which it may not know yet.
-func (n *Node) tellClaim(claim quota.Claim) {
+// publishClaim sends a claim to all members, and to connected nodes that are not known as
+// members yet.
+func (n *Node) publishClaim(claim quota.Claim) {
 	n.postAll(wire.KindQuotaClaim, claim)
 	for _, id := range n.peers.Connected() {
 		if _, known := n.members.lookup(id); !known {
@@ -81,19 +82,19 @@
 	}
 }
 
-// ownClaim is what this node owns, false if that is nothing.
+// ownClaim returns the ownership claim of this node, false if it owns nothing.
 func (n *Node) ownClaim() (c quota.Claim, owns bool) {
 	n.quotas.with(func(now time.Time) { c = n.quotas.claim(now, n.id) })
 	return c, len(c.Parts) > 0
 }
 
-// claim is what a node owns by the lease held here. The caller holds the lock.
+// claim returns the ownership claim that follows from the lease. The caller holds the lock.
 func (q *quotas) claim(now time.Time, id wire.NodeID) quota.Claim {
-	return quota.Claim{Owner: id, Generation: q.tenure.Generation(), Parts: q.tenure.Parts(now)}
+	return quota.Claim{Owner: id, Generation: q.leaseTerm.Generation(), Parts: q.leaseTerm.Parts(now)}
 }
 
-// LeaseEnded gives up what this node owns.
+// LeaseEnded gives up the ownership of quotas.
 func (n *Node) LeaseEnded() {
-	n.quotas.with(func(time.Time) { n.quotas.tenure.Ended() })
+	n.quotas.with(func(time.Time) { n.quotas.leaseTerm.Ended() })
 	n.log.Info().Msg("owns no quotas any more")
 }
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -12,50 +12,51 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// quotas puts a lock around what is decided about workspaces: their tokens here, the
-// quotas that this node owns, and how old the configuration can be. One exchange between
-// two nodes serves both tokens and proofs.
+// quotas guards the state of workspaces with a lock: the tokens of this node, the quotas
+// that it owns, and the freshness of the configuration. One message exchange between two
+// nodes carries both tokens and freshness proofs.
 type quotas struct {
 	cfg quota.Config
-	// freshWithin is the age of the configuration beyond which keys are not served,
-	// provenWithin the age up to which its proof is kept; zero for any.
+	// freshWithin is the age of the freshness proof beyond which requests with keys are
+	// refused, provenWithin the age below which the node keeps it; zero for no limit.
 	freshWithin, provenWithin time.Duration
 	clock                     bootclock.Clock
 
-	mu     sync.Mutex
-	holder *quota.Holder
-	bank   *quota.Bank
-	tenure quota.Tenure
-	owners *quota.Owners
-	proof  freshness.Keeper
-	eras   freshness.Eras
-	// asks are the questions under way, one to each node.
-	asks   map[wire.NodeID]ask
-	number uint64
-	// guidedAt is when a node that is no owner was last asked.
-	guidedAt time.Time
-	// answeredAt is when a peer last answered.
-	answeredAt time.Time
-	// vain counts the questions for a proof in a row that brought no young one.
-	vain int
-	// lost says that an owner did not answer, or owns no more: who does is asked.
-	lost bool
-	// needed is when a request last needed a key.
-	needed time.Time
-	// changed is closed when tokens or a proof came.
+	mu          sync.Mutex
+	tokenClient *quota.Holder
+	issuer      *quota.Bank
+	leaseTerm   quota.Tenure
+	owners      *quota.Owners
+	proof       freshness.Keeper
+	eras        freshness.Eras
+	// requests are those that await an answer, at most one per node.
+	requests map[wire.NodeID]openRequest
+	number   uint64
+	// lookupSentAt is when the last request for owners or a proof was made.
+	lookupSentAt time.Time
+	// lastAnswerAt is when a peer last answered.
+	lastAnswerAt time.Time
+	// proofAttempts counts the proof requests since the last young proof.
+	proofAttempts int
+	// ownersUnknown says that an owner is unknown, did not answer or is owner no more, so
+	// that a lookup is needed.
+	ownersUnknown bool
+	// lastKeyUse is when a request with a key last arrived.
+	lastKeyUse time.Time
+	// changed is closed when tokens or a proof arrive.
 	changed chan struct{}
 
 	fleet fleetView
 
-	// wake tells the loop that a request waits.
+	// wake tells quotaLoop that a request waits.
 	wake chan struct{}
 }
 
-// ask is a question under way.
-type ask struct {
-	number uint64
-	sent   time.Time
-	wants  []quota.Want
+// openRequest is a quota request that awaits its answer.
+type openRequest struct {
+	number        uint64
+	sent          time.Time
+	tokenRequests []quota.Want
 }
 
 func newQuotas(cfg quota.Config, freshWithin, provenWithin time.Duration, clock bootclock.Clock) *quotas {
@@ -64,10 +65,10 @@
 		freshWithin:  freshWithin,
 		provenWithin: provenWithin,
 		clock:        clock,
-		holder:       quota.NewHolder(cfg),
-		bank:         quota.NewBank(cfg),
+		tokenClient:  quota.NewHolder(cfg),
+		issuer:       quota.NewBank(cfg),
 		owners:       quota.NewOwners(),
-		asks:         make(map[wire.NodeID]ask),
+		requests:     make(map[wire.NodeID]openRequest),
 		changed:      make(chan struct{}),
 		wake:         make(chan struct{}, 1),
 		fleet:        fleetView{started: time.Now()},
@@ -81,102 +82,107 @@
 	f(q.clock())
 }
 
-// inForce says which version of the routes is in force.
+// inForce records the version of the routes that is in force.
 func (q *quotas) inForce(version uint64) {
 	q.with(func(time.Time) {
 		q.proof.InForce(version)
-		q.tell()
+		q.notifyWaiters()
 	})
 }
 
-// tell wakes the requests that wait. The caller holds the lock.
-func (q *quotas) tell() {
+// notifyWaiters wakes the waiting requests. The caller holds the lock.
+func (q *quotas) notifyWaiters() {
 	close(q.changed)
 	q.changed = make(chan struct{})
 }
 
-// stir wakes the loop.
-func (q *quotas) stir() {
+// wakeLoop wakes quotaLoop.
+func (q *quotas) wakeLoop() {
 	select {
 	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (q *quotas) giveBack(t quota.Token) {
-	q.with(func(now time.Time) { q.holder.Return(now, t) })
+// returnToken returns a token that was not used.
+func (q *quotas) returnToken(t quota.Token) {
+	q.with(func(now time.Time) { q.tokenClient.Return(now, t) })
 }
 
-// keyNeeded is how long after a request with a key the node keeps its tokens stocked.
-const keyNeeded = 3 * time.Second
+// keyUseWindow is how long after a request with a key the node keeps a stock of tokens.
+const keyUseWindow = 3 * time.Second
 
-// inUse reports whether requests with keys came lately. The caller holds the lock.
-func (q *quotas) inUse(now time.Time) bool {
-	return !q.needed.IsZero() && now.Sub(q.needed) < keyNeeded
+// keysInUse reports whether requests with keys arrived within keyUseWindow. The caller holds
+// the lock.
+func (q *quotas) keysInUse(now time.Time) bool {
+	return !q.lastKeyUse.IsZero() && now.Sub(q.lastKeyUse) < keyUseWindow
 }
 
-// needKey notes that a key is needed and reports whether it may be judged now.
-func (q *quotas) needKey() (ok bool, changed <-chan struct{}) {
+// noteKeyUse records a request with a key. It reports whether the configuration is fresh
+// enough to check the key, and returns a channel that closes when that may change.
+func (q *quotas) noteKeyUse() (ok bool, changed <-chan struct{}) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock()
-	rested := !q.inUse(now)
-	q.needed = now
+	idle := !q.keysInUse(now)
+	q.lastKeyUse = now
 	ok = q.fresh(now)
-	if rested || !ok {
-		q.stir()
+	if idle || !ok {
+		q.wakeLoop()
 	}
 	return ok, q.changed
 }
 
-// take takes a token, or says that there is none.
-func (q *quotas) take(workspace string, waited bool) (t quota.Token, answer quota.Answer, changed <-chan struct{}) {
+// takeToken takes a token of a workspace, or returns why there is none and a channel that
+// closes when that may change. waited says that the request has waited for a token before.
+func (q *quotas) takeToken(workspace string, waited bool) (t quota.Token, answer quota.Answer, changed <-chan struct{}) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock()
 	if waited {
-		t, answer = q.holder.Again(now, workspace)
+		t, answer = q.tokenClient.Again(now, workspace)
 	} else {
-		t, answer = q.holder.Take(now, workspace)
+		t, answer = q.tokenClient.Take(now, workspace)
 	}
 	return t, answer, q.changed
 }
 
-// waiting notes that a request begins (1) or ends (-1) to wait.
-func (q *quotas) waiting(workspace string, change int) {
-	q.with(func(time.Time) { q.holder.Waiting(workspace, change) })
-	q.stir()
+// addWaiting adds change to the number of requests that wait for a token of a workspace.
+func (q *quotas) addWaiting(workspace string, change int) {
+	q.with(func(time.Time) { q.tokenClient.Waiting(workspace, change) })
+	q.wakeLoop()
 }
 
-// awaitFresh waits a moment for a proof that the configuration is not too old.
+// awaitFresh waits for a sufficiently young freshness proof, at most Quota.WaitMost.
 func (n *Node) awaitFresh(ctx context.Context) *verdict.Error {
 	until := time.Now().Add(n.cfg.Quota.WaitMost)
 	for {
-		ok, changed := n.quotas.needKey()
+		ok, changed := n.quotas.noteKeyUse()
 		if ok {
 			return nil
 		}
-		if !await(ctx, changed, until) {
-			return verdict.Refuse(verdict.StaleConfiguration, "not known whether the configuration is older than %s", n.cfg.FreshWithin).
+		if !awaitChange(ctx, changed, until) {
+			return verdict.Refuse(verdict.StaleConfiguration, "cannot verify that the configuration is no older than %s", n.cfg.FreshWithin).
 				After(n.cfg.Quota.UnknownComeBack)
 		}
 	}
 }
 
-// awaitToken waits a moment for a token of a workspace.
+// awaitToken takes a token of a workspace. While it is unknown whether there is one, it waits
+// at most Quota.WaitMost.
 func (n *Node) awaitToken(ctx context.Context, workspace string) (quota.Token, *verdict.Error) {
-	token, answer, changed := n.quotas.take(workspace, false)
+	token, answer, changed := n.quotas.takeToken(workspace, false)
 	if answer == quota.Wait {
-		n.quotas.waiting(workspace, 1)
-		defer n.quotas.waiting(workspace, -1)
+		n.quotas.addWaiting(workspace, 1)
+		defer n.quotas.addWaiting(workspace, -1)
 	}
 	until := time.Now().Add(n.cfg.Quota.WaitMost)
 	for answer == quota.Wait {
-		if !await(ctx, changed, until) {
-			return quota.Token{}, verdict.Refuse(verdict.QuotaUnknown, "no node answered for the quota of workspace %s", workspace).
+		if !awaitChange(ctx, changed, until) {
+			return quota.Token{}, verdict.Refuse(verdict.QuotaUnknown, "no owner answered for the quota of workspace %s in time", workspace).
 				After(n.cfg.Quota.UnknownComeBack)
 		}
-		token, answer, changed = n.quotas.take(workspace, true)
+		token, answer, changed = n.quotas.takeToken(workspace, true)
 	}
 	if answer == quota.Over {
 		return quota.Token{}, verdict.Refuse(verdict.OverQuota, "workspace %s has used its quota", workspace).After(n.cfg.Quota.ComeBack)
@@ -184,8 +190,8 @@
 	return token, nil
 }
 
-// await waits for a change; false if the time is over or the caller has gone.
-func await(ctx context.Context, changed <-chan struct{}, until time.Time) bool {
+// awaitChange waits until changed is closed; false if the time is up or ctx is done.
+func awaitChange(ctx context.Context, changed <-chan struct{}, until time.Time) bool {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
--- a/node/quotas_test.go
+++ b/node/quotas_test.go
@@ -17,20 +17,20 @@
 )
 
 // heldClock is a clock that stands until it is moved.
-type heldClock struct{ now time.Time }
+type manualClock struct{ now time.Time }
 
-func (c *heldClock) read() time.Time      { return c.now }
-func (c *heldClock) move(d time.Duration) { c.now = c.now.Add(d) }
+func (c *manualClock) read() time.Time         { return c.now }
+func (c *manualClock) advance(d time.Duration) { c.now = c.now.Add(d) }
 
 const hot = "hot"
 
-func testQuotas(bound time.Duration) (*quotas, *heldClock) {
-	clock := &heldClock{now: time.Unix(1000, 0)}
+func testQuotas(bound time.Duration) (*quotas, *manualClock) {
+	clock := &manualClock{now: time.Unix(1000, 0)}
 	cfg := quota.DefaultConfig()
 	cfg.Parts = 1
 	q := newQuotas(cfg, bound, bound, clock.read)
 	q.inForce(3)
-	q.needKey() // a request with a key has come
+	q.noteKeyUse() // a request with a key has come
 	return q, clock
 }
 
@@ -45,10 +45,10 @@
 func TestProofCountsFromBeforeTheQuestion(t *testing.T) {
 	is := is.New(t)
 	q, clock := testQuotas(4 * time.Second)
-	asks := q.askGuide(other)
-	is.Equal(len(asks), 1)
-	clock.move(3 * time.Second)
-	q.answered(clock.now, other, quotaAnswer{Number: asks[0].msg.Number, Proved: true, Version: 3, AgeMillis: 500})
+	requests := q.lookupRequest(other)
+	is.Equal(len(requests), 1)
+	clock.advance(3 * time.Second)
+	q.handleAnswer(clock.now, other, quotaAnswer{Number: requests[0].msg.Number, Proved: true, Version: 3, AgeMillis: 500})
 	age, known := q.proof.Age(clock.now)
 	is.True(known)
 	is.Equal(age, 3500*time.Millisecond)
@@ -60,19 +60,19 @@
 	is := is.New(t)
 	q, clock := testQuotas(0)
 	q.owners.Heard(quota.Claim{Owner: owner, Generation: 1, Parts: []int{0}})
-	q.take(hot, false)
-	q.waiting(hot, 1)
-	first, _ := q.due()
+	q.takeToken(hot, false)
+	q.addWaiting(hot, 1)
+	first, _ := q.dueRequests()
 	is.Equal(len(first), 1)
-	clock.move(q.cfg.AskTimeout)
-	second, wanted := q.due()
+	clock.advance(q.cfg.AskTimeout)
+	second, missing := q.dueRequests()
 	is.Equal(len(second), 1)
-	is.Equal(wanted, whereabouts) // another node may know a newer owner
-	q.answered(clock.now, owner, quotaAnswer{Number: first[0].msg.Number, Grants: []quota.Grant{{Workspace: hot, Now: 1}}})
-	_, answer, _ := q.take(hot, true)
+	is.Equal(missing, missingOwners) // another node may know a newer owner
+	q.handleAnswer(clock.now, owner, quotaAnswer{Number: first[0].msg.Number, Grants: []quota.Grant{{Workspace: hot, Now: 1}}})
+	_, answer, _ := q.takeToken(hot, true)
 	is.Equal(answer, quota.Wait)
-	q.answered(clock.now, owner, quotaAnswer{Number: second[0].msg.Number, Grants: []quota.Grant{{Workspace: hot, Now: 1}}})
-	_, answer, _ = q.take(hot, true)
+	q.handleAnswer(clock.now, owner, quotaAnswer{Number: second[0].msg.Number, Grants: []quota.Grant{{Workspace: hot, Now: 1}}})
+	_, answer, _ = q.takeToken(hot, true)
 	is.Equal(answer, quota.Taken)
 }
 
@@ -84,20 +84,20 @@
 	is := is.New(t)
 	q, clock := testQuotas(0)
 	q.owners.Heard(quota.Claim{Owner: owner, Generation: 1, Parts: []int{0}})
-	q.take(hot, false)
-	q.waiting(hot, 1)
-	asked := 0
-	for end := clock.now.Add(q.cfg.WaitMost); clock.now.Before(end); clock.move(time.Millisecond) {
-		asks, _ := q.due()
-		for _, a := range asks {
-			asked++
-			q.answered(clock.now, owner, quotaAnswer{Number: a.msg.Number, Foreign: true})
+	q.takeToken(hot, false)
+	q.addWaiting(hot, 1)
+	sent := 0
+	for end := clock.now.Add(q.cfg.WaitMost); clock.now.Before(end); clock.advance(time.Millisecond) {
+		requests, _ := q.dueRequests()
+		for _, a := range requests {
+			sent++
+			q.handleAnswer(clock.now, owner, quotaAnswer{Number: a.msg.Number, Foreign: true})
 		}
-		_, answer, _ := q.take(hot, true)
+		_, answer, _ := q.takeToken(hot, true)
 		is.Equal(answer, quota.Wait) // nobody has said that the quota is used
 	}
-	is.True(asked >= 2) // it may own the workspace again
-	is.True(asked <= 4)
+	is.True(sent >= 2) // it may own the workspace again
+	is.True(sent <= 4)
 }
 
 // A machine sleeps for longer than the bound, with a proof that was young before. When it
@@ -105,12 +105,12 @@
 func TestProofEndsWhileTheMachineSleeps(t *testing.T) {
 	is := is.New(t)
 	q, clock := testQuotas(4 * time.Second)
-	asks := q.askGuide(other)
-	q.answered(clock.now, other, quotaAnswer{Number: asks[0].msg.Number, Proved: true, Version: 3})
-	ok, _ := q.needKey()
+	requests := q.lookupRequest(other)
+	q.handleAnswer(clock.now, other, quotaAnswer{Number: requests[0].msg.Number, Proved: true, Version: 3})
+	ok, _ := q.noteKeyUse()
 	is.True(ok)
-	clock.move(5 * time.Second)
-	ok, _ = q.needKey()
+	clock.advance(5 * time.Second)
+	ok, _ = q.noteKeyUse()
 	is.True(!ok)
 }
 
@@ -121,11 +121,11 @@
 	start := time.Unix(1000, 0)
 	f := fleetView{started: start}
 	is.True(!f.settled(start, 3))
-	is.True(!f.settled(start.Add(settleFor-time.Millisecond), 3))
-	is.True(!f.settled(start.Add(settleFor), 60)) // more have come
-	is.True(f.settled(start.Add(2*settleFor), 60))
-	is.True(!f.settled(start.Add(2*settleFor+1), 61))
-	is.True(f.settled(start.Add(settleMost), 62))
+	is.True(!f.settled(start.Add(settleTime-time.Millisecond), 3))
+	is.True(!f.settled(start.Add(settleTime), 60)) // more have come
+	is.True(f.settled(start.Add(2*settleTime), 60))
+	is.True(!f.settled(start.Add(2*settleTime+1), 61))
+	is.True(f.settled(start.Add(maxSettleTime), 62))
 }
 
 // All nodes of a large fleet restart. Each knows few of the others for seconds; the few
@@ -142,7 +142,7 @@
 	owners := 0
 	for _, list := range addrs {
 		for _, addr := range list {
-			if slices.Contains(firstsOf(addrs), addr) {
+			if slices.Contains(ownersByAddress(addrs), addr) {
 				owners++
 			}
 		}
@@ -167,9 +167,9 @@
 // A node that knows no owner asks where owners should be: the first of each data centre.
 func TestLikelyOwnersAreTheFirstOfEachDataCentre(t *testing.T) {
 	is := is.New(t)
-	likely := likelyOwners([]placed{
-		{id: owner, dataCentre: "a", place: 3}, {id: other, dataCentre: "a", place: 9},
-		{id: wire.NodeID{3}, dataCentre: "b", place: 20}, {id: wire.NodeID{4}, dataCentre: "b", place: 5},
+	likely := likelyOwners([]rankedNode{
+		{id: owner, dataCentre: "a", rank: 3}, {id: other, dataCentre: "a", rank: 9},
+		{id: wire.NodeID{3}, dataCentre: "b", rank: 20}, {id: wire.NodeID{4}, dataCentre: "b", rank: 5},
 	})
 	ids := map[wire.NodeID]bool{}
 	for _, p := range likely {
@@ -203,23 +203,23 @@
 	is := is.New(t)
 	q, clock := testQuotas(4 * time.Second)
 	q.owners.Heard(quota.Claim{Owner: owner, Generation: 1, Parts: []int{0}})
-	q.take(hot, false)
-	clock.move(keyNeeded)
+	q.takeToken(hot, false)
+	clock.advance(keyUseWindow)
 	q.proof.Learn(freshness.Proof{Version: 3, At: clock.now})
-	asks, wanted := q.due()
-	is.Equal(len(asks), 0)
-	is.Equal(wanted, nothing)
-	clock.move(3 * time.Second)
-	asks, wanted = q.due()
-	is.Equal(len(asks), 0)
-	is.Equal(wanted, proofs)
+	requests, missing := q.dueRequests()
+	is.Equal(len(requests), 0)
+	is.Equal(missing, missingNothing)
+	clock.advance(3 * time.Second)
+	requests, missing = q.dueRequests()
+	is.Equal(len(requests), 0)
+	is.Equal(missing, missingProof)
 
 	q, clock = testQuotas(0)
-	clock.move(keyNeeded)
-	asks, wanted = q.due()
-	is.Equal(len(asks), 0)
-	is.Equal(wanted, nothing)
-	_, again := q.nextLook()
+	clock.advance(keyUseWindow)
+	requests, missing = q.dueRequests()
+	is.Equal(len(requests), 0)
+	is.Equal(missing, missingNothing)
+	_, again := q.nextCheck()
 	is.True(!again)
 }
 
@@ -228,23 +228,23 @@
 func TestProofsAreAskedForLessOftenInVain(t *testing.T) {
 	is := is.New(t)
 	q, clock := testQuotas(4 * time.Second)
-	clock.move(keyNeeded)
-	play := func(d time.Duration, answer func(number uint64) quotaAnswer) (asked int) {
-		for end := clock.now.Add(d); clock.now.Before(end); clock.move(10 * time.Millisecond) {
-			if _, wanted := q.due(); wanted != proofs {
+	clock.advance(keyUseWindow)
+	run := func(d time.Duration, answer func(number uint64) quotaAnswer) (sent int) {
+		for end := clock.now.Add(d); clock.now.Before(end); clock.advance(10 * time.Millisecond) {
+			if _, missing := q.dueRequests(); missing != missingProof {
 				continue
 			}
-			for _, a := range q.askGuide(other) {
-				asked++
-				q.answered(clock.now, other, answer(a.msg.Number))
+			for _, a := range q.lookupRequest(other) {
+				sent++
+				q.handleAnswer(clock.now, other, answer(a.msg.Number))
 			}
 		}
-		return asked
+		return sent
 	}
-	vain := play(10*time.Second, func(number uint64) quotaAnswer { return quotaAnswer{Number: number} })
-	is.True(vain >= int(10*time.Second/proofPauseMost)) // it goes on asking
-	is.True(vain <= int(10*time.Second/proofPauseMost)+vainAtOnce+3)
-	young := play(proofPauseMost, func(number uint64) quotaAnswer { return quotaAnswer{Number: number, Proved: true, Version: 3} })
-	is.Equal(young, 1)
-	is.Equal(q.vain, 0)
+	proofAttempts := run(10*time.Second, func(number uint64) quotaAnswer { return quotaAnswer{Number: number} })
+	is.True(proofAttempts >= int(10*time.Second/maxProofInterval)) // it goes on asking
+	is.True(proofAttempts <= int(10*time.Second/maxProofInterval)+fastProofAttempts+3)
+	answered := run(maxProofInterval, func(number uint64) quotaAnswer { return quotaAnswer{Number: number, Proved: true, Version: 3} })
+	is.Equal(answered, 1)
+	is.Equal(q.proofAttempts, 0)
 }
--- a/node/roster.go
+++ b/node/roster.go
@@ -45,7 +45,7 @@
 	return f(r.members)
 }
 
-func (r *roster) seeds(addrs []string) {
+func (r *roster) addSeeds(addrs []string) {
 	r.with(func(m *membership.Members) { m.Seeds(addrs) })
 }
 
@@ -66,7 +66,7 @@
 	v := &serviceView{version: r.members.Version(), changes: 1}
 	now := time.Now()
 	for _, rec := range r.members.OfService(service) {
-		v.candidates = append(v.candidates, candidate(rec, old, now))
+		v.candidates = append(v.candidates, newCandidate(rec, old, now))
 		v.contents = append(v.contents, rec.Content)
 	}
 	if old != nil {
@@ -78,7 +78,7 @@
 // candidate marks a node as new if the service was known without it, or with an
 // earlier backend server beside it: that may be cold. When the service itself was not known, nothing
 // can be said.
-func candidate(rec membership.Record, old *serviceView, now time.Time) balancer.Candidate {
+func newCandidate(rec membership.Record, old *serviceView, now time.Time) balancer.Candidate {
 	c := balancer.Candidate{ID: rec.ID, DataCentre: rec.DataCentre}
 	if old == nil || len(old.candidates) == 0 {
 		return c
--- a/node/server.go
+++ b/node/server.go
@@ -29,7 +29,7 @@
 	queued chan struct{}
 
 	mintMu  sync.Mutex
-	mints   map[uint64]mintWait
+	mints   map[uint64]pendingMint
 	mintSeq uint64
 }
 
@@ -59,7 +59,7 @@
 		queued:    make(chan struct{}, 1),
 		byToken:   make(map[string]*run),
 		byRequest: make(map[string]*run),
-		mints:     make(map[uint64]mintWait),
+		mints:     make(map[uint64]pendingMint),
 	}
 }
 
--- a/node/spread_levels.go
+++ b/node/spread_levels.go
@@ -19,7 +19,7 @@
 
 // tellLevels passes levels on while there are any above zero. At rest it waits for
 // the first one: a node that serves well has nothing to wake up for.
-func (n *Node) tellLevels() {
+func (n *Node) gossipLevels() {
 	interval := n.cfg.Dispatch.News.Interval
 	if interval <= 0 {
 		return
@@ -32,11 +32,11 @@
 			return
 		case <-timer.C:
 		}
-		told := n.dispatch.TellLevels(time.Now())
-		if len(told) == 0 && !n.awaitLevels() {
+		levels := n.dispatch.TellLevels(time.Now())
+		if len(levels) == 0 && !n.awaitLevels() {
 			return
 		}
-		n.tellPeers(levelsMessage{News: told})
+		n.sendLevels(levelsMessage{News: levels})
 		timer.Reset(interval/2 + rand.N(interval))
 	}
 }
@@ -52,7 +52,7 @@
 }
 
 // noteLevels wakes tellLevels.
-func (n *Node) noteLevels() {
+func (n *Node) wakeLevelGossip() {
 	select {
 	case n.levelsHeard <- struct{}{}:
 	default:
@@ -61,33 +61,33 @@
 
 // tellPeers sends to a few nodes that there are connections to: most of them in the
 // own data centre, where bytes are cheap, and one in another, so that news leave it.
-func (n *Node) tellPeers(m levelsMessage) {
+func (n *Node) sendLevels(m levelsMessage) {
 	if len(m.News) == 0 {
 		return
 	}
-	var near, far []wire.NodeID
+	var local, remote []wire.NodeID
 	for _, id := range n.peers.Connected() {
 		rec, ok := n.members.lookup(id)
 		if !ok || rec.State.Gone() {
 			continue
 		}
 		if rec.DataCentre == n.cfg.DataCentre {
-			near = append(near, id)
+			local = append(local, id)
 		} else {
-			far = append(far, id)
+			remote = append(remote, id)
 		}
 	}
-	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
-	rand.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
-	leave := min(1, len(far))
-	stay := min(NewsFanOut-leave, len(near))
-	leave = min(NewsFanOut-stay, len(far))
-	for _, id := range append(near[:stay], far[:leave]...) {
+	rand.Shuffle(len(local), func(i, j int) { local[i], local[j] = local[j], local[i] })
+	rand.Shuffle(len(remote), func(i, j int) { remote[i], remote[j] = remote[j], remote[i] })
+	remoteCount := min(1, len(remote))
+	localCount := min(NewsFanOut-remoteCount, len(local))
+	remoteCount = min(NewsFanOut-localCount, len(remote))
+	for _, id := range append(local[:localCount], remote[:remoteCount]...) {
 		n.posts.answer(id, wire.KindLevels, m)
 	}
 }
 
 func (n *Node) handleLevels(m levelsMessage) {
 	n.dispatch.HearLevels(time.Now(), m.News)
-	n.noteLevels()
+	n.wakeLevelGossip()
 }
--- a/node/spread_routes.go
+++ b/node/spread_routes.go
@@ -11,7 +11,7 @@
 
 // askAgainAfter is how long an answer to a question for newer routes may take
 // before another peer is asked: ten round trips between regions.
-const askAgainAfter = 250 * time.Millisecond
+const routesRequestInterval = 250 * time.Millisecond
 
 // routesMessage tells a peer which version is in force here; with the text it
 // is that version, without it an offer.
@@ -21,14 +21,14 @@
 	// Want asks for the sender's routes, if they are newer than Version.
 	Want bool `cbor:"3,keyasint,omitempty"`
 	// Era is the store's as the sender knows it, with the first offer on a connection.
-	Era *eraTold `cbor:"4,keyasint,omitempty"`
+	Era *eraReport `cbor:"4,keyasint,omitempty"`
 }
 
 // mayAsk reports whether it is time to ask a peer for newer routes.
-func (r *routing) mayAsk(now time.Time) bool {
+func (r *routing) mayRequestRoutes(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.askedAt) < askAgainAfter {
+	if now.Sub(r.askedAt) < routesRequestInterval {
 		return false
 	}
 	r.askedAt = now
@@ -66,10 +66,10 @@
 // readersOfFleet is the least number of nodes that follow the routes at the store, in
 // all data centres together. Each tells all other nodes, so some may be cut off from
 // the store, or gone and not yet missed.
-const readersOfFleet = 5
+const minFleetReaders = 5
 
 // readersEach is the number of readers in each of so many data centres.
-func readersEach(centres int) int { return (readersOfFleet + centres - 1) / max(1, centres) }
+func readersPerDataCentre(centres int) int { return (minFleetReaders + centres - 1) / max(1, centres) }
 
 // Reader reports whether this node is one of the readers of its data centre.
 func (n *Node) Reader() bool { return n.Situation().Reader }
@@ -79,15 +79,15 @@
 // nodesOfProver nodes, whose questions it answers beside its own work, up to proversMost.
 // When all of a data centre are gone its nodes read until their places are taken.
 const (
-	proversOfFleet = 2
-	proversMost    = 16
-	nodesOfProver  = 256
+	minFleetProvers = 2
+	maxProvers      = 16
+	nodesPerProver  = 256
 )
 
 // proversEach is the number of provers in a data centre of so many nodes, one of so many.
-func proversEach(centres, nodes int) int {
-	least := (proversOfFleet + centres - 1) / max(1, centres)
-	return min(max(least, nodes/nodesOfProver), proversMost)
+func proversPerDataCentre(centres, nodes int) int {
+	least := (minFleetProvers + centres - 1) / max(1, centres)
+	return min(max(least, nodes/nodesPerProver), maxProvers)
 }
 
 // Situation is what decides how often this node calls the store. The readers of a
@@ -97,9 +97,9 @@
 // take themselves for readers for a while.
 func (n *Node) Situation() readers.Situation {
 	s := readers.Situation{Routes: n.routing.table() != nil, Alone: true}
-	s.Unproved, s.Isolated = n.quotas.proofs()
-	own := place(n.cfg.PeerAddr)
-	before := make(map[uint64]struct{}) // a machine whose node restarted is one
+	s.Unproved, s.Isolated = n.quotas.proofState()
+	ownRank := rank(n.cfg.PeerAddr)
+	ranksBefore := make(map[uint64]struct{}) // a machine whose node restarted is one
 	centres := map[string]struct{}{n.cfg.DataCentre: {}}
 	n.members.with(func(m *membership.Members) {
 		for rec := range m.All() {
@@ -109,14 +109,14 @@
 				continue
 			}
 			s.Neighbours++
-			p := place(rec.PeerAddr)
-			if p < own && rec.State == membership.Alive && len(before) < proversMost {
-				before[p] = struct{}{}
+			p := rank(rec.PeerAddr)
+			if p < ownRank && rec.State == membership.Alive && len(ranksBefore) < maxProvers {
+				ranksBefore[p] = struct{}{}
 			}
 		}
 	})
-	s.Reader = len(before) < readersEach(len(centres))
-	s.Prover = len(before) < proversEach(len(centres), s.Neighbours)
+	s.Reader = len(ranksBefore) < readersPerDataCentre(len(centres))
+	s.Prover = len(ranksBefore) < proversPerDataCentre(len(centres), s.Neighbours)
 	return s
 }
 
@@ -129,14 +129,14 @@
 func (n *Node) Routes() *routes.Table { return n.routing.table() }
 
 // sawRoutes asks a peer whose routes are newer for them.
-func (n *Node) sawRoutes(from wire.NodeID, version uint64) {
+func (n *Node) requestNewerRoutes(from wire.NodeID, version uint64) {
 	own := n.routing.version()
 	if version <= own {
 		return
 	}
 	now := time.Now()
 	n.routing.heard(now)
-	if !n.routing.mayAsk(now) {
+	if !n.routing.mayRequestRoutes(now) {
 		return
 	}
 	n.posts.answer(from, wire.KindRoutes, routesMessage{Version: own, Want: true})
@@ -146,18 +146,18 @@
 	if !n.routing.enabled() {
 		return
 	}
-	n.heardEra(m.Era)
+	n.receiveEra(m.Era)
 	switch {
 	case m.Want:
-		n.giveRoutes(from, m.Version)
+		n.sendRoutes(from, m.Version)
 	case len(m.Text) > 0:
 		n.Publish(m.Text, "peer "+from.Short())
 	default:
-		n.sawRoutes(from, m.Version)
+		n.requestNewerRoutes(from, m.Version)
 	}
 }
 
-func (n *Node) giveRoutes(to wire.NodeID, have uint64) {
+func (n *Node) sendRoutes(to wire.NodeID, have uint64) {
 	p := n.routing.force.Load()
 	if p == nil || p.table.Version <= have {
 		return
--- a/node/starts.go
+++ b/node/starts.go
@@ -29,12 +29,12 @@
 	// was. Clocks jump by seconds, and a start takes longer: an earlier time is
 	// that of an earlier start. None at all is another sender's: a backend
 	// server tells its time always or never.
-	latest int64
+	latestBorn int64
 }
 
 // has reports whether a start is known to have ended. All starts under one id
 // that are not later than an ended one have ended with it.
-func (s *starts) has(start Start) bool {
+func (s *starts) hasEnded(start Start) bool {
 	for i := range s.ended {
 		e := &s.ended[i]
 		if e.ID != start.ID {
@@ -54,9 +54,9 @@
 	return false
 }
 
-func (s *starts) end(start Start) {
-	s.latest = max(s.latest, start.Born)
-	if start.ID == "" || s.has(start) {
+func (s *starts) markEnded(start Start) {
+	s.latestBorn = max(s.latestBorn, start.Born)
+	if start.ID == "" || s.hasEnded(start) {
 		return
 	}
 	if len(s.ended) == maxEnded {
@@ -68,36 +68,36 @@
 // late reports whether a heartbeat tells nothing new about the backend server:
 // it is of a start that has ended or was followed by another, it came after a
 // later one of the same start, or another sender wrote it.
-func (s *starts) late(known instance, b Heartbeat) bool {
-	if s.has(b.Start) || b.Start.Born < s.latest {
+func (s *starts) isStale(known instance, b Heartbeat) bool {
+	if s.hasEnded(b.Start) || b.Start.Born < s.latestBorn {
 		return true
 	}
 	// That it leaves holds whenever it comes: its acknowledgement promises that
 	// nothing more is handed to it.
-	return sameStart(known, b) && known.beaten && b.Sequence <= known.sequence && !b.Leaving
+	return sameIncarnation(known, b) && known.hasSequence && b.Sequence <= known.sequence && !b.Leaving
 }
 
 // take judges a heartbeat and returns what is known of the backend server after
 // it; false if it tells nothing new.
-func (s *starts) take(now time.Time, known instance, b Heartbeat) (instance, bool) {
-	if s.late(known, b) {
+func (s *starts) apply(now time.Time, known instance, b Heartbeat) (instance, bool) {
+	if s.isStale(known, b) {
 		return known, false
 	}
-	s.latest = max(s.latest, b.Start.Born)
-	if !sameStart(known, b) {
-		s.end(known.start)
+	s.latestBorn = max(s.latestBorn, b.Start.Born)
+	if !sameIncarnation(known, b) {
+		s.markEnded(known.start)
 	}
 	if b.Leaving {
-		s.end(b.Start)
+		s.markEnded(b.Start)
 	}
 	return instance{
-		url:      b.URL,
-		start:    b.Start,
-		ready:    !b.Leaving,
-		heard:    now,
-		slots:    b.Slots,
-		sequence: b.Sequence,
-		beaten:   true,
+		url:         b.URL,
+		start:       b.Start,
+		ready:       !b.Leaving,
+		lastReport:  now,
+		slots:       b.Slots,
+		sequence:    b.Sequence,
+		hasSequence: true,
 	}, true
 }
 
@@ -105,20 +105,20 @@
 // it, none if it says nothing about that. A word that does not tell when its
 // start was speaks for the one in use under its id; one of an earlier start says
 // nothing; one of a later start says that the one in use had ended before.
-func (s *starts) leave(known instance, start Start) Start {
+func (s *starts) markLeft(known instance, start Start) Start {
 	if start.ID == known.start.ID && (start.Born == 0 || known.start.Born == 0) {
 		start = known.start
 	}
-	s.end(start)
+	s.markEnded(start)
 	if start != known.start && !known.start.earlier(start) {
 		return Start{}
 	}
-	s.end(known.start)
+	s.markEnded(known.start)
 	return known.start
 }
 
 // sameStart reports whether a heartbeat is of the start that is known. One whose
 // time is not known yet takes that of the heartbeat.
-func sameStart(known instance, b Heartbeat) bool {
+func sameIncarnation(known instance, b Heartbeat) bool {
 	return known.start == b.Start || known.start == Start{ID: b.Start.ID}
 }
--- a/node/starts_test.go
+++ b/node/starts_test.go
@@ -11,47 +11,47 @@
 )
 
 // word is one call of a start on its way to the node.
-type word struct {
-	start   int // the place in the order of the starts
-	beat    Heartbeat
-	goodbye bool
+type message struct {
+	start int // the place in the order of the starts
+	beat  Heartbeat
+	leave bool
 }
 
 // life is the backend server as it really is, and the node's view of it.
-type life struct {
-	all      []Start
-	sequence []uint64
-	sent     []word
-	starts   starts
-	known    instance
+type backendHistory struct {
+	incarnations []Start
+	sequences    []uint64
+	sent         []message
+	starts       starts
+	known        instance
 	// heard is the latest start that a heartbeat was delivered of, ended the
 	// starts whose leaving was delivered.
-	heard int
-	ended map[int]bool
+	latestReceived int
+	ended          map[int]bool
 }
 
-func (l *life) begin(id string) {
-	l.all = append(l.all, Start{ID: id, Born: int64(1000 + 10*len(l.all))})
-	l.sequence = append(l.sequence, 0)
+func (h *backendHistory) begin(id string) {
+	h.incarnations = append(h.incarnations, Start{ID: id, Born: int64(1000 + 10*len(h.incarnations))})
+	h.sequences = append(h.sequences, 0)
 }
 
-func (l *life) say(start int, leaving bool) {
-	l.sequence[start]++
-	l.sent = append(l.sent, word{start: start, beat: Heartbeat{Start: l.all[start], Sequence: l.sequence[start], Leaving: leaving, Slots: 4}})
+func (h *backendHistory) sendHeartbeat(start int, leaving bool) {
+	h.sequences[start]++
+	h.sent = append(h.sent, message{start: start, beat: Heartbeat{Start: h.incarnations[start], Sequence: h.sequences[start], Leaving: leaving, Slots: 4}})
 }
 
-func (l *life) deliver(w word) {
-	if w.goodbye {
-		l.ended[w.start] = true
-		if l.starts.leave(l.known, l.all[w.start]) == l.known.start {
-			l.known.ready = false
+func (h *backendHistory) deliver(m message) {
+	if m.leave {
+		h.ended[m.start] = true
+		if h.starts.markLeft(h.known, h.incarnations[m.start]) == h.known.start {
+			h.known.ready = false
 		}
 		return
 	}
-	l.known, _ = l.starts.take(time.Time{}, l.known, w.beat)
-	l.heard = max(l.heard, w.start)
-	if w.beat.Leaving {
-		l.ended[w.start] = true
+	h.known, _ = h.starts.apply(time.Time{}, h.known, m.beat)
+	h.latestReceived = max(h.latestReceived, m.start)
+	if m.beat.Leaving {
+		h.ended[m.start] = true
 	}
 }
 
@@ -61,45 +61,45 @@
 // the newest start is in use after two of its heartbeats.
 func TestPropertyStarts(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		l := &life{ended: make(map[int]bool)}
-		l.begin("x")
+		h := &backendHistory{ended: make(map[int]bool)}
+		h.begin("x")
 		check := func(t *rapid.T) {
-			if !l.known.ready {
+			if !h.known.ready {
 				return
 			}
-			for i, s := range l.all {
-				if s == l.known.start && (i < l.heard || l.ended[i]) {
-					t.Fatalf("start %d is in use; heard of %d, ended %v", i, l.heard, l.ended)
+			for i, s := range h.incarnations {
+				if s == h.known.start && (i < h.latestReceived || h.ended[i]) {
+					t.Fatalf("start %d is in use; heard of %d, ended %v", i, h.latestReceived, h.ended)
 				}
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"": check,
 			"start": func(t *rapid.T) {
-				l.begin(rapid.SampledFrom([]string{"x", "x", "y"}).Draw(t, "id"))
+				h.begin(rapid.SampledFrom([]string{"x", "x", "y"}).Draw(t, "id"))
 			},
-			"beat": func(*rapid.T) { l.say(len(l.all)-1, false) },
+			"beat": func(*rapid.T) { h.sendHeartbeat(len(h.incarnations)-1, false) },
 			"leave": func(t *rapid.T) {
 				if rapid.Bool().Draw(t, "goodbye") {
-					l.sent = append(l.sent, word{start: len(l.all) - 1, goodbye: true})
+					h.sent = append(h.sent, message{start: len(h.incarnations) - 1, leave: true})
 					return
 				}
-				l.say(len(l.all)-1, true)
+				h.sendHeartbeat(len(h.incarnations)-1, true)
 			},
 			"deliver": func(t *rapid.T) {
-				if len(l.sent) == 0 {
+				if len(h.sent) == 0 {
 					t.Skip("nothing is on its way")
 				}
-				l.deliver(rapid.SampledFrom(l.sent).Draw(t, "word"))
+				h.deliver(rapid.SampledFrom(h.sent).Draw(t, "word"))
 			},
 		})
-		l.begin("x")
+		h.begin("x")
 		for range 2 {
-			l.say(len(l.all)-1, false)
-			l.deliver(l.sent[len(l.sent)-1])
+			h.sendHeartbeat(len(h.incarnations)-1, false)
+			h.deliver(h.sent[len(h.sent)-1])
 		}
-		if !l.known.ready || l.known.start != l.all[len(l.all)-1] {
-			t.Fatalf("the newest start is not in use after two heartbeats: %+v", l.known)
+		if !h.known.ready || h.known.start != h.incarnations[len(h.incarnations)-1] {
+			t.Fatalf("the newest start is not in use after two heartbeats: %+v", h.known)
 		}
 	})
 }
@@ -109,29 +109,29 @@
 func TestStartsWithoutTheirTime(t *testing.T) {
 	is := is.New(t)
 	var s starts
-	known, ok := s.take(time.Time{}, instance{start: Start{ID: "x"}}, Heartbeat{Start: Start{ID: "x", Born: 5}, Sequence: 1})
+	known, ok := s.apply(time.Time{}, instance{start: Start{ID: "x"}}, Heartbeat{Start: Start{ID: "x", Born: 5}, Sequence: 1})
 	is.True(ok) // found at the node's start, then dated by its heartbeat
 	is.Equal(known.start, Start{ID: "x", Born: 5})
 
-	_, ok = s.take(time.Time{}, known, Heartbeat{Start: Start{ID: "x"}, Sequence: 9})
+	_, ok = s.apply(time.Time{}, known, Heartbeat{Start: Start{ID: "x"}, Sequence: 9})
 	is.True(!ok) // another sender's: the backend server tells its time
-	_, ok = s.take(time.Time{}, known, Heartbeat{Start: Start{ID: "z"}, Sequence: 9})
+	_, ok = s.apply(time.Time{}, known, Heartbeat{Start: Start{ID: "z"}, Sequence: 9})
 	is.True(!ok)
 
-	is.Equal(s.leave(known, Start{ID: "x", Born: 4}), Start{}) // an earlier start's last word
-	_, ok = s.take(time.Time{}, known, Heartbeat{Start: Start{ID: "x", Born: 5}, Sequence: 2})
+	is.Equal(s.markLeft(known, Start{ID: "x", Born: 4}), Start{}) // an earlier start's last word
+	_, ok = s.apply(time.Time{}, known, Heartbeat{Start: Start{ID: "x", Born: 5}, Sequence: 2})
 	is.True(ok)
-	is.Equal(s.leave(known, Start{ID: "x"}), Start{ID: "x", Born: 5}) // the one in use
-	_, ok = s.take(time.Time{}, known, Heartbeat{Start: Start{ID: "x", Born: 5}, Sequence: 3})
+	is.Equal(s.markLeft(known, Start{ID: "x"}), Start{ID: "x", Born: 5}) // the one in use
+	_, ok = s.apply(time.Time{}, known, Heartbeat{Start: Start{ID: "x", Born: 5}, Sequence: 3})
 	is.True(!ok)
-	_, ok = s.take(time.Time{}, known, Heartbeat{Start: Start{ID: "x", Born: 6}, Sequence: 1})
+	_, ok = s.apply(time.Time{}, known, Heartbeat{Start: Start{ID: "x", Born: 6}, Sequence: 1})
 	is.True(ok)
 
 	var fresh starts
-	fresh.leave(instance{}, Start{ID: "w"}) // nothing is known of w yet
-	_, ok = fresh.take(time.Time{}, instance{}, Heartbeat{Start: Start{ID: "w", Born: 7}, Sequence: 3})
+	fresh.markLeft(instance{}, Start{ID: "w"}) // nothing is known of w yet
+	_, ok = fresh.apply(time.Time{}, instance{}, Heartbeat{Start: Start{ID: "w", Born: 7}, Sequence: 3})
 	is.True(!ok) // held up on its way
-	_, ok = fresh.take(time.Time{}, instance{}, Heartbeat{Start: Start{ID: "w", Born: 8}, Sequence: 1})
+	_, ok = fresh.apply(time.Time{}, instance{}, Heartbeat{Start: Start{ID: "w", Born: 8}, Sequence: 1})
 	is.True(ok)
 }
 
