--- a/node/fleet_view.go
+++ b/node/fleet_view.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// fleetView is how many nodes this one has reached lately. Only the loop that renews
-// leases uses it.
+// fleetView tracks how many nodes this one can reach. Only the loop that renews leases uses
+// it, so it has no lock.
 type fleetView struct {
 	started time.Time
-	// count is the latest number, since is when it became that.
+	// lastReachable is the latest number of reachable nodes, since is when it changed.
 	lastReachable int
 	since         time.Time
-	// most fades slowly.
+	// peak is the largest number of reachable nodes; it decays slowly.
 	peak float64
 }
 
 const (
-	// settleFor is how long a node that has started must have seen the same number of
-	// nodes before it may own quotas: while it learns of the others it would take itself
-	// for an owner, as would most nodes of a fleet that starts together, and the parts
-	// would go round between them.
+	// settleTime is how long the number of reachable nodes must be stable before a node that
+	// has started may own quotas. While nodes of a fleet that starts together discover each
+	// other, most would consider themselves owners, and the parts would move between them.
 	settleTime = 250 * time.Millisecond
-	// settleMost is the time after its start from which that does not matter: nodes may
-	// come and go all the time.
+	// maxSettleTime is the time after its start from which a node need not wait any more:
+	// the number may never become stable.
 	maxSettleTime = 3 * time.Second
 )
 
-// settled reports whether the node knows the fleet well enough to own quotas.
+// settled records the number of reachable nodes and reports whether the node knows the fleet
+// well enough to own quotas.
 func (f *fleetView) settled(now time.Time, reachable int) bool {
 	if reachable != f.lastReachable {
 		f.lastReachable, f.since = reachable, now
@@ -36,18 +36,19 @@
 	return now.Sub(f.since) >= settleTime || now.Sub(f.started) >= maxSettleTime
 }
 
-// listing is what a node that restarted makes of the addresses of the fleet.
+// addressOwners tells which nodes should own quotas according to the address list of the
+// fleet. A restarted node uses it until it has discovered the other nodes.
 type addressOwners struct {
-	// first says that the node should own quotas by them alone.
+	// self says that this node should.
 	self bool
-	// others says that there are other nodes that should.
+	// others says that other nodes should.
 	others bool
 }
 
-// firstsOf lists the nodes that should own quotas by the addresses of the fleet alone.
-// After a restart of all nodes it takes seconds until each knows enough of the others, and
-// no request with a quota is let in without owners. An address at which there is no node
-// any more costs that time: then the order of those that are known decides.
+// ownersByAddress lists the addresses of the nodes that should own quotas according to the
+// address list of the fleet. After a restart of all nodes discovery takes seconds, and
+// without owners no request with a quota is admitted. If a listed node no longer exists, the
+// known nodes of lowest rank become owners once discovery has finished.
 func ownersByAddress(addrs map[string][]string) []string {
 	var owners []string
 	for _, list := range addrs {
@@ -56,19 +57,20 @@
 	return owners
 }
 
+// ownersInDataCentre returns the addresses of lowest rank in one of the data centres.
 func ownersInDataCentre(list []string, centres int) []string {
 	ordered := slices.SortedFunc(slices.Values(list), func(a, b string) int { return cmp.Compare(rank(a), rank(b)) })
 	return ordered[:min(len(ordered), readersPerDataCentre(centres))]
 }
 
-// cutOff reports whether this node reaches less than half of the nodes that it knew a
-// while ago. It may still reach the store: its leases would go on, and the nodes that it
-// does not reach would get no tokens.
+// cutOff records the number of reachable nodes and reports whether it is less than half of
+// the recent peak. A node that is cut off must not renew its lease: it may still reach the
+// store, but unreachable nodes could get no tokens from it.
 func (f *fleetView) cutOff(reachable int) bool {
 	f.peak = max(float64(reachable), f.peak*peakDecay)
 	return float64(reachable) < f.peak/2
 }
 
-// fleetFade is what is left of the largest number of nodes known, from one renewal of a
-// lease to the next: a fleet that shrinks by half is believed after a minute.
+// peakDecay is the factor applied to the peak at each lease renewal. It lets a node accept
+// within minutes that the fleet has become smaller.
 const peakDecay = 0.99
--- a/node/graphs.go
+++ b/node/graphs.go
@@ -9,18 +9,18 @@
 	"github.com/cassialoom/cassialoom/graph"
 )
 
-// graphs puts a lock around the spread of the configuration; what is in force
-// is read without it, since every call asks.
+// graphs guards the distribution of the configuration with a lock. The state in force is read
+// without the lock, since every call needs it.
 type graphs struct {
 	mu                sync.Mutex
 	spread            *config.Spread
 	current           atomic.Pointer[config.State]
-	membershipVersion uint64 // version of the membership that the spread knows
+	membershipVersion uint64 // version of the membership that spread has received
 }
 
 func newGraphs(s *config.Spread) *graphs { return &graphs{spread: s} }
 
-// do calls f under the lock and takes over what is in force afterwards.
+// do calls f under the lock and publishes the resulting state for lock-free reads.
 func (g *graphs) do(f func(*config.Spread) config.Actions) config.Actions {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -31,10 +31,11 @@
 	return a
 }
 
-// state returns what is in force, nil before anything is known.
+// state returns the state in force, nil if none is known yet.
 func (g *graphs) state() *config.State { return g.current.Load() }
 
-// asOf returns the offset that the configuration in force is folded to.
+// asOf returns the log offset up to which records are applied to the configuration in force,
+// zero if none is.
 func (g *graphs) asOf() uint64 {
 	s := g.state()
 	if s == nil {
@@ -43,7 +44,7 @@
 	return s.AsOf()
 }
 
-// graph returns the graph in force, nil before any.
+// graph returns the graph in force, nil if none is known yet.
 func (g *graphs) graph() *graph.Graph {
 	s := g.state()
 	if s == nil {
@@ -62,8 +63,8 @@
 	return op, true
 }
 
-// below lists the services that a service reaches, without those that reach
-// back to it.
+// downstreamServices lists the services that a service calls directly or indirectly, sorted,
+// without those that also call it.
 func downstreamServices(g *graph.Graph, service string) []string {
 	if g == nil {
 		return nil
@@ -79,6 +80,7 @@
 	return names
 }
 
+// reachableServices returns the services that the operations of a service reach.
 func reachableServices(g *graph.Graph, service string) map[string]bool {
 	names := make(map[string]bool)
 	s, ok := g.Service(service)
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -7,24 +7,24 @@
 	"github.com/cassialoom/cassialoom/serve"
 )
 
-// Heartbeat is what one start of the backend server says of itself.
+// Heartbeat is a report of one backend incarnation about itself.
 type Heartbeat struct {
-	// Start tells the starts apart, also of those under one id.
+	// Start identifies the incarnation.
 	Start Start
-	// URL is where it takes requests: http://IP:PORT.
+	// URL is the address for requests: http://IP:PORT.
 	URL string
-	// Slots is the number of requests that it works on at once.
+	// Slots is the number of requests that it processes concurrently.
 	Slots int
-	// Leaving says that it takes no new work for much longer.
+	// Leaving says that it will soon accept no new requests.
 	Leaving bool
-	// Sequence grows with each heartbeat of a start.
+	// Sequence increases with each heartbeat of an incarnation.
 	Sequence uint64
-	// Cold is how much longer it will be slow after its start.
+	// Cold is the remaining time for which it is slow after its start.
 	Cold time.Duration
 }
 
-// Beat takes a heartbeat of the backend server beside this node. Once it
-// returns, a start that said it is leaving is handed no more requests.
+// Beat applies a heartbeat of the backend server of this node. Once it returns, an
+// incarnation that is leaving gets no more requests.
 func (n *Node) Beat(now time.Time, b Heartbeat) {
 	before, after, taken := n.applyHeartbeat(now, b)
 	if !taken {
@@ -43,8 +43,8 @@
 	}
 }
 
-// backendRestarted ends what belonged to the start before: work that ran there,
-// connections to it, and what other nodes measured of it.
+// backendRestarted ends what belonged to the earlier incarnation: the requests running there,
+// the connections to it, and the observations that other nodes made of it.
 func (n *Node) backendRestarted(start, before Start) {
 	n.log.Warn().Str("instance", start.ID).Int64("born", start.Born).
 		Str("before", before.ID).Int64("before_born", before.Born).Msg("backend server was restarted")
@@ -54,6 +54,7 @@
 	n.members.with(func(m *membership.Members) { m.Renew(now) })
 }
 
+// stateName returns the announced state that an instance is in.
 func stateName(i instance) string {
 	if i.ready {
 		return stateReady
@@ -61,6 +62,8 @@
 	return stateDraining
 }
 
+// applyHeartbeat returns the state of the backend server before and after a heartbeat, and
+// false if the heartbeat is stale.
 func (n *Node) applyHeartbeat(now time.Time, b Heartbeat) (before, after instance, taken bool) {
 	n.stateMu.Lock()
 	defer n.stateMu.Unlock()
@@ -69,9 +72,9 @@
 	return before, n.instance, taken
 }
 
-// Found takes what the backend server itself says at this node's start, if no
-// heartbeat has come yet: between two heartbeats a node that was restarted alone
-// would leave a backend server without work that runs and is ready.
+// Found applies the answer of the backend server to the query of a starting node, if no
+// heartbeat has arrived yet. Otherwise, after a restart of the node alone, a backend server
+// that is ready would get no requests until its next heartbeat.
 func (n *Node) Found(now time.Time, b Heartbeat) {
 	n.stateMu.Lock()
 	known := n.instance.start.ID != "" || n.starts.hasEnded(b.Start)
@@ -86,8 +89,8 @@
 	n.setReady(true, "found at the start")
 }
 
-// BackendLeaves takes the last word of one start of the backend server. Once
-// it returns, nothing more is handed to it.
+// BackendLeaves records that a backend incarnation leaves. Once it returns, that incarnation
+// gets no more requests.
 func (n *Node) BackendLeaves(start Start) {
 	n.stateMu.Lock()
 	ended := n.starts.markLeft(n.instance, start)
--- a/node/instance.go
+++ b/node/instance.go
@@ -9,22 +9,21 @@
 	"github.com/cassialoom/cassialoom/serve"
 )
 
-// instance is what the backend server last said of itself.
+// instance is the latest state that the backend server reported.
 type instance struct {
 	url        string
 	start      Start
 	ready      bool
 	lastReport time.Time
-	// slots is the number of requests that it works on at once; zero if it
-	// has not said.
+	// slots is the number of requests that it processes concurrently; zero if not reported.
 	slots int
-	// sequence is that of its last heartbeat, beaten is false before one.
+	// sequence is that of the last heartbeat; hasSequence is false before the first.
 	sequence    uint64
 	hasSequence bool
 }
 
-// is reports whether a word about a start is about the one in use. The word may be
-// older than the first heartbeat, which told when the start was.
+// is reports whether start is the incarnation in use. It may lack Born if it was recorded
+// before the first heartbeat, which reports Born.
 func (i *instance) is(start Start) bool {
 	return i.start == start || start == Start{ID: i.start.ID}
 }
@@ -41,8 +40,8 @@
 	return n.instance
 }
 
-// setInstance changes what is known of the backend server and returns what
-// was known before.
+// setInstance changes the state of the backend server under the lock and returns the state
+// before and after.
 func (n *Node) setInstance(change func(*instance)) (before, after instance) {
 	n.stateMu.Lock()
 	defer n.stateMu.Unlock()
@@ -51,7 +50,7 @@
 	return before, n.instance
 }
 
-// Announce implements local.Backends.
+// Announce implements local.Backends. It returns an error if the state or the URL is invalid.
 func (n *Node) Announce(now time.Time, url, state, boot string) error {
 	if state != stateReady && state != stateDraining {
 		return fmt.Errorf("state %q: want %s or %s", state, stateReady, stateDraining)
@@ -72,10 +71,10 @@
 	return nil
 }
 
-// Leave implements local.Backends. The last word of an earlier boot says
-// nothing about the one that announced itself since.
+// Leave implements local.Backends. It is ignored if another boot has announced itself since.
 func (n *Node) Leave(boot string) { n.backendLeft(Start{ID: boot}) }
 
+// backendLeft stops new requests to a backend incarnation that leaves, if it is in use.
 func (n *Node) backendLeft(start Start) {
 	before, after := n.setInstance(func(i *instance) {
 		if i.is(start) {
@@ -87,7 +86,7 @@
 	}
 }
 
-// backendCrashed stops new work for a backend server whose process is gone.
+// backendCrashed stops new requests to a backend incarnation whose process is gone.
 func (n *Node) backendCrashed(start Start) {
 	before, after := n.setInstance(func(i *instance) {
 		if i.is(start) {
@@ -100,8 +99,8 @@
 	}
 }
 
-// checkSilence stops new work for a backend server that has not announced
-// itself for long: it is frozen, or cut off from its node.
+// checkSilence stops new requests to a backend server that has not reported for longer than
+// BackendSilence: it is frozen, or cut off from its node.
 func (n *Node) checkSilence(now time.Time) {
 	before, after := n.setInstance(func(i *instance) {
 		if i.ready && now.Sub(i.lastReport) > n.cfg.BackendSilence {
@@ -113,12 +112,14 @@
 	}
 }
 
-// setReady tells the callee's decisions and the other nodes.
+// setReady applies the readiness of the backend server to the callee's side of this node and
+// publishes it to the other nodes.
 func (n *Node) setReady(ready bool, why string) {
 	n.serve(func(now time.Time, s *serve.Server) serve.Effects { return s.SetReady(now, ready) })
 	n.announceReady(ready, why)
 }
 
+// announceReady logs the readiness of the backend server and publishes it to the other nodes.
 func (n *Node) announceReady(ready bool, why string) {
 	n.log.Info().Bool("ready", ready).Str("why", why).Msg("backend server")
 	now := time.Now()
--- a/node/late.go
+++ b/node/late.go
@@ -6,16 +6,16 @@
 	"github.com/cassialoom/cassialoom/call"
 )
 
-// lateAfter is the delay from which a call was held up. Callers seldom go away
-// sooner, and no network that works delays a message so long.
+// lateCallDelay is the delay from which a call counts as late. Callers seldom cancel sooner,
+// and a working network does not delay a message that long.
 const lateCallDelay = 250 * time.Millisecond
 
-// arriveAfter takes a call that was under way for a time beyond the usual.
+// arriveDelayed processes a call whose transit took delay longer than usual.
 //
-// Calls that a connection has held up, by a cut that healed or while one end stood
-// still, come all at once, and right behind them the cancels of those that nobody
-// waits for any more. Without a wait each would be at the backend server before its
-// cancel is read: callers that left long ago would take slots from those that did not.
+// After a network partition or a stalled process a connection delivers its backlog at once:
+// the calls, and right behind them the cancels of callers that have left. A late call waits
+// for LateCallWait, so that its cancel is read before the call takes a slot from a caller
+// that still waits.
 func (n *Node) arriveDelayed(delay time.Duration, req call.Request) {
 	if delay < lateCallDelay {
 		n.arrive(req)
@@ -29,8 +29,8 @@
 	})
 }
 
-// clockMillis is this process's clock for Request.SentMillis: it never steps, and is
-// never zero.
+// clockMillis returns the monotonic time of this process in milliseconds, for
+// Request.SentMillis. It is never zero.
 func (n *Node) clockMillis() uint32 {
 	return max(1, uint32(time.Since(n.started).Milliseconds()))
 }
--- a/node/mint.go
+++ b/node/mint.go
@@ -9,17 +9,17 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// mintTimeout bounds how long a caller waits for a key.
+// mintTimeout bounds how long a caller waits for an idempotency key.
 const mintTimeout = 2 * time.Second
 
-// mintRequest asks a node of the service for a key: it must name the
-// incarnation that will run the request.
+// mintRequest asks a node of the service for an idempotency key. The key must come from that
+// node, since it names the incarnation that will run the request.
 type mintRequest struct {
 	Seq       uint64 `cbor:"1,keyasint"`
 	Operation string `cbor:"2,keyasint"`
 }
 
-// mintReply answers a mintRequest; Key is empty if there is none.
+// mintReply answers a mintRequest. If Key is empty, Reason and Detail tell why.
 type mintReply struct {
 	Seq    uint64         `cbor:"1,keyasint"`
 	Key    string         `cbor:"2,keyasint,omitempty"`
@@ -28,7 +28,8 @@
 	Detail string         `cbor:"5,keyasint,omitempty"`
 }
 
-// Mint implements entry.Doer.
+// Mint implements entry.Doer. It returns the key and how long its result is kept; its errors
+// are of type *verdict.Error.
 func (n *Node) Mint(ctx context.Context, service, operation string) (string, time.Duration, error) {
 	if _, err := n.lookup(service, operation); err != nil {
 		return "", 0, err
@@ -50,6 +51,7 @@
 	return r.Key, r.Held, nil
 }
 
+// mintAt obtains a key from a node.
 func (n *Node) mintAt(ctx context.Context, id wire.NodeID, operation string) (mintReply, error) {
 	if id == n.id {
 		return n.mintHere(mintRequest{Operation: operation}), nil
@@ -74,14 +76,13 @@
 }
 
 func (n *Node) handleMint(c *transport.Conn, m mintRequest) {
-	// Without room for the answer the asking node's time runs out.
+	// If the answer cannot be sent, the request of the other node times out.
 	_, _ = c.Send(wire.KindMinted, n.mintHere(m))
 }
 
-// mintHere makes a key that names this incarnation. A node that is asked to stop
-// makes none, though it still takes work from peers that have not heard: the key
-// would outlive the node, and a request sent with it for the first time would be
-// answered "may have run".
+// mintHere makes a key that names this incarnation. A draining node refuses, though it still
+// accepts requests from peers that do not know of the drain: the key would outlive the node,
+// and the first request with it would be answered "may have run".
 func (n *Node) mintHere(m mintRequest) mintReply {
 	if n.Draining() {
 		return mintReply{Seq: m.Seq, Reason: verdict.Draining, Detail: "node is leaving"}
@@ -95,12 +96,14 @@
 	return mintReply{Seq: m.Seq, Key: key, Held: held}
 }
 
-// mintWait is a request for a key that awaits its answer.
+// pendingMint is a request for a key that awaits its answer.
 type pendingMint struct {
 	from   wire.NodeID
-	answer chan mintReply // room for one: handing over never blocks
+	answer chan mintReply // buffered, so that delivery never blocks
 }
 
+// addPendingMint registers a request for a key and returns its sequence number and the
+// channel for the reply.
 func (s *server) addPendingMint(from wire.NodeID) (uint64, chan mintReply) {
 	s.mintMu.Lock()
 	defer s.mintMu.Unlock()
@@ -116,9 +119,9 @@
 	delete(s.mints, seq)
 }
 
-// minted hands a key to the request that waits for it. One from a node that was
-// not asked is dropped: numbers can be guessed, and a caller would get a key
-// that nobody can verify.
+// deliverMint delivers a reply to the request that waits for it. A reply from a node that was
+// not asked is dropped: sequence numbers can be guessed, and the caller would get a key that
+// no node can verify.
 func (s *server) deliverMint(from wire.NodeID, r mintReply) {
 	s.mintMu.Lock()
 	defer s.mintMu.Unlock()
--- a/node/pressure.go
+++ b/node/pressure.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// pressureEvery is the least time between two lines about the level.
+// levelLogInterval is the least time between two log lines about the admission level.
 const levelLogInterval = time.Second
 
-// pressure writes down when the level at which this node's service admits
-// requests changes: with the log alone, whoever looks for the cause of a refusal
-// at the entry finds here what the service's own node saw.
+// pressure limits the log lines about changes of the admission level of this node's service.
+// With them an operator finds the cause of a refusal at the entry in the log of the service's
+// own node.
 type pressure struct {
 	level    uint16
 	loggedAt time.Time
 }
 
-// due reports whether a level deserves a line.
+// shouldLog reports whether to log a level, and records it if so.
 func (p *pressure) shouldLog(now time.Time, level uint16) bool {
 	if level == p.level || now.Sub(p.loggedAt) < levelLogInterval {
 		return false
@@ -22,6 +22,7 @@
 	return true
 }
 
+// logLevelChange logs the admission level if it has changed.
 func (n *Node) logLevelChange(now time.Time) {
 	if !n.pressure.shouldLog(now, n.server.level(now)) {
 		return
--- a/node/quota_asks.go
+++ b/node/quota_asks.go
@@ -206,6 +206,7 @@
 	return outgoingRequest{to: to, msg: quotaRequest{Number: q.number, TokenRequests: tokenRequests, Claims: claims}}
 }
 
+// handleQuotaRequest answers the quota request of a peer.
 func (n *Node) handleQuotaRequest(from wire.NodeID, m quotaRequest) {
 	n.posts.answer(from, wire.KindQuotaAnswer, n.makeQuotaAnswer(from, m))
 }
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -31,7 +31,8 @@
 	eras        freshness.Eras
 	// requests are those that await an answer, at most one per node.
 	requests map[wire.NodeID]openRequest
-	number   uint64
+	// number is that of the latest request.
+	number uint64
 	// lookupSentAt is when the last request for owners or a proof was made.
 	lookupSentAt time.Time
 	// lastAnswerAt is when a peer last answered.
@@ -46,7 +47,7 @@
 	// changed is closed when tokens or a proof arrive.
 	changed chan struct{}
 
-	fleet fleetView
+	fleet fleetView // not guarded by mu
 
 	// wake tells quotaLoop that a request waits.
 	wake chan struct{}
--- a/node/roster.go
+++ b/node/roster.go
@@ -10,8 +10,7 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// roster puts a lock around the membership and keeps what the other duties ask
-// of it often.
+// roster guards the membership with a lock and caches the candidates of each service.
 type roster struct {
 	mu       sync.Mutex
 	members  *membership.Members
@@ -20,10 +19,10 @@
 
 // serviceView is one service as the dispatcher sees it.
 type serviceView struct {
-	version    uint64 // of the membership when it was made
-	changes    uint64
+	version    uint64 // of the membership that the view was made from
+	changes    uint64 // increases with each new view of the service
 	candidates []balancer.Candidate
-	// contents has the Content of each candidate's record.
+	// contents holds the Content of each candidate's record, in the order of candidates.
 	contents []uint64
 }
 
@@ -38,7 +37,7 @@
 	f(r.members)
 }
 
-// send calls f under the lock and returns what it wants sent.
+// send calls f under the lock and returns the messages to send.
 func (r *roster) send(f func(*membership.Members) []membership.Send) []membership.Send {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,9 +74,9 @@
 	return v
 }
 
-// candidate marks a node as new if the service was known without it, or with an
-// earlier backend server beside it: that may be cold. When the service itself was not known, nothing
-// can be said.
+// newCandidate returns the candidate for a node. It is marked as new if the previous view
+// lacks the node or has an earlier backend incarnation there: the backend server may still
+// be slow. Without a previous view no node is marked.
 func newCandidate(rec membership.Record, old *serviceView, now time.Time) balancer.Candidate {
 	c := balancer.Candidate{ID: rec.ID, DataCentre: rec.DataCentre}
 	if old == nil || len(old.candidates) == 0 {
@@ -124,7 +123,7 @@
 	return r.members.Version()
 }
 
-// ofService returns the identities of the nodes of a service that take work.
+// ofService returns the IDs of the nodes of a service that accept requests.
 func (r *roster) ofService(service string) []wire.NodeID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/node/spread_levels.go
+++ b/node/spread_levels.go
@@ -8,17 +8,16 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// NewsFanOut is to how many nodes levels are told at a time. Three reach all of a
-// fleet of a few hundred in three rounds, and of thousands in six.
+// NewsFanOut is the number of nodes that each round of level gossip is sent to.
 const NewsFanOut = 3
 
-// levelsMessage tells a peer what is known of the levels of services.
+// levelsMessage carries the known admission levels of services to a peer.
 type levelsMessage struct {
 	News []call.LevelNews `cbor:"1,keyasint"`
 }
 
-// tellLevels passes levels on while there are any above zero. At rest it waits for
-// the first one: a node that serves well has nothing to wake up for.
+// gossipLevels sends admission levels to peers at random intervals while any is above
+// zero. Without one it sleeps until the next is received.
 func (n *Node) gossipLevels() {
 	interval := n.cfg.Dispatch.News.Interval
 	if interval <= 0 {
@@ -41,7 +40,7 @@
 	}
 }
 
-// awaitLevels waits until a reply or a peer names a level; false if the node stops.
+// awaitLevels waits until a reply or a peer reports a level; false if the node stops.
 func (n *Node) awaitLevels() bool {
 	select {
 	case <-n.ctx.Done():
@@ -51,7 +50,7 @@
 	}
 }
 
-// noteLevels wakes tellLevels.
+// wakeLevelGossip wakes gossipLevels.
 func (n *Node) wakeLevelGossip() {
 	select {
 	case n.levelsHeard <- struct{}{}:
@@ -59,8 +58,8 @@
 	}
 }
 
-// tellPeers sends to a few nodes that there are connections to: most of them in the
-// own data centre, where bytes are cheap, and one in another, so that news leave it.
+// sendLevels sends a message to NewsFanOut connected nodes: most in the own data centre,
+// where traffic is cheap, and one in another, so that the gossip reaches all data centres.
 func (n *Node) sendLevels(m levelsMessage) {
 	if len(m.News) == 0 {
 		return
@@ -87,6 +86,7 @@
 	}
 }
 
+// handleLevels applies the admission levels that a peer reports.
 func (n *Node) handleLevels(m levelsMessage) {
 	n.dispatch.HearLevels(time.Now(), m.News)
 	n.wakeLevelGossip()
--- a/node/spread_routes.go
+++ b/node/spread_routes.go
@@ -9,22 +9,23 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// askAgainAfter is how long an answer to a question for newer routes may take
-// before another peer is asked: ten round trips between regions.
+// routesRequestInterval is the time allowed for an answer to a request for newer routes
+// before another peer is asked: several round trips between regions.
 const routesRequestInterval = 250 * time.Millisecond
 
-// routesMessage tells a peer which version is in force here; with the text it
-// is that version, without it an offer.
+// routesMessage tells a peer which version of the routes is in force here. With Text it
+// delivers that version, without it is an offer or a request.
 type routesMessage struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Text    []byte `cbor:"2,keyasint,omitempty"`
 	// Want asks for the sender's routes, if they are newer than Version.
 	Want bool `cbor:"3,keyasint,omitempty"`
-	// Era is the store's as the sender knows it, with the first offer on a connection.
+	// Era is the era of the store as the sender knows it, sent with the first offer on a
+	// connection.
 	Era *eraReport `cbor:"4,keyasint,omitempty"`
 }
 
-// mayAsk reports whether it is time to ask a peer for newer routes.
+// mayRequestRoutes reports whether a request for newer routes is due, and records it.
 func (r *routing) mayRequestRoutes(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -35,8 +36,9 @@
 	return true
 }
 
-// Publish takes routes as the operator wrote them, wherever they were read. A
-// text that cannot be read, or is older, leaves the routes in force as they are; false then.
+// Publish puts routes in force. The text is as the operator wrote it; source names where it
+// was read. A text that is invalid or older leaves the routes in force unchanged; Publish
+// then returns false.
 func (n *Node) Publish(text []byte, source string) bool {
 	table, err := n.routing.decode(text)
 	if err != nil {
@@ -60,46 +62,48 @@
 	return true
 }
 
-// SourceStore names the store as where routes were read.
+// SourceStore is the source of routes read from the store.
 const SourceStore = "store"
 
-// readersOfFleet is the least number of nodes that follow the routes at the store, in
-// all data centres together. Each tells all other nodes, so some may be cut off from
-// the store, or gone and not yet missed.
+// minFleetReaders is the least number of readers in all data centres together: nodes that
+// watch the routes in the store. Each one offers a new version to all other nodes, so some
+// readers may be cut off from the store, or gone without being detected yet.
 const minFleetReaders = 5
 
-// readersEach is the number of readers in each of so many data centres.
+// readersPerDataCentre returns the number of readers in each data centre.
 func readersPerDataCentre(centres int) int { return (minFleetReaders + centres - 1) / max(1, centres) }
 
-// Reader reports whether this node is one of the readers of its data centre.
+// Reader reports whether this node is a reader of its data centre.
 func (n *Node) Reader() bool { return n.Situation().Reader }
 
-// proversOfFleet is the least number of provers, of all data centres together; each data
-// centre has one, so that proofs need not come from another. There is one for
-// nodesOfProver nodes, whose questions it answers beside its own work, up to proversMost.
-// When all of a data centre are gone its nodes read until their places are taken.
+// Provers poll the store to obtain freshness proofs, which they give to other nodes.
+// minFleetProvers is their least number in all data centres together. Each data centre has
+// at least one, so that proofs need not come from another, and one per nodesPerProver nodes,
+// up to maxProvers. If all provers of a data centre are gone, its nodes read the store
+// themselves until other provers are chosen.
 const (
 	minFleetProvers = 2
 	maxProvers      = 16
 	nodesPerProver  = 256
 )
 
-// proversEach is the number of provers in a data centre of so many nodes, one of so many.
+// proversPerDataCentre returns the number of provers in a data centre with this number of
+// nodes.
 func proversPerDataCentre(centres, nodes int) int {
 	least := (minFleetProvers + centres - 1) / max(1, centres)
 	return min(max(least, nodes/nodesPerProver), maxProvers)
 }
 
-// Situation is what decides how often this node calls the store. The readers of a
-// data centre are the first of those that are known, by a hash of the address: after a
-// restart of all nodes the same machines read and own quotas again, and need not wait for
-// the leases of others to end. It is harmless if two views differ and more or fewer nodes
-// take themselves for readers for a while.
+// Situation returns what decides how often this node reads the store. The readers of a data
+// centre are its known nodes of lowest rank. The rank depends on the address alone, so after
+// a restart of all nodes the same machines are readers and owners of quotas again and need
+// not wait for the leases of others to expire. Nodes with different views may disagree on
+// the readers for a while, which is harmless.
 func (n *Node) Situation() readers.Situation {
 	s := readers.Situation{Routes: n.routing.table() != nil, Alone: true}
 	s.Unproved, s.Isolated = n.quotas.proofState()
 	ownRank := rank(n.cfg.PeerAddr)
-	ranksBefore := make(map[uint64]struct{}) // a machine whose node restarted is one
+	ranksBefore := make(map[uint64]struct{}) // a set: two incarnations at one address count once
 	centres := map[string]struct{}{n.cfg.DataCentre: {}}
 	n.members.with(func(m *membership.Members) {
 		for rec := range m.All() {
@@ -120,15 +124,16 @@
 	return s
 }
 
-// offerRoutes tells all other nodes of a version; those that lack it ask.
+// offerRoutes announces a version to all other nodes; those that lack it request it.
 func (n *Node) offerRoutes(version uint64) {
 	n.postAll(wire.KindRoutes, routesMessage{Version: version})
 }
 
-// Routes returns the routes in force, nil before any are known.
+// Routes returns the routes in force, nil if none are known yet.
 func (n *Node) Routes() *routes.Table { return n.routing.table() }
 
-// sawRoutes asks a peer whose routes are newer for them.
+// requestNewerRoutes requests the routes of a peer if its version is newer, at most once per
+// routesRequestInterval.
 func (n *Node) requestNewerRoutes(from wire.NodeID, version uint64) {
 	own := n.routing.version()
 	if version <= own {
@@ -142,6 +147,7 @@
 	n.posts.answer(from, wire.KindRoutes, routesMessage{Version: own, Want: true})
 }
 
+// handleRoutes handles a request, a delivery or an offer of routes.
 func (n *Node) handleRoutes(from wire.NodeID, m routesMessage) {
 	if !n.routing.enabled() {
 		return
@@ -157,6 +163,7 @@
 	}
 }
 
+// sendRoutes sends the routes in force to a peer that has an older version.
 func (n *Node) sendRoutes(to wire.NodeID, have uint64) {
 	p := n.routing.force.Load()
 	if p == nil || p.table.Version <= have {
@@ -165,7 +172,7 @@
 	n.posts.answer(to, wire.KindRoutes, routesMessage{Version: p.table.Version, Text: p.text})
 }
 
-// configVersion is what replies say is in force here.
+// configVersion returns the version of the configuration in force, as replies report it.
 func (n *Node) configVersion() uint64 {
 	if n.routing.enabled() {
 		return n.routing.version()
--- a/node/starts.go
+++ b/node/starts.go
@@ -2,38 +2,36 @@
 
 import "time"
 
-// Start identifies one start of the backend server. A backend server may start
-// again under the ID that it had; Born then tells the two apart.
+// Start identifies one backend incarnation: one run of the backend server's process. A
+// backend server may restart with the same ID; Born then tells the two apart.
 type Start struct {
 	ID string
-	// Born is when it started, in Unix milliseconds; zero if it does not say.
+	// Born is the start time in Unix milliseconds, zero if unknown.
 	Born int64
 }
 
-// earlier reports whether s started before other, as far as both say so.
+// earlier reports whether s is known to have started before other.
 func (s Start) earlier(other Start) bool {
 	return s.Born != 0 && other.Born != 0 && s.Born < other.Born
 }
 
-// maxEnded bounds the starts that are remembered after their end. Heartbeats
-// that are late come within seconds; a start takes seconds, too.
+// maxEnded bounds the ended incarnations remembered. Delayed heartbeats arrive within
+// seconds, and a restart takes seconds, too.
 const maxEnded = 64
 
-// starts remembers which starts of the backend server have ended or are
-// leaving. A heartbeat that was held up on its way may still arrive after them
-// and must not bring them back: work would go to a process that has gone, or
-// that was promised no more.
+// starts records which backend incarnations have ended or are leaving. A delayed heartbeat
+// of one of them must not make it ready again: requests would go to a process that is gone,
+// or that has been promised no more requests.
 type starts struct {
 	ended []Start
-	// latest is the latest time of a start that was heard of, zero while none
-	// was. Clocks jump by seconds, and a start takes longer: an earlier time is
-	// that of an earlier start. None at all is another sender's: a backend
-	// server tells its time always or never.
+	// latestBorn is the latest Born received, zero if none. An earlier Born is that of an
+	// earlier incarnation: a restart takes longer than a clock steps back. A missing Born
+	// then comes from another sender: a backend server reports its Born always or never.
 	latestBorn int64
 }
 
-// has reports whether a start is known to have ended. All starts under one id
-// that are not later than an ended one have ended with it.
+// hasEnded reports whether an incarnation is known to have ended. If one has ended, so have
+// all earlier ones with the same ID.
 func (s *starts) hasEnded(start Start) bool {
 	for i := range s.ended {
 		e := &s.ended[i]
@@ -41,9 +39,9 @@
 			continue
 		}
 		if e.Born == 0 {
-			// Its end was told without its time. The first time heard after
-			// it is taken for its own: to hand work to a start that was
-			// promised none is worse than to leave a new one out.
+			// Its end was reported without its Born. Assume that the first Born
+			// received afterwards belongs to it: ignoring a new incarnation does
+			// less harm than sending requests to one that was promised none.
 			e.Born = start.Born
 			return true
 		}
@@ -54,6 +52,7 @@
 	return false
 }
 
+// markEnded records that an incarnation has ended.
 func (s *starts) markEnded(start Start) {
 	s.latestBorn = max(s.latestBorn, start.Born)
 	if start.ID == "" || s.hasEnded(start) {
@@ -65,20 +64,20 @@
 	s.ended = append(s.ended, start)
 }
 
-// late reports whether a heartbeat tells nothing new about the backend server:
-// it is of a start that has ended or was followed by another, it came after a
-// later one of the same start, or another sender wrote it.
+// isStale reports whether a heartbeat is to be ignored: its incarnation has ended or was
+// followed by another, a later heartbeat of the same incarnation has arrived, or it comes
+// from another sender.
 func (s *starts) isStale(known instance, b Heartbeat) bool {
 	if s.hasEnded(b.Start) || b.Start.Born < s.latestBorn {
 		return true
 	}
-	// That it leaves holds whenever it comes: its acknowledgement promises that
-	// nothing more is handed to it.
+	// A delayed Leaving still counts: the acknowledgement promises that no more requests
+	// are sent to the backend server.
 	return sameIncarnation(known, b) && known.hasSequence && b.Sequence <= known.sequence && !b.Leaving
 }
 
-// take judges a heartbeat and returns what is known of the backend server after
-// it; false if it tells nothing new.
+// apply applies a heartbeat and returns the new state of the backend server; false if the
+// heartbeat is stale.
 func (s *starts) apply(now time.Time, known instance, b Heartbeat) (instance, bool) {
 	if s.isStale(known, b) {
 		return known, false
@@ -101,10 +100,10 @@
 	}, true
 }
 
-// leave takes the last word of a start and returns the start in use that ends by
-// it, none if it says nothing about that. A word that does not tell when its
-// start was speaks for the one in use under its id; one of an earlier start says
-// nothing; one of a later start says that the one in use had ended before.
+// markLeft records that an incarnation leaves. It returns the incarnation in use if that one
+// ends by it, else the zero Start. A report without Born is about the incarnation in use with
+// the same ID. The report of a later incarnation implies that the one in use has ended; that
+// of an earlier one changes nothing.
 func (s *starts) markLeft(known instance, start Start) Start {
 	if start.ID == known.start.ID && (start.Born == 0 || known.start.Born == 0) {
 		start = known.start
@@ -117,8 +116,8 @@
 	return known.start
 }
 
-// sameStart reports whether a heartbeat is of the start that is known. One whose
-// time is not known yet takes that of the heartbeat.
+// sameIncarnation reports whether a heartbeat is of the known incarnation. An unknown Born
+// matches any.
 func sameIncarnation(known instance, b Heartbeat) bool {
 	return known.start == b.Start || known.start == Start{ID: b.Start.ID}
 }
