--- a/node/behind_test.go
+++ b/node/behind_test.go
@@ -11,10 +11,10 @@
 	"github.com/cassialoom/cassialoom/node"
 )
 
-// applyWithin is the time in which a confirmed version must be in force.
+// applyWithin is the time within which a published version must be in force.
 const applyWithin = 2 * time.Second
 
-// sharedClock is a clock that stands until it is moved, the same for all nodes of a test.
+// manualClock is a clock for all nodes of a test that only advance moves.
 type manualClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -32,9 +32,9 @@
 	c.now = c.now.Add(d)
 }
 
-// Guards against a node that stays behind for good when the nodes that read the store for
-// it are gone or out of its reach: without news it must read the store itself.
-func TestANodeWithoutProofReadsTheStoreItself(t *testing.T) {
+// Guards against a node that keeps old routes when all readers are gone or unreachable:
+// without a young proof it must read the store itself.
+func TestNodeWithoutProofReadsTheStoreItself(t *testing.T) {
 	is := is.New(t)
 	clock := &manualClock{now: time.Unix(1000, 0)}
 	c := startRouted(t, func(cfg *node.Config) { cfg.Clock = clock.read })
@@ -43,22 +43,22 @@
 		i.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), node.SourceStore)
 	}
 	c.AwaitWhole()
-	for range 3 { // the first reader on; the other hears of it though it has no requests
+	for range 3 { // the reader gets proofs; the idle node requests them from it
 		clock.advance(applyWithin)
 		reader.Node.Proved(clock.read())
-		testnode.Await(t, "the other has the proof", func() bool { return !idle.Node.Situation().Unproved })
+		testnode.Await(t, "the idle node has the proof", func() bool { return !idle.Node.Situation().Unproved })
 	}
 	lastProof := clock.read()
 	for !idle.Node.Situation().Unproved && clock.read().Sub(lastProof) < 2*applyWithin {
 		clock.advance(10 * time.Millisecond)
 	}
-	t.Logf("reader the store itself after %v", clock.read().Sub(lastProof))
+	t.Logf("reads the store itself after %v", clock.read().Sub(lastProof))
 	is.True(clock.read().Sub(lastProof) < applyWithin)
 }
 
-// Guards against a node that takes the store's era for a young one, and proves and lends
-// nothing for seconds after its start, though its peers know better.
-func TestANodeThatStartsHearsHowOldTheEraIs(t *testing.T) {
+// Guards against a starting node that considers the era of the store new, and so gives no
+// proofs and grants no tokens for seconds, though its peers know the age of the era.
+func TestStartingNodeReceivesTheAgeOfTheEra(t *testing.T) {
 	is := is.New(t)
 	clock := &manualClock{now: time.Unix(1000, 0)}
 	c := startRouted(t, func(cfg *node.Config) { cfg.Clock = clock.read })
@@ -68,6 +68,6 @@
 	is.Equal(began, clock.read())
 	clock.advance(time.Minute)
 	late := c.Add("a", testnode.Echo)
-	testnode.Await(t, "it has heard", func() bool { return late.Node.EraSeen(3).Equal(began) })
+	testnode.Await(t, "the late node has the report", func() bool { return late.Node.EraSeen(3).Equal(began) })
 	is.Equal(late.Node.EraSeen(4), clock.read())
 }
--- a/node/drain_test.go
+++ b/node/drain_test.go
@@ -15,10 +15,8 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// One of two nodes is drained while a request runs there. Its own callers are
-// sent elsewhere, the other nodes send it nothing more, a peer that did not
-// hear of it is refused, the request that runs gets its answer, and then the
-// node stops.
+// Guards against a draining node that accepts requests from callers or peers, or that stops
+// before the running request has its answer.
 func TestDrain(t *testing.T) {
 	is := is.New(t)
 	c := start(t, nil)
@@ -66,11 +64,9 @@
 	is.NoErr(<-stopped)
 }
 
-// A node is asked to stop while some peers cannot hear of it for a moment. They,
-// and callers that ask the leaving node itself, want a key. A key that names it
-// would be answered "may have run" as soon as it is gone, though it was never used:
-// none is given, from the moment of the stop on.
-func TestLeavingNodeGivesOutNoKeys(t *testing.T) {
+// Guards against a draining node that mints keys: once the node is gone, the first request
+// with such a key would be answered "may have run".
+func TestDrainingNodeMintsNoKeys(t *testing.T) {
 	is := is.New(t)
 	c := start(t, func(cfg *node.Config) { cfg.DrainGrace = time.Minute })
 	leaving := c.Add("fieldlog", testnode.Echo)
--- a/node/keys_test.go
+++ b/node/keys_test.go
@@ -13,11 +13,11 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// keyed is a cluster with two nodes to enter at and two that file.
+// keyCluster is a cluster with two entry nodes and two nodes of the service fieldlog.
 type keyCluster struct {
 	*cluster
 	desks, files [2]*testnode.Instance
-	// release lets what waits at the backend servers go on.
+	// release is closed to let the requests at the backend servers finish.
 	release chan struct{}
 }
 
@@ -37,12 +37,12 @@
 	return k
 }
 
-// runs is how often an action has run at all backend servers.
+// runs returns how often an action has run at all backend servers.
 func (k *keyCluster) runs(body string) int {
 	return k.files[0].Backend.Runs(body) + k.files[1].Backend.Runs(body)
 }
 
-// holder is the node whose backend server ran the action.
+// runner returns the node whose backend server ran the action.
 func (k *keyCluster) runner(body string) *testnode.Instance {
 	if k.files[0].Backend.Runs(body) > 0 {
 		return k.files[0]
@@ -50,7 +50,7 @@
 	return k.files[1]
 }
 
-// send sends the same request through every entry node beside each other.
+// send sends the same request through every entry node concurrently.
 func (k *keyCluster) send(t *testing.T, body, key string) (answers func() [2]testnode.Answer) {
 	var wg sync.WaitGroup
 	var got [2]testnode.Answer
@@ -63,10 +63,8 @@
 	}
 }
 
-// A caller resends a request with a minted key through another node while the
-// first is running: it joins. After the end its answer is given again. When
-// the node that the key names is gone, known to be so or not yet, nobody runs
-// it again and nobody claims that it did not run.
+// Guards against a second run of a request with a minted key that is sent again: while the
+// first runs, after its end, and after the node that the key names is gone.
 func TestMintedKeyRunsOnce(t *testing.T) {
 	t.Run("then killed", func(t *testing.T) {
 		mintedKey(t, func(_ *keyCluster, runner *testnode.Instance) { runner.Kill() })
@@ -76,13 +74,15 @@
 			if err := runner.Stop(t.Context()); err != nil {
 				t.Error(err)
 			}
-			testnode.Await(t, "both know", func() bool {
+			testnode.Await(t, "both entry nodes know", func() bool {
 				return len(k.desks[0].Node.Members()) == 3 && len(k.desks[1].Node.Members()) == 3
 			})
 		})
 	})
 }
 
+// mintedKey sends a request with a minted key repeatedly, before and after end removes the node
+// that has run it.
 func mintedKey(t *testing.T, end func(k *keyCluster, runner *testnode.Instance)) {
 	is := is.New(t)
 	k := startKeyCluster(t)
@@ -111,9 +111,9 @@
 	is.Equal(k.runs("a"), 1)
 }
 
-// A key of the caller's own through two nodes at the same time: the log binds
-// it to one node, where the request runs once for both.
-func TestOwnKeyRunsOnce(t *testing.T) {
+// Guards against two runs of a request that is sent through two nodes at the same time with a
+// key chosen by the caller: the log binds the key to one node.
+func TestCallerKeyRunsOnce(t *testing.T) {
 	is := is.New(t)
 	k := startKeyCluster(t)
 	close(k.release)
@@ -126,13 +126,13 @@
 	is.Equal(k.runs("b"), 1)
 	other := k.desks[0].Must(t, "fieldlog", "file", "c", headers.IdempotencyKey, "key-of-b")
 	is.Equal(other.Reason(), verdict.KeyInvalid)
-	is.Equal(other.Verdict(), verdict.Ran) // what the key stands for
+	is.Equal(other.Verdict(), verdict.Ran) // the request that the key belongs to has run
 	is.Equal(k.runs("c"), 0)
 }
 
-// The log is down: a key of the caller's own cannot be bound, and without that
-// nothing runs. A minted key needs no log. After the outage both work.
-func TestOwnKeyInAnOutage(t *testing.T) {
+// Guards against a run with a caller's key that cannot be bound during an outage of the log,
+// and against minted keys that depend on the log.
+func TestCallerKeyInALogOutage(t *testing.T) {
 	is := is.New(t)
 	k := startKeyCluster(t)
 	close(k.release)
--- a/node/late_test.go
+++ b/node/late_test.go
@@ -13,11 +13,9 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// A cut between two nodes heals. The connection delivers at once what was written to
-// it in the last two seconds: a call, the cancel of its caller, who has left, and a
-// call whose caller still waits. The first reached the backend server before its cancel
-// was read, and took a slot from the second.
-func TestHeldUpCallWaitsForItsCancel(t *testing.T) {
+// Guards against a late call that takes a slot although its cancel is right behind it: after a
+// network partition a connection delivers its backlog at once.
+func TestLateCallWaitsForItsCancel(t *testing.T) {
 	is := is.New(t)
 	c := start(t, func(cfg *node.Config) { cfg.LateCallWait = 2 * time.Second })
 	n := c.Add("fieldlog", testnode.Echo)
@@ -36,7 +34,7 @@
 	is.Equal(reply.Verdict, verdict.Ran)
 
 	send(2, "left", clock-held)
-	is.NoErr(p.Sync()) // the backlog comes in more than one piece
+	is.NoErr(p.Sync()) // the backlog arrives in several reads
 	is.NoErr(p.Send(wire.KindCancel, call.Cancel{From: p.ID, Seq: 2, To: n.Node.ID()}))
 	send(3, "waits", clock-held)
 
--- a/node/levels_test.go
+++ b/node/levels_test.go
@@ -12,14 +12,13 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// levels is the message by which nodes tell each other levels, as a peer writes it.
+// levelsMessage is the level gossip message as a peer encodes it.
 type levelsMessage struct {
 	News []call.LevelNews `cbor:"1,keyasint"`
 }
 
-// A deep service becomes short, and a peer tells a node of it that has nothing to do
-// with that service. The node tells its other peers: the same level, and no younger
-// word than it was told.
+// Guards against a node that does not forward level gossip about a service that it does not
+// call, or forwards it with too small an age.
 func TestLevelsArePassedOn(t *testing.T) {
 	is := is.New(t)
 	c := start(t, func(cfg *node.Config) { cfg.Dispatch.News = admission.DefaultNewsConfig() })
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -14,9 +14,9 @@
 	"github.com/cassialoom/cassialoom/ops"
 )
 
-// The table that on-call engineers read names each metric that a node serves,
-// and no other.
-func TestMetricsAndTheirTableAgree(t *testing.T) {
+// Guards against metrics that are missing from the table for operators, and against entries
+// for metrics that a node does not export.
+func TestMetricsMatchTheDocumentedTable(t *testing.T) {
 	is := is.New(t)
 	c := startRouted(t, nil)
 	a := c.Add("a", testnode.Echo)
@@ -31,6 +31,7 @@
 	is.Equal(metricNames(`(?m)^(cassialoom_\w+)`, w.Body.String()), metricNames("(?m)^\\| `(cassialoom_\\w+)` \\|", string(page)))
 }
 
+// metricNames returns the first submatches of a pattern, sorted and without duplicates.
 func metricNames(pattern, text string) []string {
 	var out []string
 	for _, m := range regexp.MustCompile(pattern).FindAllStringSubmatch(text, -1) {
--- a/node/mint.go
+++ b/node/mint.go
@@ -19,7 +19,8 @@
 	Operation string `cbor:"2,keyasint"`
 }
 
-// mintReply answers a mintRequest. If Key is empty, Reason and Detail tell why.
+// mintReply answers a mintRequest. Held is the lifetime of the key. If Key is empty, Reason
+// and Detail tell why.
 type mintReply struct {
 	Seq    uint64         `cbor:"1,keyasint"`
 	Key    string         `cbor:"2,keyasint,omitempty"`
@@ -28,8 +29,8 @@
 	Detail string         `cbor:"5,keyasint,omitempty"`
 }
 
-// Mint implements entry.Doer. It returns the key and how long its result is kept; its errors
-// are of type *verdict.Error.
+// Mint implements entry.Doer. It returns the key and its lifetime; its errors are of type
+// *verdict.Error.
 func (n *Node) Mint(ctx context.Context, service, operation string) (string, time.Duration, error) {
 	if _, err := n.lookup(service, operation); err != nil {
 		return "", 0, err
--- a/node/quotas_test.go
+++ b/node/quotas_test.go
@@ -16,7 +16,7 @@
 	"github.com/cassialoom/cassialoom/workspace"
 )
 
-// heldClock is a clock that stands until it is moved.
+// manualClock is a clock that only advance moves.
 type manualClock struct{ now time.Time }
 
 func (c *manualClock) read() time.Time         { return c.now }
@@ -24,13 +24,14 @@
 
 const hot = "hot"
 
+// testQuotas returns quotas with one part, version 3 in force and a recent request with a key.
 func testQuotas(bound time.Duration) (*quotas, *manualClock) {
 	clock := &manualClock{now: time.Unix(1000, 0)}
 	cfg := quota.DefaultConfig()
 	cfg.Parts = 1
 	q := newQuotas(cfg, bound, bound, clock.read)
 	q.inForce(3)
-	q.noteKeyUse() // a request with a key has come
+	q.noteKeyUse()
 	return q, clock
 }
 
@@ -39,10 +40,9 @@
 	other = wire.NodeID{2}
 )
 
-// A key is taken away while this node's link to its peers is held up. A peer's answer,
-// "the newest a moment ago", arrives seconds after the question was sent: it may be as old
-// as the question, and must not let the key be served for another whole bound.
-func TestProofCountsFromBeforeTheQuestion(t *testing.T) {
+// Guards against a delayed proof that counts from its arrival: a revoked key would be accepted
+// for longer than the bound. The proof may be as old as the request for it.
+func TestProofAgeCountsFromBeforeTheRequest(t *testing.T) {
 	is := is.New(t)
 	q, clock := testQuotas(4 * time.Second)
 	requests := q.lookupRequest(other)
@@ -54,9 +54,9 @@
 	is.Equal(age, 3500*time.Millisecond)
 }
 
-// An answer that comes after its question was given up lends nothing: the node has asked
-// again, and told the owner that it holds none.
-func TestAnswerToAQuestionGivenUpIsDropped(t *testing.T) {
+// Guards against the use of tokens from an answer to an expired request: the node has sent
+// another request, which tells the owner that it holds none.
+func TestAnswerToAnExpiredRequestIsDropped(t *testing.T) {
 	is := is.New(t)
 	q, clock := testQuotas(0)
 	q.owners.Heard(quota.Claim{Owner: owner, Generation: 1, Parts: []int{0}})
@@ -67,7 +67,7 @@
 	clock.advance(q.cfg.AskTimeout)
 	second, missing := q.dueRequests()
 	is.Equal(len(second), 1)
-	is.Equal(missing, missingOwners) // another node may know a newer owner
+	is.Equal(missing, missingOwners) // the owner may have changed
 	q.handleAnswer(clock.now, owner, quotaAnswer{Number: first[0].msg.Number, Grants: []quota.Grant{{Workspace: hot, Now: 1}}})
 	_, answer, _ := q.takeToken(hot, true)
 	is.Equal(answer, quota.Wait)
@@ -76,11 +76,9 @@
 	is.Equal(answer, quota.Taken)
 }
 
-// An owner's lease has ended, and no other is known: its answers lend nothing. A request
-// waits for a token meanwhile, and each answer wakes the loop. Asked again at once, an owner
-// that is this node itself would be asked without end until the request gives up, and its
-// processor would do nothing else.
-func TestOwnerThatLendsNothingIsNotAskedAgainAtOnce(t *testing.T) {
+// Guards against a busy loop: after the end of its lease an owner grants no tokens, and each
+// of its answers wakes the loop, which must not send it another request at once.
+func TestOwnerWithoutLeaseIsNotAskedAgainAtOnce(t *testing.T) {
 	is := is.New(t)
 	q, clock := testQuotas(0)
 	q.owners.Heard(quota.Claim{Owner: owner, Generation: 1, Parts: []int{0}})
@@ -94,15 +92,15 @@
 			q.handleAnswer(clock.now, owner, quotaAnswer{Number: a.msg.Number, Foreign: true})
 		}
 		_, answer, _ := q.takeToken(hot, true)
-		is.Equal(answer, quota.Wait) // nobody has said that the quota is used
+		is.Equal(answer, quota.Wait) // no answer said that the quota is used up
 	}
-	is.True(sent >= 2) // it may own the workspace again
+	is.True(sent >= 2) // the owner may get its lease back
 	is.True(sent <= 4)
 }
 
-// A machine sleeps for longer than the bound, with a proof that was young before. When it
-// wakes it serves no key until it has a new one.
-func TestProofEndsWhileTheMachineSleeps(t *testing.T) {
+// Guards against a machine that accepts keys by an expired proof after it was suspended for
+// longer than the bound.
+func TestProofExpiresWhileTheMachineIsSuspended(t *testing.T) {
 	is := is.New(t)
 	q, clock := testQuotas(4 * time.Second)
 	requests := q.lookupRequest(other)
@@ -114,23 +112,23 @@
 	is.True(!ok)
 }
 
-// All nodes of a fleet start together. While one still learns of others it owns nothing;
-// nodes that come and go all the time do not keep it from owning for ever.
-func TestNodeOwnsOnceItKnowsTheFleet(t *testing.T) {
+// Guards against a node that owns quotas before it has discovered the fleet, and against one
+// that never does because nodes join and leave all the time.
+func TestNodeOwnsQuotasOnceItKnowsTheFleet(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
 	f := fleetView{started: start}
 	is.True(!f.settled(start, 3))
 	is.True(!f.settled(start.Add(settleTime-time.Millisecond), 3))
-	is.True(!f.settled(start.Add(settleTime), 60)) // more have come
+	is.True(!f.settled(start.Add(settleTime), 60)) // more nodes have joined
 	is.True(f.settled(start.Add(2*settleTime), 60))
 	is.True(!f.settled(start.Add(2*settleTime+1), 61))
 	is.True(f.settled(start.Add(maxSettleTime), 62))
 }
 
-// All nodes of a large fleet restart. Each knows few of the others for seconds; the few
-// that should own quotas are known from the list of addresses alone, and as many as else.
-func TestOwnersAfterARestartOfAllAreThoseOfTheList(t *testing.T) {
+// Guards against too many or too few owners after a restart of all nodes, when the owners
+// follow from the address list alone.
+func TestOwnersByAddressAreAsManyAsReaders(t *testing.T) {
 	is := is.New(t)
 	addrs := map[string][]string{}
 	for centre := range 3 {
@@ -150,9 +148,9 @@
 	is.Equal(owners, 6)
 }
 
-// A node that reaches less than half of those it knew owns nothing: the others could not
-// ask it. A fleet that has shrunk is believed after a while.
-func TestNodeThatIsCutOffOwnsNothing(t *testing.T) {
+// Guards against an owner that most nodes cannot reach, and against a node that never accepts
+// that its fleet has become smaller.
+func TestNodeThatIsCutOffOwnsNoQuotas(t *testing.T) {
 	is := is.New(t)
 	var f fleetView
 	is.True(!f.cutOff(60))
@@ -164,8 +162,8 @@
 	is.True(!f.cutOff(20))
 }
 
-// A node that knows no owner asks where owners should be: the first of each data centre.
-func TestLikelyOwnersAreTheFirstOfEachDataCentre(t *testing.T) {
+// Guards against owner lookups at nodes that are unlikely to be owners.
+func TestLikelyOwnersAreTheLowestRankedOfEachDataCentre(t *testing.T) {
 	is := is.New(t)
 	likely := likelyOwners([]rankedNode{
 		{id: owner, dataCentre: "a", rank: 3}, {id: other, dataCentre: "a", rank: 9},
@@ -178,8 +176,8 @@
 	is.Equal(ids, map[wire.NodeID]bool{owner: true, {4}: true})
 }
 
-// A route that asks for no key is served at once, whatever is known of the configuration's
-// age: without a key there is nothing that could have been taken away.
+// Guards against an open route that waits for a freshness proof: a request without a key has
+// no key that could have been revoked.
 func TestOpenRouteWaitsForNoProof(t *testing.T) {
 	is := is.New(t)
 	q, _ := testQuotas(4 * time.Second)
@@ -197,9 +195,9 @@
 	is.Equal(refusal.Reason, verdict.StaleConfiguration)
 }
 
-// Guards against questions for tokens that no request needs: at rest only a proof that
-// grows old is asked for, and nothing where none is needed.
-func TestAtRestProofsAloneAreAskedFor(t *testing.T) {
+// Guards against requests for tokens that no request needs: an idle node only requests a
+// proof, if one is needed and its own is about to expire.
+func TestIdleNodeRequestsOnlyProofs(t *testing.T) {
 	is := is.New(t)
 	q, clock := testQuotas(4 * time.Second)
 	q.owners.Heard(quota.Claim{Owner: owner, Generation: 1, Parts: []int{0}})
@@ -223,9 +221,9 @@
 	is.True(!again)
 }
 
-// Guards against a fleet whose nodes ask each other without pause for proofs that none has,
-// since the store is away.
-func TestProofsAreAskedForLessOftenInVain(t *testing.T) {
+// Guards against proof requests at full rate while the store is down and no node has a young
+// proof.
+func TestFailedProofRequestsBackOff(t *testing.T) {
 	is := is.New(t)
 	q, clock := testQuotas(4 * time.Second)
 	clock.advance(keyUseWindow)
@@ -242,7 +240,7 @@
 		return sent
 	}
 	proofAttempts := run(10*time.Second, func(number uint64) quotaAnswer { return quotaAnswer{Number: number} })
-	is.True(proofAttempts >= int(10*time.Second/maxProofInterval)) // it goes on asking
+	is.True(proofAttempts >= int(10*time.Second/maxProofInterval)) // it does not give up
 	is.True(proofAttempts <= int(10*time.Second/maxProofInterval)+fastProofAttempts+3)
 	answered := run(maxProofInterval, func(number uint64) quotaAnswer { return quotaAnswer{Number: number, Proved: true, Version: 3} })
 	is.Equal(answered, 1)
--- a/node/starts_test.go
+++ b/node/starts_test.go
@@ -10,22 +10,22 @@
 	"github.com/cassialoom/cassialoom/internal/proptest"
 )
 
-// word is one call of a start on its way to the node.
+// message is one message of a backend incarnation in transit to the node.
 type message struct {
-	start int // the place in the order of the starts
+	start int // index of the incarnation, in the order of their starts
 	beat  Heartbeat
 	leave bool
 }
 
-// life is the backend server as it really is, and the node's view of it.
+// backendHistory is the true history of a backend server, and the node's view of it.
 type backendHistory struct {
 	incarnations []Start
 	sequences    []uint64
 	sent         []message
 	starts       starts
 	known        instance
-	// heard is the latest start that a heartbeat was delivered of, ended the
-	// starts whose leaving was delivered.
+	// latestReceived is the latest incarnation with a delivered heartbeat; ended holds
+	// those with a delivered report that they leave.
 	latestReceived int
 	ended          map[int]bool
 }
@@ -55,10 +55,8 @@
 	}
 }
 
-// The backend server crashes and starts again, under its id or another. Its
-// heartbeats and last words come late, twice, and in any order. Nothing of an
-// earlier start, or of one that said it leaves, is in use after that was heard;
-// the newest start is in use after two of its heartbeats.
+// Guards against delayed, repeated or reordered messages that bring an ended backend
+// incarnation back into use, or keep the newest one out of use after two heartbeats.
 func TestPropertyStarts(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		h := &backendHistory{ended: make(map[int]bool)}
@@ -69,7 +67,7 @@
 			}
 			for i, s := range h.incarnations {
 				if s == h.known.start && (i < h.latestReceived || h.ended[i]) {
-					t.Fatalf("start %d is in use; heard of %d, ended %v", i, h.latestReceived, h.ended)
+					t.Fatalf("incarnation %d is in use; latest received %d, ended %v", i, h.latestReceived, h.ended)
 				}
 			}
 		}
@@ -88,7 +86,7 @@
 			},
 			"deliver": func(t *rapid.T) {
 				if len(h.sent) == 0 {
-					t.Skip("nothing is on its way")
+					t.Skip("no message in transit")
 				}
 				h.deliver(rapid.SampledFrom(h.sent).Draw(t, "word"))
 			},
@@ -99,46 +97,44 @@
 			h.deliver(h.sent[len(h.sent)-1])
 		}
 		if !h.known.ready || h.known.start != h.incarnations[len(h.incarnations)-1] {
-			t.Fatalf("the newest start is not in use after two heartbeats: %+v", h.known)
+			t.Fatalf("the newest incarnation is not in use after two heartbeats: %+v", h.known)
 		}
 	})
 }
 
-// What is known of the start in use, and what of it a heartbeat or last word
-// without the time of its start changes.
-func TestStartsWithoutTheirTime(t *testing.T) {
+// Guards against wrong conclusions from a heartbeat or a leave report without Born.
+func TestIncarnationsWithoutBorn(t *testing.T) {
 	is := is.New(t)
 	var s starts
 	known, ok := s.apply(time.Time{}, instance{start: Start{ID: "x"}}, Heartbeat{Start: Start{ID: "x", Born: 5}, Sequence: 1})
-	is.True(ok) // found at the node's start, then dated by its heartbeat
+	is.True(ok) // found at the node's start; its heartbeat then reports Born
 	is.Equal(known.start, Start{ID: "x", Born: 5})
 
 	_, ok = s.apply(time.Time{}, known, Heartbeat{Start: Start{ID: "x"}, Sequence: 9})
-	is.True(!ok) // another sender's: the backend server tells its time
+	is.True(!ok) // from another sender: the backend server reports its Born
 	_, ok = s.apply(time.Time{}, known, Heartbeat{Start: Start{ID: "z"}, Sequence: 9})
 	is.True(!ok)
 
-	is.Equal(s.markLeft(known, Start{ID: "x", Born: 4}), Start{}) // an earlier start's last word
+	is.Equal(s.markLeft(known, Start{ID: "x", Born: 4}), Start{}) // the leave report of an earlier incarnation
 	_, ok = s.apply(time.Time{}, known, Heartbeat{Start: Start{ID: "x", Born: 5}, Sequence: 2})
 	is.True(ok)
-	is.Equal(s.markLeft(known, Start{ID: "x"}), Start{ID: "x", Born: 5}) // the one in use
+	is.Equal(s.markLeft(known, Start{ID: "x"}), Start{ID: "x", Born: 5}) // is about the one in use
 	_, ok = s.apply(time.Time{}, known, Heartbeat{Start: Start{ID: "x", Born: 5}, Sequence: 3})
 	is.True(!ok)
 	_, ok = s.apply(time.Time{}, known, Heartbeat{Start: Start{ID: "x", Born: 6}, Sequence: 1})
 	is.True(ok)
 
 	var fresh starts
-	fresh.markLeft(instance{}, Start{ID: "w"}) // nothing is known of w yet
+	fresh.markLeft(instance{}, Start{ID: "w"}) // w is not known yet
 	_, ok = fresh.apply(time.Time{}, instance{}, Heartbeat{Start: Start{ID: "w", Born: 7}, Sequence: 3})
-	is.True(!ok) // held up on its way
+	is.True(!ok) // delayed
 	_, ok = fresh.apply(time.Time{}, instance{}, Heartbeat{Start: Start{ID: "w", Born: 8}, Sequence: 1})
 	is.True(ok)
 }
 
-// A backend server found at the node's start crashes while its first heartbeat, which
-// tells when it started, has just come: the crash is that of the start in use. One of an
-// earlier start under the same id is not.
-func TestCrashOfAStartWhoseTimeCameLater(t *testing.T) {
+// Guards against a crash report without Born that is ignored because the first heartbeat has
+// reported Born since, and against one of an earlier incarnation that counts.
+func TestCrashReportFromBeforeTheFirstHeartbeat(t *testing.T) {
 	is := is.New(t)
 	in := instance{start: Start{ID: "x", Born: 5}}
 	is.True(in.is(Start{ID: "x", Born: 5}))
