--- a/node/behind_test.go
+++ b/node/behind_test.go
@@ -33,7 +33,7 @@
 }
 
 // Guards against a node that keeps old routes when all readers are gone or unreachable:
-// without a young proof it must read the store itself.
+// without a recent proof it must read the store itself.
 func TestNodeWithoutProofReadsTheStoreItself(t *testing.T) {
 	is := is.New(t)
 	clock := &manualClock{now: time.Unix(1000, 0)}
--- a/node/graphs.go
+++ b/node/graphs.go
@@ -20,8 +20,8 @@
 
 func newGraphs(s *config.Spread) *graphs { return &graphs{spread: s} }
 
-// do calls f under the lock and publishes the resulting state for lock-free reads.
-func (g *graphs) do(f func(*config.Spread) config.Actions) config.Actions {
+// update calls f under the lock and publishes the resulting state for lock-free reads.
+func (g *graphs) update(f func(*config.Spread) config.Actions) config.Actions {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	a := f(g.spread)
--- a/node/loops.go
+++ b/node/loops.go
@@ -61,7 +61,7 @@
 }
 
 func (n *Node) tickMembers(now time.Time) {
-	n.sendMembership(n.members.send(func(m *membership.Members) []membership.Send { return m.Tick(now) }))
+	n.sendMembership(n.members.collect(func(m *membership.Members) []membership.Send { return m.Tick(now) }))
 	if !n.cfg.Directory {
 		n.tickMemberLog(now)
 	}
@@ -156,7 +156,7 @@
 func (n *Node) tickConfig(now time.Time) {
 	version := n.members.version()
 	peers := n.members.configPeers()
-	n.act(n.graph.do(func(s *config.Spread) config.Actions {
+	n.act(n.graph.update(func(s *config.Spread) config.Actions {
 		if n.graph.membershipVersion != version {
 			n.graph.membershipVersion = version
 			s.SetMembers(peers)
@@ -198,7 +198,7 @@
 	n.counts.LogReads.Add(1)
 	page, err := n.stream.Read(ctx, config.Stream, r.From, r.Max)
 	now := time.Now()
-	n.act(n.graph.do(func(s *config.Spread) config.Actions {
+	n.act(n.graph.update(func(s *config.Spread) config.Actions {
 		if err != nil {
 			n.counts.LogFailures.Add(1)
 			s.LogFailed(now)
--- a/node/peers.go
+++ b/node/peers.go
@@ -173,7 +173,7 @@
 		return
 	}
 	if r.ConfigVersion > n.graph.asOf() {
-		n.act(n.graph.do(func(s *config.Spread) config.Actions {
+		n.act(n.graph.update(func(s *config.Spread) config.Actions {
 			return s.SawVersion(time.Now(), from, r.ConfigVersion)
 		}))
 	}
@@ -181,12 +181,12 @@
 
 func (n *Node) handleMembership(from wire.NodeID, msg membership.Message) {
 	now := time.Now()
-	n.sendMembership(n.members.send(func(m *membership.Members) []membership.Send {
+	n.sendMembership(n.members.collect(func(m *membership.Members) []membership.Send {
 		return m.Receive(now, from, msg)
 	}))
 }
 
 func (n *Node) handleConfig(from wire.NodeID, msg config.Message) {
 	now := time.Now()
-	n.act(n.graph.do(func(s *config.Spread) config.Actions { return s.Receive(now, from, msg) }))
+	n.act(n.graph.update(func(s *config.Spread) config.Actions { return s.Receive(now, from, msg) }))
 }
--- a/node/proofs.go
+++ b/node/proofs.go
@@ -13,12 +13,12 @@
 
 // A node that receives no newer version cannot conclude that there is none: the nodes that
 // read the store may be gone, starting or unreachable. So each node keeps a freshness proof
-// of its routes, asks its peers for a younger proof before its own expires, and reads the
+// of its routes, asks its peers for a newer proof before its own expires, and reads the
 // store itself when they have none.
 
 const (
 	// proofRequestShare is the share of the maximum proof age at which a node asks a peer
-	// for a younger proof.
+	// for a newer proof.
 	proofRequestShare = 0.65
 	// proofReadShare is the share of the maximum proof age at which a node reads the store
 	// itself. The rest leaves time to retry a failed read.
@@ -104,7 +104,7 @@
 
 // After fastProofAttempts failed proof requests the interval between them doubles with each
 // further failure, up to maxProofInterval. This limits the load when the store is down: then
-// no node has a young proof and every node asks.
+// no node has a recent proof and every node asks.
 const (
 	fastProofAttempts = 3
 	maxProofInterval  = 800 * time.Millisecond
@@ -119,7 +119,7 @@
 	return min(lookupInterval<<(q.proofAttempts-fastProofAttempts), maxProofInterval)
 }
 
-// failedProofAttempts returns the number of consecutive requests that brought no young
+// failedProofAttempts returns the number of consecutive requests that brought no recent
 // proof, without the one that is about to be sent.
 func (q *quotas) failedProofAttempts() int {
 	q.mu.Lock()
--- a/node/quota_asks.go
+++ b/node/quota_asks.go
@@ -30,9 +30,9 @@
 type quotaAnswer struct {
 	Number uint64        `cbor:"1,keyasint"`
 	Grants []quota.Grant `cbor:"2,keyasint,omitempty"`
-	// Foreign says that the sender does not own all the workspaces asked for.
-	Foreign bool          `cbor:"3,keyasint,omitempty"`
-	Claims  []quota.Claim `cbor:"4,keyasint,omitempty"`
+	// NotOwner says that the sender does not own all the workspaces asked for.
+	NotOwner bool          `cbor:"3,keyasint,omitempty"`
+	Claims   []quota.Claim `cbor:"4,keyasint,omitempty"`
 	// Version is the version in force at the sender. If Proved is set, it was the newest
 	// AgeMillis before the answer.
 	Version   uint64 `cbor:"5,keyasint,omitempty"`
@@ -224,13 +224,13 @@
 				space, known := table.Workspaces.Named(w.Workspace)
 				since, owned := q.leaseTerm.Owns(now, q.cfg.Part(w.Workspace))
 				if !known || !owned {
-					answer.Foreign = true
+					answer.NotOwner = true
 					continue
 				}
 				answer.Grants = append(answer.Grants, q.issuer.Lend(now, since, from, w, space.Quota))
 			}
 		}
-		if answer.Foreign || m.Claims {
+		if answer.NotOwner || m.Claims {
 			answer.Claims = q.owners.Claims()
 		}
 		if p, proved := q.proof.Best(); proved {
@@ -264,7 +264,7 @@
 	if m.Proved {
 		q.proof.Learn(freshness.Proof{Version: m.Version, At: a.sent.Add(-time.Duration(m.AgeMillis) * time.Millisecond)})
 	}
-	q.ownersUnknown = q.ownersUnknown || m.Foreign
+	q.ownersUnknown = q.ownersUnknown || m.NotOwner
 	q.notifyWaiters()
 	q.wakeLoop() // waiting requests may have a known owner now
 }
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -37,7 +37,7 @@
 	lookupSentAt time.Time
 	// lastAnswerAt is when a peer last answered.
 	lastAnswerAt time.Time
-	// proofAttempts counts the proof requests since the last young proof.
+	// proofAttempts counts the proof requests since the node last had a recent proof.
 	proofAttempts int
 	// ownersUnknown says that an owner is unknown, did not answer or is owner no more, so
 	// that a lookup is needed.
@@ -154,7 +154,7 @@
 	q.wakeLoop()
 }
 
-// awaitFresh waits for a sufficiently young freshness proof, at most Quota.WaitMost.
+// awaitFresh waits for a sufficiently recent freshness proof, at most Quota.WaitMost.
 func (n *Node) awaitFresh(ctx context.Context) *verdict.Error {
 	until := time.Now().Add(n.cfg.Quota.WaitMost)
 	for {
--- a/node/quotas_test.go
+++ b/node/quotas_test.go
@@ -89,7 +89,7 @@
 		requests, _ := q.dueRequests()
 		for _, a := range requests {
 			sent++
-			q.handleAnswer(clock.now, owner, quotaAnswer{Number: a.msg.Number, Foreign: true})
+			q.handleAnswer(clock.now, owner, quotaAnswer{Number: a.msg.Number, NotOwner: true})
 		}
 		_, answer, _ := q.takeToken(hot, true)
 		is.Equal(answer, quota.Wait) // no answer said that the quota is used up
@@ -221,7 +221,7 @@
 	is.True(!again)
 }
 
-// Guards against proof requests at full rate while the store is down and no node has a young
+// Guards against proof requests at full rate while the store is down and no node has a recent
 // proof.
 func TestFailedProofRequestsBackOff(t *testing.T) {
 	is := is.New(t)
--- a/node/roster.go
+++ b/node/roster.go
@@ -37,8 +37,8 @@
 	f(r.members)
 }
 
-// send calls f under the lock and returns the messages to send.
-func (r *roster) send(f func(*membership.Members) []membership.Send) []membership.Send {
+// collect calls f under the lock and returns the messages to send.
+func (r *roster) collect(f func(*membership.Members) []membership.Send) []membership.Send {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return f(r.members)
--- a/node/stop.go
+++ b/node/stop.go
@@ -38,7 +38,7 @@
 func (n *Node) drainPeers() {
 	now := time.Now()
 	connected := n.peers.Connected()
-	n.sendMembership(n.members.send(func(m *membership.Members) []membership.Send {
+	n.sendMembership(n.members.collect(func(m *membership.Members) []membership.Send {
 		return m.Drain(now, connected...)
 	}))
 	n.background(func() {
@@ -116,7 +116,7 @@
 func (n *Node) leave() {
 	now := time.Now()
 	connected := n.peers.Connected()
-	n.sendMembership(n.members.send(func(m *membership.Members) []membership.Send {
+	n.sendMembership(n.members.collect(func(m *membership.Members) []membership.Send {
 		return m.Leave(now, connected...)
 	}))
 	time.Sleep(waitPoll) // the connections' writers need a moment
