--- a/node/drain_test.go
+++ b/node/drain_test.go
@@ -15,10 +15,8 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// One of two nodes is drained while a request runs there. Its own callers are
-// sent elsewhere, the other nodes send it nothing more, a peer that did not
-// hear of it is refused, the request that runs gets its answer, and then the
-// node stops.
+// Guards against a draining node that accepts requests from callers or peers, or that stops
+// before the running request has its answer.
 func TestDrain(t *testing.T) {
 	is := is.New(t)
 	c := start(t, nil)
@@ -37,7 +35,7 @@
 	testnode.Await(t, "the request runs", func() bool { return leaving.Backend.Runs("held") == 1 })
 	c.Add("fieldlog", held)
 	c.AwaitWhole()
-	deaf := leaving.Dial(t, wire.NewNodeID())
+	unaware := leaving.Dial(t, wire.NewNodeID())
 
 	stopped := make(chan error, 1)
 	go func() { stopped <- leaving.Stop(t.Context()) }()
@@ -52,9 +50,9 @@
 		is.Equal(desk.Must(t, "fieldlog", "file", fmt.Sprint(i)).Verdict(), verdict.Ran)
 		is.Equal(leaving.Backend.Runs(fmt.Sprint(i)), 0)
 	}
-	is.NoErr(deaf.Send(wire.KindCall, request(deaf, leaving, 1, "deaf")))
+	is.NoErr(unaware.Send(wire.KindCall, request(unaware, leaving, 1, "deaf")))
 	var reply call.Reply
-	is.NoErr(deaf.NextOf(wire.KindReply, &reply))
+	is.NoErr(unaware.NextOf(wire.KindReply, &reply))
 	is.Equal(reply.Verdict, verdict.NotRun)
 	is.Equal(reply.Reason, verdict.Draining)
 	is.Equal(leaving.Backend.Runs("deaf"), 0)
@@ -66,25 +64,23 @@
 	is.NoErr(<-stopped)
 }
 
-// A node is asked to stop while some peers cannot hear of it for a moment. They,
-// and callers that ask the leaving node itself, want a key. A key that names it
-// would be answered "may have run" as soon as it is gone, though it was never used:
-// none is given, from the moment of the stop on.
-func TestLeavingNodeGivesOutNoKeys(t *testing.T) {
+// Guards against a draining node that mints keys: once the node is gone, the first request
+// with such a key would be answered "may have run".
+func TestDrainingNodeMintsNoKeys(t *testing.T) {
 	is := is.New(t)
 	c := start(t, func(cfg *node.Config) { cfg.DrainGrace = time.Minute })
 	leaving := c.Add("fieldlog", testnode.Echo)
 	c.AwaitWhole()
-	deaf := leaving.Dial(t, wire.NewNodeID())
-	is.NoErr(deaf.Send(wire.KindMint, mintRequest{Seq: 1, Operation: "file"}))
+	unaware := leaving.Dial(t, wire.NewNodeID())
+	is.NoErr(unaware.Send(wire.KindMint, mintRequest{Seq: 1, Operation: "file"}))
 	var before mintReply
-	is.NoErr(deaf.NextOf(wire.KindMinted, &before))
+	is.NoErr(unaware.NextOf(wire.KindMinted, &before))
 	is.True(before.Key != "")
 
 	leaving.Node.Drain()
-	is.NoErr(deaf.Send(wire.KindMint, mintRequest{Seq: 2, Operation: "file"}))
+	is.NoErr(unaware.Send(wire.KindMint, mintRequest{Seq: 2, Operation: "file"}))
 	var after mintReply
-	is.NoErr(deaf.NextOf(wire.KindMinted, &after))
+	is.NoErr(unaware.NextOf(wire.KindMinted, &after))
 	is.Equal(after.Key, "")
 	is.Equal(after.Reason, verdict.Draining)
 }
--- a/node/keys_test.go
+++ b/node/keys_test.go
@@ -13,16 +13,16 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// keyed is a cluster with two nodes to enter at and two that file.
-type keyed struct {
+// keyCluster is a cluster with two entry nodes and two nodes of the service fieldlog.
+type keyCluster struct {
 	*cluster
 	desks, files [2]*testnode.Instance
-	// release lets what waits at the backend servers go on.
+	// release is closed to let the requests at the backend servers finish.
 	release chan struct{}
 }
 
-func startKeyed(t *testing.T) *keyed {
-	k := &keyed{cluster: start(t, nil), release: make(chan struct{})}
+func startKeyCluster(t *testing.T) *keyCluster {
+	k := &keyCluster{cluster: start(t, nil), release: make(chan struct{})}
 	for i := range k.desks {
 		k.desks[i] = k.Add("alertdesk", testnode.Echo)
 		k.files[i] = k.Add("fieldlog", func(ctx context.Context, w *testnode.Work) testnode.Answer {
@@ -37,21 +37,21 @@
 	return k
 }
 
-// runs is how often an action has run at all backend servers.
-func (k *keyed) runs(body string) int {
+// runs returns how often an action has run at all backend servers.
+func (k *keyCluster) runs(body string) int {
 	return k.files[0].Backend.Runs(body) + k.files[1].Backend.Runs(body)
 }
 
-// holder is the node whose backend server ran the action.
-func (k *keyed) holder(body string) *testnode.Instance {
+// runner returns the node whose backend server ran the action.
+func (k *keyCluster) runner(body string) *testnode.Instance {
 	if k.files[0].Backend.Runs(body) > 0 {
 		return k.files[0]
 	}
 	return k.files[1]
 }
 
-// send sends the same request through every entry node beside each other.
-func (k *keyed) send(t *testing.T, body, key string) (answers func() [2]testnode.Answer) {
+// send sends the same request through every entry node concurrently.
+func (k *keyCluster) send(t *testing.T, body, key string) (answers func() [2]testnode.Answer) {
 	var wg sync.WaitGroup
 	var got [2]testnode.Answer
 	for i, desk := range k.desks {
@@ -63,33 +63,33 @@
 	}
 }
 
-// A caller resends a request with a minted key through another node while the
-// first is running: it joins. After the end its answer is given again. When
-// the node that the key names is gone, known to be so or not yet, nobody runs
-// it again and nobody claims that it did not run.
+// Guards against a second run of a request with a minted key that is sent again: while the
+// first runs, after its end, and after the node that the key names is gone.
 func TestMintedKeyRunsOnce(t *testing.T) {
 	t.Run("then killed", func(t *testing.T) {
-		mintedKey(t, func(_ *keyed, holder *testnode.Instance) { holder.Kill() })
+		mintedKey(t, func(_ *keyCluster, runner *testnode.Instance) { runner.Kill() })
 	})
 	t.Run("then stopped", func(t *testing.T) {
-		mintedKey(t, func(k *keyed, holder *testnode.Instance) {
-			if err := holder.Stop(t.Context()); err != nil {
+		mintedKey(t, func(k *keyCluster, runner *testnode.Instance) {
+			if err := runner.Stop(t.Context()); err != nil {
 				t.Error(err)
 			}
-			testnode.Await(t, "both know", func() bool {
+			testnode.Await(t, "both entry nodes know", func() bool {
 				return len(k.desks[0].Node.Members()) == 3 && len(k.desks[1].Node.Members()) == 3
 			})
 		})
 	})
 }
 
-func mintedKey(t *testing.T, end func(k *keyed, holder *testnode.Instance)) {
+// mintedKey sends a request with a minted key repeatedly, before and after end removes the node
+// that has run it.
+func mintedKey(t *testing.T, end func(k *keyCluster, runner *testnode.Instance)) {
 	is := is.New(t)
-	k := startKeyed(t)
+	k := startKeyCluster(t)
 	key := k.desks[0].MintKey(t, "fieldlog", "file")
 	answers := k.send(t, "a", key)
 	testnode.Await(t, "the second joined the first", func() bool {
-		return k.runs("a") == 1 && k.holder("a").State().Serve.Counts.Joined == 1
+		return k.runs("a") == 1 && k.runner("a").State().Serve.Counts.Joined == 1
 	})
 
 	close(k.release)
@@ -102,7 +102,7 @@
 	is.Equal(string(again.Body), "a")
 	is.Equal(k.runs("a"), 1)
 
-	end(k, k.holder("a"))
+	end(k, k.runner("a"))
 	for _, desk := range k.desks {
 		gone := desk.Must(t, "fieldlog", "file", "a", headers.IdempotencyKey, key)
 		is.Equal(gone.Verdict(), verdict.MayHaveRun)
@@ -111,11 +111,11 @@
 	is.Equal(k.runs("a"), 1)
 }
 
-// A key of the caller's own through two nodes at the same time: the log binds
-// it to one node, where the request runs once for both.
-func TestOwnKeyRunsOnce(t *testing.T) {
+// Guards against two runs of a request that is sent through two nodes at the same time with a
+// key chosen by the caller: the log binds the key to one node.
+func TestCallerKeyRunsOnce(t *testing.T) {
 	is := is.New(t)
-	k := startKeyed(t)
+	k := startKeyCluster(t)
 	close(k.release)
 
 	for _, a := range k.send(t, "b", "key-of-b")() {
@@ -126,15 +126,15 @@
 	is.Equal(k.runs("b"), 1)
 	other := k.desks[0].Must(t, "fieldlog", "file", "c", headers.IdempotencyKey, "key-of-b")
 	is.Equal(other.Reason(), verdict.KeyInvalid)
-	is.Equal(other.Verdict(), verdict.Ran) // what the key stands for
+	is.Equal(other.Verdict(), verdict.Ran) // the request that the key belongs to has run
 	is.Equal(k.runs("c"), 0)
 }
 
-// The log is down: a key of the caller's own cannot be bound, and without that
-// nothing runs. A minted key needs no log. After the outage both work.
-func TestOwnKeyInAnOutage(t *testing.T) {
+// Guards against a run with a caller's key that cannot be bound during an outage of the log,
+// and against minted keys that depend on the log.
+func TestCallerKeyInALogOutage(t *testing.T) {
 	is := is.New(t)
-	k := startKeyed(t)
+	k := startKeyCluster(t)
 	close(k.release)
 	k.Log.Outage(time.Now().Add(time.Hour))
 
--- a/node/levels_test.go
+++ b/node/levels_test.go
@@ -12,14 +12,13 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// levels is the message by which nodes tell each other levels, as a peer writes it.
-type levels struct {
+// levelsMessage is the level gossip message as a peer encodes it.
+type levelsMessage struct {
 	News []call.LevelNews `cbor:"1,keyasint"`
 }
 
-// A deep service becomes short, and a peer tells a node of it that has nothing to do
-// with that service. The node tells its other peers: the same level, and no younger
-// word than it was told.
+// Guards against a node that does not forward level gossip about a service that it does not
+// call, or forwards it with too small an age.
 func TestLevelsArePassedOn(t *testing.T) {
 	is := is.New(t)
 	c := start(t, func(cfg *node.Config) { cfg.Dispatch.News = admission.DefaultNewsConfig() })
@@ -29,11 +28,11 @@
 	is.NoErr(from.Join("alertdesk"))
 	is.NoErr(to.Join("alertdesk"))
 	const age = 40
-	is.NoErr(from.Send(wire.KindLevels, levels{News: []call.LevelNews{{Service: "deep", Priority: 30000, AgeMillis: age}}}))
-	var told levels
-	is.NoErr(to.NextOf(wire.KindLevels, &told))
-	is.Equal(len(told.News), 1)
-	is.Equal(told.News[0].Service, "deep")
-	is.Equal(told.News[0].Priority, uint16(30000))
-	is.True(told.News[0].AgeMillis >= age)
+	is.NoErr(from.Send(wire.KindLevels, levelsMessage{News: []call.LevelNews{{Service: "deep", Priority: 30000, AgeMillis: age}}}))
+	var got levelsMessage
+	is.NoErr(to.NextOf(wire.KindLevels, &got))
+	is.Equal(len(got.News), 1)
+	is.Equal(got.News[0].Service, "deep")
+	is.Equal(got.News[0].Priority, uint16(30000))
+	is.True(got.News[0].AgeMillis >= age)
 }
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -14,9 +14,9 @@
 	"github.com/cassialoom/cassialoom/ops"
 )
 
-// The table that on-call engineers read names each metric that a node serves,
-// and no other.
-func TestMetricsAndTheirTableAgree(t *testing.T) {
+// Guards against metrics that are missing from the table for operators, and against entries
+// for metrics that a node does not export.
+func TestMetricsMatchTheDocumentedTable(t *testing.T) {
 	is := is.New(t)
 	c := startRouted(t, nil)
 	a := c.Add("a", testnode.Echo)
@@ -28,10 +28,11 @@
 	ops.New(a.Node, a.Counters).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	is.NoErr(err)
-	is.Equal(names(`(?m)^(cassialoom_\w+)`, w.Body.String()), names("(?m)^\\| `(cassialoom_\\w+)` \\|", string(page)))
+	is.Equal(metricNames(`(?m)^(cassialoom_\w+)`, w.Body.String()), metricNames("(?m)^\\| `(cassialoom_\\w+)` \\|", string(page)))
 }
 
-func names(pattern, text string) []string {
+// metricNames returns the first submatches of a pattern, sorted and without duplicates.
+func metricNames(pattern, text string) []string {
 	var out []string
 	for _, m := range regexp.MustCompile(pattern).FindAllStringSubmatch(text, -1) {
 		out = append(out, m[1])
--- a/node/spread_levels.go
+++ b/node/spread_levels.go
@@ -8,18 +8,17 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// NewsFanOut is to how many nodes levels are told at a time. Three reach all of a
-// fleet of a few hundred in three rounds, and of thousands in six.
+// NewsFanOut is the number of nodes that each round of level gossip is sent to.
 const NewsFanOut = 3
 
-// levelsMessage tells a peer what is known of the levels of services.
+// levelsMessage carries the known admission levels of services to a peer.
 type levelsMessage struct {
 	News []call.LevelNews `cbor:"1,keyasint"`
 }
 
-// tellLevels passes levels on while there are any above zero. At rest it waits for
-// the first one: a node that serves well has nothing to wake up for.
-func (n *Node) tellLevels() {
+// gossipLevels sends admission levels to peers at random intervals while any is above
+// zero. Without one it sleeps until the next is received.
+func (n *Node) gossipLevels() {
 	interval := n.cfg.Dispatch.News.Interval
 	if interval <= 0 {
 		return
@@ -32,16 +31,16 @@
 			return
 		case <-timer.C:
 		}
-		told := n.dispatch.TellLevels(time.Now())
-		if len(told) == 0 && !n.awaitLevels() {
+		levels := n.dispatch.TellLevels(time.Now())
+		if len(levels) == 0 && !n.awaitLevels() {
 			return
 		}
-		n.tellPeers(levelsMessage{News: told})
+		n.sendLevels(levelsMessage{News: levels})
 		timer.Reset(interval/2 + rand.N(interval))
 	}
 }
 
-// awaitLevels waits until a reply or a peer names a level; false if the node stops.
+// awaitLevels waits until a reply or a peer reports a level; false if the node stops.
 func (n *Node) awaitLevels() bool {
 	select {
 	case <-n.ctx.Done():
@@ -51,43 +50,44 @@
 	}
 }
 
-// noteLevels wakes tellLevels.
-func (n *Node) noteLevels() {
+// wakeLevelGossip wakes gossipLevels.
+func (n *Node) wakeLevelGossip() {
 	select {
 	case n.levelsHeard <- struct{}{}:
 	default:
 	}
 }
 
-// tellPeers sends to a few nodes that there are connections to: most of them in the
-// own data centre, where bytes are cheap, and one in another, so that news leave it.
-func (n *Node) tellPeers(m levelsMessage) {
+// sendLevels sends a message to NewsFanOut connected nodes: most in the own data centre,
+// where traffic is cheap, and one in another, so that the gossip reaches all data centres.
+func (n *Node) sendLevels(m levelsMessage) {
 	if len(m.News) == 0 {
 		return
 	}
-	var near, far []wire.NodeID
+	var local, remote []wire.NodeID
 	for _, id := range n.peers.Connected() {
 		rec, ok := n.members.lookup(id)
 		if !ok || rec.State.Gone() {
 			continue
 		}
 		if rec.DataCentre == n.cfg.DataCentre {
-			near = append(near, id)
+			local = append(local, id)
 		} else {
-			far = append(far, id)
+			remote = append(remote, id)
 		}
 	}
-	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
-	rand.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
-	leave := min(1, len(far))
-	stay := min(NewsFanOut-leave, len(near))
-	leave = min(NewsFanOut-stay, len(far))
-	for _, id := range append(near[:stay], far[:leave]...) {
+	rand.Shuffle(len(local), func(i, j int) { local[i], local[j] = local[j], local[i] })
+	rand.Shuffle(len(remote), func(i, j int) { remote[i], remote[j] = remote[j], remote[i] })
+	remoteCount := min(1, len(remote))
+	localCount := min(NewsFanOut-remoteCount, len(local))
+	remoteCount = min(NewsFanOut-localCount, len(remote))
+	for _, id := range append(local[:localCount], remote[:remoteCount]...) {
 		n.posts.answer(id, wire.KindLevels, m)
 	}
 }
 
+// handleLevels applies the admission levels that a peer reports.
 func (n *Node) handleLevels(m levelsMessage) {
 	n.dispatch.HearLevels(time.Now(), m.News)
-	n.noteLevels()
+	n.wakeLevelGossip()
 }
