--- a/quota/bank.go
+++ b/quota/bank.go
@@ -7,124 +7,125 @@
 	"github.com/cassialoom/cassialoom/workspace"
 )
 
-// Bank makes the tokens of the workspaces that this node owns, and lends them.
+// Bank issues the tokens of the workspaces that this node owns. It lends them to the
+// nodes at which requests enter.
 type Bank struct {
-	cfg      Config
-	accounts map[string]*account
-	// asked is the number of the last question of each node. A question that was
-	// overtaken by a later one is not answered: what it says of tokens held is old.
-	asked map[wire.NodeID]uint64
+	cfg     Config
+	buckets map[string]*bucket
+	// lastRequest is the number of the last token request of each node. Older requests
+	// are rejected: their count of held tokens is out of date.
+	lastRequest map[wire.NodeID]uint64
 }
 
-// NewBank returns a Bank without accounts.
+// NewBank returns a Bank without token buckets.
 func NewBank(cfg Config) *Bank {
-	return &Bank{cfg: cfg, accounts: make(map[string]*account), asked: make(map[wire.NodeID]uint64)}
+	return &Bank{cfg: cfg, buckets: make(map[string]*bucket), lastRequest: make(map[wire.NodeID]uint64)}
 }
 
-// account is that of one workspace.
-type account struct {
-	// since is when the tenure began in which the account was opened.
-	since  time.Time
-	last   time.Time
-	tokens float64
-	lent   map[wire.NodeID]loan
+// bucket is the token bucket of one workspace.
+type bucket struct {
+	// termStart is the start of the lease term in which the bucket was created.
+	termStart  time.Time
+	refilledAt time.Time
+	tokens     float64
+	loans      map[wire.NodeID]loan
 }
 
-// loan is what one node holds at most.
+// loan is the maximum number of tokens that one node holds.
 type loan struct {
-	count uint32
-	till  time.Time
+	count     uint32
+	expiresAt time.Time
 }
 
-// maxAsked bounds the nodes whose last question is remembered.
-const maxAsked = 8192
+// maxNodesRemembered bounds the number of nodes whose last request number is kept.
+const maxNodesRemembered = 8192
 
-// Accept reports whether a question of a node is newer than all before.
+// Accept reports whether a token request is newer than all earlier ones of the node.
 func (b *Bank) Accept(node wire.NodeID, number uint64) bool {
-	if number <= b.asked[node] {
+	if number <= b.lastRequest[node] {
 		return false
 	}
-	if len(b.asked) >= maxAsked {
-		clear(b.asked)
+	if len(b.lastRequest) >= maxNodesRemembered {
+		clear(b.lastRequest)
 	}
-	b.asked[node] = number
+	b.lastRequest[node] = number
 	return true
 }
 
-// Lend answers what a node wants for a workspace with a quota that is limited. since is
-// when the tenure of this node over the workspace began: an account of an earlier one
-// is void, another node may have owned the workspace meanwhile.
-func (b *Bank) Lend(now, since time.Time, node wire.NodeID, w Want, q workspace.Quota) Grant {
-	a := b.account(now, since, w.Workspace)
-	a.settle(now)
-	delete(a.lent, node)
-	depth := b.depth(now, a, q)
-	a.earn(now, depth-float64(w.Held), b.cfg.rate(q))
-	g := Grant{Workspace: w.Workspace, Now: min(w.Waiting, whole(a.tokens))}
+// Lend answers a node's token request for a workspace with a limited quota. termStart is
+// the start of this node's lease term: the bucket of an earlier term is discarded,
+// because another node may have owned the workspace in between.
+func (b *Bank) Lend(now, termStart time.Time, node wire.NodeID, w Want, q workspace.Quota) Grant {
+	a := b.bucket(now, termStart, w.Workspace)
+	a.dropExpiredLoans(now)
+	delete(a.loans, node)
+	bucketDepth := b.bucketDepth(now, a, q)
+	a.refill(now, bucketDepth-float64(w.Held), b.cfg.refillRate(q))
+	g := Grant{Workspace: w.Workspace, Now: min(w.Waiting, wholeTokens(a.tokens))}
 	g.Short = g.Now < w.Waiting
 	a.tokens -= float64(g.Now)
-	g.Ahead = min(w.Ahead, whole(a.tokens-b.cfg.Reserve*depth))
+	g.Ahead = min(w.Ahead, wholeTokens(a.tokens-b.cfg.Reserve*bucketDepth))
 	a.tokens -= float64(g.Ahead)
-	// Tokens for requests that wait are used when they come, and hold up no new ones.
+	// Tokens for waiting requests are used on arrival and need no loan.
 	if held := w.Held + g.Ahead; held > 0 {
-		a.lent[node] = loan{count: held, till: now.Add(b.cfg.TokenLife)}
+		a.loans[node] = loan{count: held, expiresAt: now.Add(b.cfg.TokenLife)}
 	}
 	return g
 }
 
-func whole(tokens float64) uint32 { return uint32(max(0, tokens)) }
+func wholeTokens(tokens float64) uint32 { return uint32(max(0, tokens)) }
 
-// depth is the most tokens that there may be now. The owner before may have lent all
-// that there may be; until those have ended this one keeps to half.
-func (b *Bank) depth(now time.Time, a *account, q workspace.Quota) float64 {
-	depth := b.cfg.depth(q)
-	if now.Sub(a.since) < b.cfg.TokenLife {
-		depth = max(1, depth/2)
+// bucketDepth returns the current depth of a bucket. The previous owner may have lent a
+// full bucket; until those tokens have expired the depth is halved.
+func (b *Bank) bucketDepth(now time.Time, a *bucket, q workspace.Quota) float64 {
+	bucketDepth := b.cfg.bucketDepth(q)
+	if now.Sub(a.termStart) < b.cfg.TokenLife {
+		bucketDepth = max(1, bucketDepth/2)
 	}
-	return depth
+	return bucketDepth
 }
 
-func (b *Bank) account(now, since time.Time, name string) *account {
-	a, ok := b.accounts[name]
-	if !ok || !a.since.Equal(since) {
-		a = &account{since: since, last: since, lent: make(map[wire.NodeID]loan)}
-		b.accounts[name] = a
+// bucket returns the bucket of a workspace in the current lease term, empty if it is new.
+func (b *Bank) bucket(now, termStart time.Time, name string) *bucket {
+	a, ok := b.buckets[name]
+	if !ok || !a.termStart.Equal(termStart) {
+		a = &bucket{termStart: termStart, refilledAt: termStart, loans: make(map[wire.NodeID]loan)}
+		b.buckets[name] = a
 	}
 	return a
 }
 
-// settle drops loans that have ended.
-func (a *account) settle(now time.Time) {
-	for id, l := range a.lent {
-		if !now.Before(l.till) {
-			delete(a.lent, id)
+func (a *bucket) dropExpiredLoans(now time.Time) {
+	for id, l := range a.loans {
+		if !now.Before(l.expiresAt) {
+			delete(a.loans, id)
 		}
 	}
 }
 
-// earn adds what the rate has brought since the last time, up to the depth less what is
-// lent.
-func (a *account) earn(now time.Time, depth, rate float64) {
-	if passed := now.Sub(a.last); passed > 0 {
+// refill adds the tokens for the time since the last refill, up to the depth minus the
+// outstanding loans.
+func (a *bucket) refill(now time.Time, depth, rate float64) {
+	if passed := now.Sub(a.refilledAt); passed > 0 {
 		a.tokens += passed.Seconds() * rate
-		a.last = now
+		a.refilledAt = now
 	}
-	for _, l := range a.lent {
+	for _, l := range a.loans {
 		depth -= float64(l.count)
 	}
 	a.tokens = max(0, min(a.tokens, depth))
 }
 
-// Keep closes the accounts of workspaces for which keep is false.
+// Keep drops the buckets of workspaces for which keep returns false.
 func (b *Bank) Keep(keep func(workspace string) bool) {
-	for name := range b.accounts {
+	for name := range b.buckets {
 		if !keep(name) {
-			delete(b.accounts, name)
+			delete(b.buckets, name)
 		}
 	}
 }
 
-// AccountState is one account in the state dump.
+// AccountState is the token bucket of one workspace in the state dump.
 type AccountState struct {
 	Workspace string  `json:"workspace"`
 	Tokens    float64 `json:"tokens"`
@@ -132,12 +133,12 @@
 	Nodes     int     `json:"nodes"`
 }
 
-// Dump returns the accounts, in no order.
+// Dump returns the state of all buckets, in no particular order.
 func (b *Bank) Dump() []AccountState {
-	out := make([]AccountState, 0, len(b.accounts))
-	for name, a := range b.accounts {
-		s := AccountState{Workspace: name, Tokens: a.tokens, Nodes: len(a.lent)}
-		for _, l := range a.lent {
+	out := make([]AccountState, 0, len(b.buckets))
+	for name, a := range b.buckets {
+		s := AccountState{Workspace: name, Tokens: a.tokens, Nodes: len(a.loans)}
+		for _, l := range a.loans {
 			s.Lent += l.count
 		}
 		out = append(out, s)
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -12,91 +12,91 @@
 	"github.com/cassialoom/cassialoom/workspace"
 )
 
-// fleet plays nodes, the store's leases and messages between nodes in modelled time. One
-// workspace sends at all nodes. It counts what was let in, at all nodes.
+// fleet simulates nodes, the leases of the store and the messages between nodes in
+// virtual time. One workspace sends requests to all nodes.
 type fleet struct {
 	cfg   Config
 	quota workspace.Quota
 	rng   *rand.Rand
 	now   time.Time
-	nodes []*member
-	lease store
-	// letIn are the moments of the requests that were let in.
-	letIn []time.Time
-	// naive replaces the exchange: each node lets in what it likes, by the quota that
-	// naive gives it.
-	naive    func(q workspace.Quota, nodes int) workspace.Quota
-	messages []message
-	// refused is the part of the requests with a token that is refused elsewhere.
-	refused float64
-	// lossy lets messages be lost, late, or come twice.
+	nodes []*simNode
+	store leaseStore
+	// admitted holds the times at which all nodes admitted requests.
+	admitted []time.Time
+	// localQuota, if set, replaces the exchange of tokens: each node enforces the
+	// returned quota on its own.
+	localQuota func(q workspace.Quota, nodes int) workspace.Quota
+	messages   []message
+	// rejectedShare is the fraction of requests with a token that a later check rejects.
+	rejectedShare float64
+	// lossy makes the network lose, delay and duplicate messages.
 	lossy   bool
 	offered int
-	// restores lets the store come back from older copies, trusting lets nodes take its
-	// word for what it has forgotten.
-	restores, trusting bool
+	// storeRestores makes the store restore older copies of itself. ignoreRestores makes
+	// nodes ignore that such a restore loses leases.
+	storeRestores, ignoreRestores bool
 }
 
-// member is one node.
-type member struct {
-	id     wire.NodeID
-	holder *Holder
-	bank   *Bank
-	tenure Tenure
-	number uint64
-	ask    *message
-	// pending are the requests that wait for a token, by when they came.
-	pending []time.Time
-	// stopped is until when the node does nothing and hears nothing: it is paused, or
-	// gone. cut is until when no message of its reaches others or the store.
-	stopped, cut time.Time
-	bucket       bucket
-	// era is the store's as the node knows it, zero for none, free when the leases that it
-	// may have forgotten have ended.
-	era  uint64
-	free time.Time
+// simNode is a simulated node.
+type simNode struct {
+	id          wire.NodeID
+	holder      *Holder
+	bank        *Bank
+	tenure      Tenure
+	number      uint64
+	openRequest *message
+	// waitingSince holds the arrival times of the requests that wait for a token.
+	waitingSince []time.Time
+	// The node is paused or down before stoppedUntil. It is partitioned from the other
+	// nodes and the store before partitionedUntil.
+	stoppedUntil, partitionedUntil time.Time
+	localBucket                    localBucket
+	// era is the last era of the store that the node has seen, zero if none. At freeAt
+	// all leases that the store may have lost have expired.
+	era    uint64
+	freeAt time.Time
 }
 
-// bucket is that of a naive node.
-type bucket struct {
+// localBucket is the token bucket of a node that enforces a quota on its own.
+type localBucket struct {
 	tokens float64
 	last   time.Time
 }
 
-// message is a question or its answer on the way.
+// message is a token request or its answer in transit.
 type message struct {
-	from, to int
-	at       time.Time
-	number   uint64
-	sent     time.Time
-	wants    []Want
-	grants   []Grant
-	answer   bool
+	from, to  int
+	deliverAt time.Time
+	number    uint64
+	sent      time.Time
+	wants     []Want
+	grants    []Grant
+	answer    bool
 }
 
-// store gives the one part that matters to one member at a time.
-type store struct {
+// leaseStore is the simulated store. It leases a single partition to one node at a time.
+type leaseStore struct {
 	owner      int // -1 for none
 	generation uint64
-	till       time.Time
-	// era begins with 1; copy is what the store comes back from.
+	expiresAt  time.Time
+	// era starts at 1 and grows with each restore of backup.
 	era  uint64
-	copy *store
+	copy *leaseStore
 }
 
-// restore brings back the copy, and makes another.
-func (s *store) restore() {
+// restore restores the last backup, if any, and takes a new one.
+func (s *leaseStore) restore() {
 	if s.copy != nil {
-		owner, generation, till := s.copy.owner, s.copy.generation, s.copy.till
-		s.owner, s.generation, s.till = owner, generation, till
+		owner, generation, expiresAt := s.copy.owner, s.copy.generation, s.copy.expiresAt
+		s.owner, s.generation, s.expiresAt = owner, generation, expiresAt
 		s.era++
 	}
-	now := *s
-	now.copy = nil
-	s.copy = &now
+	backup := *s
+	backup.copy = nil
+	s.copy = &backup
 }
 
-const hot = "hot"
+const hotWorkspace = "hot"
 
 var testQuota = workspace.Quota{Rate: 40, Burst: 40}
 
@@ -109,120 +109,120 @@
 
 func newFleet(seed uint64, nodes int) *fleet {
 	f := &fleet{cfg: testConfig(), quota: testQuota, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0)}
-	f.lease.owner, f.lease.era = -1, 1
+	f.store.owner, f.store.era = -1, 1
 	for range nodes {
-		f.nodes = append(f.nodes, &member{})
+		f.nodes = append(f.nodes, &simNode{})
 		f.restart(len(f.nodes) - 1)
 	}
 	return f
 }
 
-// restart begins a node anew: it knows nothing, and has another identity.
+// restart replaces a node by one without state and with a new ID.
 func (f *fleet) restart(i int) {
-	*f.nodes[i] = member{holder: NewHolder(f.cfg), bank: NewBank(f.cfg), stopped: f.nodes[i].stopped, cut: f.nodes[i].cut}
+	*f.nodes[i] = simNode{holder: NewHolder(f.cfg), bank: NewBank(f.cfg), stoppedUntil: f.nodes[i].stoppedUntil, partitionedUntil: f.nodes[i].partitionedUntil}
 	f.rng.Uint64()
 	for b := range f.nodes[i].id {
 		f.nodes[i].id[b] = byte(f.rng.Uint32())
 	}
 }
 
-func (f *fleet) up(i int) bool  { return !f.now.Before(f.nodes[i].stopped) }
-func (f *fleet) far(i int) bool { return f.now.Before(f.nodes[i].cut) }
+func (f *fleet) running(i int) bool     { return !f.now.Before(f.nodes[i].stoppedUntil) }
+func (f *fleet) partitioned(i int) bool { return f.now.Before(f.nodes[i].partitionedUntil) }
 
 const fleetStep = 10 * time.Millisecond
 
-// step plays a moment in which about so many requests come to each node.
+// step simulates one step in which each node gets perNode requests on average.
 func (f *fleet) step(perNode float64) {
 	f.now = f.now.Add(fleetStep)
-	f.renew()
+	f.renewLeases()
 	f.deliver()
 	for i := range f.nodes {
-		if !f.up(i) {
+		if !f.running(i) {
 			continue
 		}
 		for n := perNode; n > 0; n-- {
 			if n >= 1 || f.rng.Float64() < n {
-				f.request(i)
+				f.sendRequest(i)
 			}
 		}
-		if f.naive == nil {
-			f.settle(i)
-			f.askOwner(i)
+		if f.localQuota == nil {
+			f.finishWaiting(i)
+			f.requestTokens(i)
 		}
 	}
 }
 
-// renew lets nodes renew the lease; the first that comes gets one that has ended.
-func (f *fleet) renew() {
+// renewLeases renews the lease of the owner, or grants an expired one to a random node.
+func (f *fleet) renewLeases() {
 	for _, i := range f.rng.Perm(len(f.nodes)) {
-		if !f.up(i) || f.far(i) || f.rng.IntN(int(f.cfg.RenewEvery/fleetStep)) != 0 {
+		if !f.running(i) || f.partitioned(i) || f.rng.IntN(int(f.cfg.RenewEvery/fleetStep)) != 0 {
 			continue
 		}
-		if f.lease.owner != i && f.now.Before(f.lease.till) {
+		if f.store.owner != i && f.now.Before(f.store.expiresAt) {
 			continue
 		}
-		if f.lease.owner != i {
-			f.lease.owner = i
-			f.lease.generation++
+		if f.store.owner != i {
+			f.store.owner = i
+			f.store.generation++
 		}
-		f.lease.till = f.now.Add(f.cfg.LeaseLife)
-		f.nodes[i].renewed(f)
+		f.store.expiresAt = f.now.Add(f.cfg.LeaseLife)
+		f.nodes[i].receiveLease(f)
 	}
 }
 
-// renewed takes the store's answer to a renewal.
-func (m *member) renewed(f *fleet) {
-	if m.era != f.lease.era && (m.era != 0 || f.lease.era > 1) && !f.trusting {
-		m.free = f.now.Add(f.cfg.LeaseLife)
+// receiveLease applies the store's answer to a renewal.
+func (m *simNode) receiveLease(f *fleet) {
+	if m.era != f.store.era && (m.era != 0 || f.store.era > 1) && !f.ignoreRestores {
+		m.freeAt = f.now.Add(f.cfg.LeaseLife)
 	}
-	m.era = f.lease.era
-	m.tenure.Renewed(Lease{Sent: f.now, Life: f.cfg.LeaseLife, Generation: f.lease.era<<32 | f.lease.generation, Parts: []int{0}, FreeAt: m.free})
+	m.era = f.store.era
+	m.tenure.Renewed(Lease{Sent: f.now, Life: f.cfg.LeaseLife, Generation: f.store.era<<32 | f.store.generation, Parts: []int{0}, FreeAt: m.freeAt})
 }
 
-func (f *fleet) request(i int) {
+func (f *fleet) sendRequest(i int) {
 	f.offered++
 	m := f.nodes[i]
-	if f.naive != nil {
-		if m.bucket.take(f.now, f.naive(f.quota, len(f.nodes))) {
-			f.letIn = append(f.letIn, f.now)
+	if f.localQuota != nil {
+		if m.localBucket.take(f.now, f.localQuota(f.quota, len(f.nodes))) {
+			f.admitted = append(f.admitted, f.now)
 		}
 		return
 	}
-	if token, answer := m.holder.Take(f.now, hot); answer == Taken {
-		f.use(i, token)
+	if token, answer := m.holder.Take(f.now, hotWorkspace); answer == Taken {
+		f.useToken(i, token)
 	} else if answer == Wait {
-		m.holder.Waiting(hot, 1)
-		m.pending = append(m.pending, f.now)
+		m.holder.Waiting(hotWorkspace, 1)
+		m.waitingSince = append(m.waitingSince, f.now)
 	}
 }
 
-// settle lets in the requests that wait, or lets them go.
-func (f *fleet) settle(i int) {
+// finishWaiting admits waiting requests or rejects those that have waited too long.
+func (f *fleet) finishWaiting(i int) {
 	m := f.nodes[i]
-	var still []time.Time
-	for _, came := range m.pending {
-		token, answer := m.holder.Again(f.now, hot)
-		if answer == Wait && f.now.Sub(came) < f.cfg.WaitMost {
-			still = append(still, came)
+	var stillWaiting []time.Time
+	for _, since := range m.waitingSince {
+		token, answer := m.holder.Again(f.now, hotWorkspace)
+		if answer == Wait && f.now.Sub(since) < f.cfg.WaitMost {
+			stillWaiting = append(stillWaiting, since)
 			continue
 		}
-		m.holder.Waiting(hot, -1)
+		m.holder.Waiting(hotWorkspace, -1)
 		if answer == Taken {
-			f.use(i, token)
+			f.useToken(i, token)
 		}
 	}
-	m.pending = still
+	m.waitingSince = stillWaiting
 }
 
-func (f *fleet) use(i int, t Token) {
-	if f.rng.Float64() < f.refused {
+func (f *fleet) useToken(i int, t Token) {
+	if f.rng.Float64() < f.rejectedShare {
 		f.nodes[i].holder.Return(f.now, t)
 		return
 	}
-	f.letIn = append(f.letIn, f.now)
+	f.admitted = append(f.admitted, f.now)
 }
 
-func (b *bucket) take(now time.Time, q workspace.Quota) bool {
+func (b *localBucket) take(now time.Time, q workspace.Quota) bool {
 	if b.last.IsZero() {
 		b.tokens = q.Burst
 	} else {
@@ -236,13 +236,13 @@
 	return true
 }
 
-func (f *fleet) askOwner(i int) {
+func (f *fleet) requestTokens(i int) {
 	m := f.nodes[i]
-	if m.ask != nil && f.now.Sub(m.ask.sent) >= f.cfg.AskTimeout {
-		m.holder.Unanswered(m.ask.wants)
-		m.ask = nil
+	if m.openRequest != nil && f.now.Sub(m.openRequest.sent) >= f.cfg.AskTimeout {
+		m.holder.Unanswered(m.openRequest.wants)
+		m.openRequest = nil
 	}
-	if m.ask != nil || f.lease.owner < 0 {
+	if m.openRequest != nil || f.store.owner < 0 {
 		return
 	}
 	wants := m.holder.Wants(f.now, func(string) bool { return true })
@@ -251,18 +251,18 @@
 	}
 	m.number++
 	m.holder.Asked(f.now, wants)
-	q := message{from: i, to: f.lease.owner, number: m.number, sent: f.now, wants: wants}
-	m.ask = &q
-	f.post(q)
+	q := message{from: i, to: f.store.owner, number: m.number, sent: f.now, wants: wants}
+	m.openRequest = &q
+	f.send(q)
 }
 
-// post sends a message.
-func (f *fleet) post(m message) {
-	if f.far(m.from) {
+// send sends a message, subject to the faults of the network.
+func (f *fleet) send(m message) {
+	if f.partitioned(m.from) {
 		return
 	}
 	if !f.lossy {
-		m.at = f.now.Add(fleetStep)
+		m.deliverAt = f.now.Add(fleetStep)
 		f.messages = append(f.messages, m)
 		return
 	}
@@ -274,9 +274,9 @@
 		copies++
 	}
 	for range copies {
-		m.at = f.now.Add(time.Duration(f.rng.IntN(40)) * time.Millisecond)
+		m.deliverAt = f.now.Add(time.Duration(f.rng.IntN(40)) * time.Millisecond)
 		if f.rng.IntN(30) == 0 {
-			m.at = f.now.Add(time.Duration(f.rng.IntN(4000)) * time.Millisecond)
+			m.deliverAt = f.now.Add(time.Duration(f.rng.IntN(4000)) * time.Millisecond)
 		}
 		f.messages = append(f.messages, m)
 	}
@@ -288,19 +288,19 @@
 	f.messages = nil
 	for _, m := range due {
 		switch {
-		case m.at.After(f.now) || !f.up(m.to):
+		case m.deliverAt.After(f.now) || !f.running(m.to):
 			later = append(later, m)
-		case f.far(m.to):
+		case f.partitioned(m.to):
 		case m.answer:
-			f.answered(m)
+			f.receiveAnswer(m)
 		default:
-			f.asked(m)
+			f.receiveRequest(m)
 		}
 	}
 	f.messages = append(later, f.messages...)
 }
 
-func (f *fleet) asked(m message) {
+func (f *fleet) receiveRequest(m message) {
 	owner := f.nodes[m.to]
 	if !owner.bank.Accept(f.nodes[m.from].id, m.number) {
 		return
@@ -311,162 +311,161 @@
 			answer.grants = append(answer.grants, owner.bank.Lend(f.now, since, f.nodes[m.from].id, w, f.quota))
 		}
 	}
-	f.post(answer)
+	f.send(answer)
 }
 
-func (f *fleet) answered(m message) {
+func (f *fleet) receiveAnswer(m message) {
 	node := f.nodes[m.to]
-	if node.ask == nil || node.ask.number != m.number {
+	if node.openRequest == nil || node.openRequest.number != m.number {
 		return
 	}
-	node.holder.Granted(f.now, node.ask.sent, node.ask.wants, m.grants)
-	node.ask = nil
+	node.holder.Granted(f.now, node.openRequest.sent, node.openRequest.wants, m.grants)
+	node.openRequest = nil
 }
 
-// limit is the most that a window may hold.
-func (f *fleet) limit() int {
+// maxPerWindow returns the maximum number of requests that may be admitted in a window.
+func (f *fleet) maxPerWindow() int {
 	q := f.quota.Rate*f.cfg.Window.Seconds() + f.quota.Burst
 	return int(q*(1+f.cfg.Overage) + f.cfg.Slack)
 }
 
-// most is the greatest number that was let in in any window.
-func (f *fleet) most() int {
-	most, first := 0, 0
-	for i, at := range f.letIn {
-		for at.Sub(f.letIn[first]) >= f.cfg.Window {
+// peak returns the highest number of requests admitted in any window.
+func (f *fleet) peak() int {
+	peak, first := 0, 0
+	for i, at := range f.admitted {
+		for at.Sub(f.admitted[first]) >= f.cfg.Window {
 			first++
 		}
-		most = max(most, i-first+1)
+		peak = max(peak, i-first+1)
 	}
-	return most
+	return peak
 }
 
-// play runs for a time with faults drawn from the seed.
-func (f *fleet) play(d time.Duration, perNode float64, faults bool) {
+// run simulates a span of time, with random faults if faults is set.
+func (f *fleet) run(d time.Duration, perNode float64, faults bool) {
 	f.lossy = faults
 	for end := f.now.Add(d); f.now.Before(end); {
 		if faults && f.rng.IntN(40) == 0 {
-			f.fault()
+			f.injectFault()
 		}
 		f.step(perNode)
 	}
 }
 
-func (f *fleet) fault() {
+func (f *fleet) injectFault() {
 	i := f.rng.IntN(len(f.nodes))
 	span := time.Duration(f.rng.IntN(5000)) * time.Millisecond
-	if f.restores && f.rng.IntN(4) == 0 {
-		f.lease.restore()
+	if f.storeRestores && f.rng.IntN(4) == 0 {
+		f.store.restore()
 		return
 	}
 	switch f.rng.IntN(7) {
-	case 0: // paused: it goes on with all that it knows
-		f.nodes[i].stopped = f.now.Add(span)
-	case 1: // killed
+	case 0: // pause: the node keeps its state
+		f.nodes[i].stoppedUntil = f.now.Add(span)
+	case 1: // crash
 		f.restart(i)
-		f.nodes[i].stopped = f.now.Add(span / 4)
+		f.nodes[i].stoppedUntil = f.now.Add(span / 4)
 	case 2, 3:
-		f.nodes[i].cut = f.now.Add(span)
-	case 4: // the owner is what hurts most
-		if f.lease.owner >= 0 {
-			f.nodes[f.lease.owner].stopped = f.now.Add(span)
+		f.nodes[i].partitionedUntil = f.now.Add(span)
+	case 4: // pause of the owner
+		if f.store.owner >= 0 {
+			f.nodes[f.store.owner].stoppedUntil = f.now.Add(span)
 		}
-	case 6: // a service further down is short, or is not any more
-		f.refused = float64(f.rng.IntN(3)) / 2
+	case 6: // later checks reject none, half or all of the requests
+		f.rejectedShare = float64(f.rng.IntN(3)) / 2
 	case 5:
-		if f.rng.IntN(5) == 0 { // all at once
+		if f.rng.IntN(5) == 0 { // crash of all nodes
 			for j := range f.nodes {
 				f.restart(j)
-				f.nodes[j].stopped = f.now.Add(time.Second)
+				f.nodes[j].stoppedUntil = f.now.Add(time.Second)
 			}
 		}
 	}
 }
 
-// A workspace sends four times its quota at eight nodes, for half a minute, with nothing
-// broken: no window holds more than it may, and what it may send is let in.
-func TestHotWorkspaceGetsItsQuotaAndNoMore(t *testing.T) {
+// Guards against admitting more or much less than the quota of an overloading workspace
+// when there are no faults.
+func TestOverloadingWorkspaceGetsExactlyItsQuota(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, 8)
-	f.play(30*time.Second, 4*testQuota.Rate/8*fleetStep.Seconds(), false)
-	is.True(f.most() <= f.limit())
-	perSecond := float64(len(f.letIn)) / 30
+	f.run(30*time.Second, 4*testQuota.Rate/8*fleetStep.Seconds(), false)
+	is.True(f.peak() <= f.maxPerWindow())
+	perSecond := float64(len(f.admitted)) / 30
 	is.True(perSecond > 0.9*(testQuota.Rate+testQuota.Burst/5))
 }
 
-// A workspace sends nine requests a second, well below its quota, over thirty nodes: a
-// fixed part for each node would be less than two requests a second.
-func TestSmallWorkspaceOverManyNodesIsNotRefused(t *testing.T) {
+// Guards against rejecting a workspace below its quota because its requests are spread
+// over many nodes.
+func TestSmallWorkspaceOverManyNodesIsNotRejected(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2, 30)
 	f.quota = workspace.Quota{Rate: 15, Burst: 15}
-	f.play(2*time.Second, 0, false)
-	f.play(20*time.Second, 9.0/30*fleetStep.Seconds(), false)
-	is.True(float64(len(f.letIn)) > 0.98*float64(f.offered))
-	is.True(f.most() <= f.limit())
+	f.run(2*time.Second, 0, false)
+	f.run(20*time.Second, 9.0/30*fleetStep.Seconds(), false)
+	is.True(float64(len(f.admitted)) > 0.98*float64(f.offered))
+	is.True(f.peak() <= f.maxPerWindow())
 }
 
-// Nodes are paused, killed, cut off and started anew, all of them at once at times;
-// messages are lost, late and come twice; all or half of the requests with tokens are
-// refused elsewhere for a while, and then none; the workspace sends up to ten times its quota.
-// No window, over all nodes, holds more than it may.
-func TestNoWindowHoldsMore(t *testing.T) {
+// Guards against exceeding the quota in any window while nodes pause, crash, restart and
+// are partitioned, messages are lost, delayed and duplicated, and later checks reject.
+func TestQuotaHoldsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 12).Draw(t, "nodes"))
 		factor := rapid.Float64Range(0.5, 10).Draw(t, "times the quota")
-		f.play(20*time.Second, factor*testQuota.Rate/float64(len(f.nodes))*fleetStep.Seconds(), true)
-		if f.most() > f.limit() {
-			t.Fatalf("%d in a window, %d may be", f.most(), f.limit())
+		f.run(20*time.Second, factor*testQuota.Rate/float64(len(f.nodes))*fleetStep.Seconds(), true)
+		if f.peak() > f.maxPerWindow() {
+			t.Fatalf("%d requests admitted in a window, limit %d", f.peak(), f.maxPerWindow())
 		}
 	})
 }
 
-// Guards against quotas that are lent twice when the store comes back from an older copy
-// and gives away what another node still owns by a lease that it has forgotten.
-func TestNoWindowHoldsMoreAfterRestores(t *testing.T) {
+// Guards against two owners that lend the same quota after the store was restored from an
+// older copy and has lost a lease.
+func TestQuotaHoldsInEveryWindowAfterRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 12).Draw(t, "nodes"))
-		f.restores = true
+		f.storeRestores = true
 		factor := rapid.Float64Range(0.5, 10).Draw(t, "times the quota")
-		f.play(20*time.Second, factor*testQuota.Rate/float64(len(f.nodes))*fleetStep.Seconds(), true)
-		if f.most() > f.limit() {
-			t.Fatalf("%d in a window, %d may be", f.most(), f.limit())
+		f.run(20*time.Second, factor*testQuota.Rate/float64(len(f.nodes))*fleetStep.Seconds(), true)
+		if f.peak() > f.maxPerWindow() {
+			t.Fatalf("%d requests admitted in a window, limit %d", f.peak(), f.maxPerWindow())
 		}
 	})
 }
 
-// Nodes that take the word of a store that has forgotten leases let in too much.
-func TestTrustInARestoredStoreFails(t *testing.T) {
+// Checks that the simulation detects the failure that Lease.FreeAt prevents: without it a
+// restored store leads to an exceeded quota.
+func TestIgnoringRestoresExceedsTheQuota(t *testing.T) {
 	is := is.New(t)
-	most := 0
+	peak := 0
 	for seed := range uint64(20) {
 		f := newFleet(seed, 8)
-		f.restores, f.trusting = true, true
-		f.play(20*time.Second, 10*testQuota.Rate/8*fleetStep.Seconds(), true)
-		most = max(most, f.most()-f.limit())
+		f.storeRestores, f.ignoreRestores = true, true
+		f.run(20*time.Second, 10*testQuota.Rate/8*fleetStep.Seconds(), true)
+		peak = max(peak, f.peak()-f.maxPerWindow())
 	}
-	t.Logf("%d more than a window may hold", most)
-	is.True(most > 0)
+	t.Logf("%d requests above the limit of a window", peak)
+	is.True(peak > 0)
 }
 
-// The two ways without an exchange fail: each node with the whole quota lets in too
-// much, each with its part refuses what a workspace may send when it sends at one node.
-func TestWaysWithoutAnExchangeFail(t *testing.T) {
+// Checks that limits without exchange fail: the whole quota at each node admits too much,
+// an equal share at each node rejects a workspace that uses a single node.
+func TestLimitsWithoutExchangeFail(t *testing.T) {
 	is := is.New(t)
-	whole := newFleet(3, 8)
-	whole.naive = func(q workspace.Quota, _ int) workspace.Quota { return q }
-	whole.play(15*time.Second, 4*testQuota.Rate/8*fleetStep.Seconds(), false)
-	is.True(whole.most() > whole.limit())
+	fullQuota := newFleet(3, 8)
+	fullQuota.localQuota = func(q workspace.Quota, _ int) workspace.Quota { return q }
+	fullQuota.run(15*time.Second, 4*testQuota.Rate/8*fleetStep.Seconds(), false)
+	is.True(fullQuota.peak() > fullQuota.maxPerWindow())
 
-	parts := newFleet(4, 8)
-	parts.naive = func(q workspace.Quota, n int) workspace.Quota {
+	equalShares := newFleet(4, 8)
+	equalShares.localQuota = func(q workspace.Quota, n int) workspace.Quota {
 		return workspace.Quota{Rate: q.Rate / float64(n), Burst: q.Burst / float64(n)}
 	}
 	for range int(10 * time.Second / fleetStep) {
-		parts.now = parts.now.Add(fleetStep)
-		if parts.rng.Float64() < 0.6*testQuota.Rate*fleetStep.Seconds() {
-			parts.request(0)
+		equalShares.now = equalShares.now.Add(fleetStep)
+		if equalShares.rng.Float64() < 0.6*testQuota.Rate*fleetStep.Seconds() {
+			equalShares.sendRequest(0)
 		}
 	}
-	is.True(float64(len(parts.letIn)) < 0.4*float64(parts.offered))
+	is.True(float64(len(equalShares.admitted)) < 0.4*float64(equalShares.offered))
 }
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -6,134 +6,137 @@
 	"time"
 )
 
-// Token lets one request in.
+// Token admits one request.
 type Token struct {
 	workspace string
-	till      time.Time
+	expiresAt time.Time
 }
 
-// Answer says what a request is to do.
+// Answer is the result of taking a token.
 type Answer uint8
 
 const (
-	// Taken: the request has a token.
+	// Taken means that the request has a token.
 	Taken Answer = iota
-	// Wait: the owner is to be asked.
+	// Wait means that no token is left and the owner must be asked.
 	Wait
-	// Over: the workspace has used its quota.
+	// Over means that the workspace has used up its quota.
 	Over
 )
 
-// Holder holds the tokens that this node was lent.
+// Holder manages the tokens lent to this node.
 type Holder struct {
 	cfg    Config
-	spaces map[string]*stock
+	states map[string]*tokenState
 }
 
 // NewHolder returns a Holder without tokens.
-func NewHolder(cfg Config) *Holder { return &Holder{cfg: cfg, spaces: make(map[string]*stock)} }
+func NewHolder(cfg Config) *Holder { return &Holder{cfg: cfg, states: make(map[string]*tokenState)} }
 
-// stock is what the node has for one workspace.
-type stock struct {
-	lots    []lot // the one that ends first comes first
+// tokenState holds the tokens, the waiting requests and the state of token requests
+// of one workspace.
+type tokenState struct {
+	batches []tokenBatch // sorted by expiry, earliest first
 	demand  demand
 	waiting uint32
-	// asking marks a question under way.
-	asking bool
-	// asked is when the owner was last asked.
-	asked time.Time
-	// closed is until when the owner is not asked again since the quota is used, again the
-	// same since it has said nothing.
-	closed, again time.Time
+	// inFlight is set while a token request is in flight.
+	inFlight bool
+	// requestedAt is the time of the last token request.
+	requestedAt time.Time
+	// No token request is sent before pausedUntil (the quota is used up) and retryAt (the
+	// owner gave no answer for the workspace).
+	pausedUntil, retryAt time.Time
 }
 
-// lot is a number of tokens that end at one moment.
-type lot struct {
-	count uint32
-	till  time.Time
+// tokenBatch is a number of tokens that expire at the same time.
+type tokenBatch struct {
+	count     uint32
+	expiresAt time.Time
 }
 
-// idleAfter is how long a workspace without requests is remembered.
-const idleAfter = time.Minute
+// dropIdleAfter is the time after which a workspace without requests is dropped.
+const dropIdleAfter = time.Minute
 
-// closedWait is how long before a workspace may be asked for again a request waits
-// instead of being refused: less than its caller would notice.
-const closedWait = 30 * time.Millisecond
+// maxWaitForPause is the longest remaining pause (Config.CloseFor) for which a request
+// waits instead of being rejected.
+const maxWaitForPause = 30 * time.Millisecond
 
-// Take takes a token for a request of a workspace.
+// Take takes a token for a new request of a workspace and counts the request as demand.
 func (h *Holder) Take(now time.Time, name string) (Token, Answer) {
-	s := h.stock(name)
-	s.demand.note(now)
-	return h.take(now, name, s)
+	s := h.tokenState(name)
+	s.demand.record(now)
+	return h.takeToken(now, name, s)
 }
 
-// Again is Take for a request that has waited.
+// Again takes a token for a request that has waited. It does not count as new demand.
 func (h *Holder) Again(now time.Time, name string) (Token, Answer) {
-	return h.take(now, name, h.stock(name))
+	return h.takeToken(now, name, h.tokenState(name))
 }
 
-func (h *Holder) take(now time.Time, name string, s *stock) (Token, Answer) {
-	s.settle(now)
-	if len(s.lots) > 0 {
-		l := &s.lots[0]
-		t := Token{workspace: name, till: l.till}
+func (h *Holder) takeToken(now time.Time, name string, s *tokenState) (Token, Answer) {
+	s.dropExpiredTokens(now)
+	if len(s.batches) > 0 {
+		l := &s.batches[0]
+		t := Token{workspace: name, expiresAt: l.expiresAt}
 		l.count--
 		if l.count == 0 {
-			s.lots = s.lots[1:]
+			s.batches = s.batches[1:]
 		}
 		return t, Taken
 	}
-	if s.closed.Sub(now) > closedWait {
+	if s.pausedUntil.Sub(now) > maxWaitForPause {
 		return Token{}, Over
 	}
 	return Token{}, Wait
 }
 
-// Return gives a token back whose request has not run.
+// Return gives back the token of a request that was not run. The token may be used for
+// at most Config.ReturnLife.
 func (h *Holder) Return(now time.Time, t Token) {
-	s, ok := h.spaces[t.workspace]
-	if ok && now.Before(t.till) {
-		s.add(lot{count: 1, till: earlier(t.till, now.Add(h.cfg.ReturnLife))})
+	s, ok := h.states[t.workspace]
+	if ok && now.Before(t.expiresAt) {
+		s.addBatch(tokenBatch{count: 1, expiresAt: earlierOf(t.expiresAt, now.Add(h.cfg.ReturnLife))})
 	}
 }
 
-func earlier(a, b time.Time) time.Time {
+func earlierOf(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
 	return b
 }
 
-// Waiting notes that a request begins (1) or ends (-1) to wait for a token.
+// Waiting adds change to the number of requests of a workspace that wait for a token.
 func (h *Holder) Waiting(name string, change int) {
-	s := h.stock(name)
+	s := h.tokenState(name)
 	s.waiting = uint32(max(0, int(s.waiting)+change))
 }
 
-func (h *Holder) stock(name string) *stock {
-	s, ok := h.spaces[name]
+func (h *Holder) tokenState(name string) *tokenState {
+	s, ok := h.states[name]
 	if !ok {
-		s = &stock{}
-		h.spaces[name] = s
+		s = &tokenState{}
+		h.states[name] = s
 	}
 	return s
 }
 
-// Wants lists what is to be asked for now, in no order: for the workspaces for which
-// requests wait or that lack tokens. A workspace for which due is false is left out.
+// Wants returns the token requests that are due, in no particular order: for workspaces
+// with waiting requests or too few tokens. It skips workspaces for which due returns
+// false.
 func (h *Holder) Wants(now time.Time, due func(workspace string) bool) []Want {
 	var wants []Want
-	for name, s := range h.spaces {
-		s.settle(now)
-		if s.demand.idle(now) > idleAfter && s.waiting == 0 {
-			delete(h.spaces, name)
+	for name, s := range h.states {
+		s.dropExpiredTokens(now)
+		if s.demand.idleTime(now) > dropIdleAfter && s.waiting == 0 {
+			delete(h.states, name)
 			continue
 		}
-		if s.asking || now.Before(s.closed) || now.Before(s.again) || !due(name) {
+		if s.inFlight || now.Before(s.pausedUntil) || now.Before(s.retryAt) || !due(name) {
 			continue
 		}
-		w := s.want(now, name, h.cfg)
-		if w.Waiting+w.Ahead == 0 || w.Waiting == 0 && now.Sub(s.asked) < h.cfg.AheadEvery {
+		w := s.tokenRequest(now, name, h.cfg)
+		if w.Waiting+w.Ahead == 0 || w.Waiting == 0 && now.Sub(s.requestedAt) < h.cfg.AheadEvery {
 			continue
 		}
 		wants = append(wants, w)
@@ -141,11 +144,11 @@
 	return wants
 }
 
-func (s *stock) want(now time.Time, name string, cfg Config) Want {
+func (s *tokenState) tokenRequest(now time.Time, name string, cfg Config) Want {
 	target := uint32(s.demand.rate(now) * cfg.Ahead.Seconds())
 	held := s.count()
-	// A token that has just come may still be there with the request that waited for it:
-	// asked for again, it would be lent in vain.
+	// A token that has just arrived may not yet be taken by the request that waits for
+	// it. That request must not be counted again.
 	w := Want{Workspace: name, Held: held, Waiting: s.waiting - min(s.waiting, held)}
 	if held < target {
 		w.Ahead = target - held
@@ -153,90 +156,90 @@
 	return w
 }
 
-// Asked notes that the wants were sent to an owner.
+// Asked records that the token requests were sent to an owner.
 func (h *Holder) Asked(now time.Time, wants []Want) {
-	h.setAsking(wants, true)
+	h.setInFlight(wants, true)
 	for _, w := range wants {
-		h.stock(w.Workspace).asked = now
+		h.tokenState(w.Workspace).requestedAt = now
 	}
 }
 
-// Unanswered notes that no answer to the wants will be taken.
-func (h *Holder) Unanswered(wants []Want) { h.setAsking(wants, false) }
+// Unanswered records that the token requests failed or timed out.
+func (h *Holder) Unanswered(wants []Want) { h.setInFlight(wants, false) }
 
-func (h *Holder) setAsking(wants []Want, asking bool) {
+// setInFlight records whether token requests for the workspaces are in flight.
+func (h *Holder) setInFlight(wants []Want, inFlight bool) {
 	for _, w := range wants {
-		if s, ok := h.spaces[w.Workspace]; ok {
-			s.asking = asking
+		if s, ok := h.states[w.Workspace]; ok {
+			s.inFlight = inFlight
 		}
 	}
 }
 
-// Granted takes the answer to a question that was sent at a moment. A workspace that it
-// does not name is not asked for again at once: requests wait, and each answer would bring
-// the next question.
+// Granted applies an owner's answer to the token requests sent at the given time. For a
+// workspace that the answer does not name the next request is delayed by
+// Config.AskAgain; without the delay waiting requests would cause a loop of messages.
 func (h *Holder) Granted(now, sent time.Time, wants []Want, grants []Grant) {
-	h.setAsking(wants, false)
+	h.setInFlight(wants, false)
 	for _, w := range wants {
-		named := slices.ContainsFunc(grants, func(g Grant) bool { return g.Workspace == w.Workspace })
-		if s, ok := h.spaces[w.Workspace]; ok && !named {
-			s.again = now.Add(h.cfg.AskAgain)
+		answered := slices.ContainsFunc(grants, func(g Grant) bool { return g.Workspace == w.Workspace })
+		if s, ok := h.states[w.Workspace]; ok && !answered {
+			s.retryAt = now.Add(h.cfg.AskAgain)
 		}
 	}
 	for _, g := range grants {
-		s, ok := h.spaces[g.Workspace]
+		s, ok := h.states[g.Workspace]
 		if !ok {
 			continue
 		}
 		if g.Now > 0 {
-			s.add(lot{count: g.Now, till: now.Add(h.cfg.ReturnLife)})
+			s.addBatch(tokenBatch{count: g.Now, expiresAt: now.Add(h.cfg.ReturnLife)})
 		}
 		if g.Ahead > 0 {
-			s.add(lot{count: g.Ahead, till: sent.Add(h.cfg.TokenLife)})
+			s.addBatch(tokenBatch{count: g.Ahead, expiresAt: sent.Add(h.cfg.TokenLife)})
 		}
 		if g.Short {
-			s.closed = now.Add(h.cfg.CloseFor)
+			s.pausedUntil = now.Add(h.cfg.CloseFor)
 		}
 	}
 }
 
-func (s *stock) add(l lot) {
-	i, _ := slices.BinarySearchFunc(s.lots, l, func(a, b lot) int { return a.till.Compare(b.till) })
-	s.lots = slices.Insert(s.lots, i, l)
+func (s *tokenState) addBatch(l tokenBatch) {
+	i, _ := slices.BinarySearchFunc(s.batches, l, func(a, b tokenBatch) int { return a.expiresAt.Compare(b.expiresAt) })
+	s.batches = slices.Insert(s.batches, i, l)
 }
 
-func (s *stock) count() uint32 {
+func (s *tokenState) count() uint32 {
 	total := uint32(0)
-	for _, l := range s.lots {
+	for _, l := range s.batches {
 		total += l.count
 	}
 	return total
 }
 
-// settle drops tokens that have ended.
-func (s *stock) settle(now time.Time) {
-	for len(s.lots) > 0 && !now.Before(s.lots[0].till) {
-		s.lots = s.lots[1:]
+func (s *tokenState) dropExpiredTokens(now time.Time) {
+	for len(s.batches) > 0 && !now.Before(s.batches[0].expiresAt) {
+		s.batches = s.batches[1:]
 	}
 }
 
-// demand is the rate of requests as an average that fades.
+// demand is an exponentially decaying average of the request rate.
 type demand struct {
 	perSecond float64
-	last      time.Time
+	updatedAt time.Time
 }
 
-// demandFade is the time in which the weight of a request falls to a third.
-const demandFade = time.Second
+// demandTimeConstant is the time constant of the decay.
+const demandTimeConstant = time.Second
 
-func (d *demand) note(now time.Time) {
-	d.perSecond = d.rate(now) + 1/demandFade.Seconds()
-	d.last = now
+func (d *demand) record(now time.Time) {
+	d.perSecond = d.rate(now) + 1/demandTimeConstant.Seconds()
+	d.updatedAt = now
 }
 
 func (d *demand) rate(now time.Time) float64 {
-	passed := max(0, now.Sub(d.last))
-	return d.perSecond * math.Exp(-float64(passed)/float64(demandFade))
+	passed := max(0, now.Sub(d.updatedAt))
+	return d.perSecond * math.Exp(-float64(passed)/float64(demandTimeConstant))
 }
 
-func (d *demand) idle(now time.Time) time.Duration { return now.Sub(d.last) }
+func (d *demand) idleTime(now time.Time) time.Duration { return now.Sub(d.updatedAt) }
--- a/quota/holder_test.go
+++ b/quota/holder_test.go
@@ -7,62 +7,61 @@
 	"github.com/matryer/is"
 )
 
-var begin = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-func always(string) bool { return true }
+func allDue(string) bool { return true }
 
-// A request waits, its token comes, and before the request has taken it the node looks
-// again what to ask for. Asked for twice, half of a workspace's tokens would be lent in
-// vain, and its callers get 429 below their quota.
-func TestTokenThatHasComeIsNotAskedForAgain(t *testing.T) {
+// Guards against asking twice for the token of one waiting request: half of a workspace's
+// tokens would stay unused, and its callers would get 429 below their quota.
+func TestWaitingRequestWithArrivedTokenIsNotCountedAgain(t *testing.T) {
 	is := is.New(t)
 	h := NewHolder(testConfig())
-	_, answer := h.Take(begin, hot)
+	_, answer := h.Take(startTime, hotWorkspace)
 	is.Equal(answer, Wait)
-	h.Waiting(hot, 1)
-	wants := h.Wants(begin, always)
-	is.Equal(wants, []Want{{Workspace: hot, Waiting: 1}})
-	h.Asked(begin, wants)
-	is.Equal(len(h.Wants(begin, always)), 0) // while the question is under way
-	h.Granted(begin, begin, wants, []Grant{{Workspace: hot, Now: 1}})
-	is.Equal(len(h.Wants(begin, always)), 0)
-	_, answer = h.Again(begin, hot)
+	h.Waiting(hotWorkspace, 1)
+	wants := h.Wants(startTime, allDue)
+	is.Equal(wants, []Want{{Workspace: hotWorkspace, Waiting: 1}})
+	h.Asked(startTime, wants)
+	is.Equal(len(h.Wants(startTime, allDue)), 0) // a token request is in flight
+	h.Granted(startTime, startTime, wants, []Grant{{Workspace: hotWorkspace, Now: 1}})
+	is.Equal(len(h.Wants(startTime, allDue)), 0)
+	_, answer = h.Again(startTime, hotWorkspace)
 	is.Equal(answer, Taken)
 }
 
-// A workspace far above its quota asks at each node again only after a while; its
-// requests are refused at once meanwhile.
-func TestShortWorkspaceIsClosedForAWhile(t *testing.T) {
+// Guards against one token request per rejected request when a workspace is far above its
+// quota.
+func TestTokenRequestsPauseWhenQuotaIsUsedUp(t *testing.T) {
 	is := is.New(t)
 	cfg := testConfig()
 	h := NewHolder(cfg)
-	h.Take(begin, hot)
-	h.Waiting(hot, 1)
-	wants := h.Wants(begin, always)
-	h.Granted(begin, begin, wants, []Grant{{Workspace: hot, Short: true}})
-	_, answer := h.Again(begin, hot)
+	h.Take(startTime, hotWorkspace)
+	h.Waiting(hotWorkspace, 1)
+	wants := h.Wants(startTime, allDue)
+	h.Granted(startTime, startTime, wants, []Grant{{Workspace: hotWorkspace, Short: true}})
+	_, answer := h.Again(startTime, hotWorkspace)
 	is.Equal(answer, Over)
-	is.Equal(len(h.Wants(begin, always)), 0)
-	_, answer = h.Again(begin.Add(cfg.CloseFor), hot)
+	is.Equal(len(h.Wants(startTime, allDue)), 0)
+	_, answer = h.Again(startTime.Add(cfg.CloseFor), hotWorkspace)
 	is.Equal(answer, Wait)
-	is.Equal(len(h.Wants(begin.Add(cfg.CloseFor), always)), 1)
+	is.Equal(len(h.Wants(startTime.Add(cfg.CloseFor), allDue)), 1)
 }
 
-// A request with a token is refused elsewhere: its token serves the next request, but
-// not one that comes much later, since the owner takes it for used.
-func TestReturnedTokenLivesShort(t *testing.T) {
+// Guards against saved-up returned tokens, which the owner counts as used: together they
+// would exceed the quota.
+func TestReturnedTokenExpiresSoon(t *testing.T) {
 	is := is.New(t)
 	cfg := testConfig()
 	h := NewHolder(cfg)
-	h.Take(begin, hot)
-	h.Granted(begin, begin, nil, []Grant{{Workspace: hot, Ahead: 2}})
-	token, answer := h.Take(begin, hot)
+	h.Take(startTime, hotWorkspace)
+	h.Granted(startTime, startTime, nil, []Grant{{Workspace: hotWorkspace, Ahead: 2}})
+	token, answer := h.Take(startTime, hotWorkspace)
 	is.Equal(answer, Taken)
-	h.Take(begin, hot)
-	h.Return(begin, token)
-	again, answer := h.Take(begin.Add(cfg.ReturnLife/2), hot)
+	h.Take(startTime, hotWorkspace)
+	h.Return(startTime, token)
+	reused, answer := h.Take(startTime.Add(cfg.ReturnLife/2), hotWorkspace)
 	is.Equal(answer, Taken)
-	h.Return(begin.Add(cfg.ReturnLife/2), again)
-	_, answer = h.Take(begin.Add(2*cfg.ReturnLife), hot)
+	h.Return(startTime.Add(cfg.ReturnLife/2), reused)
+	_, answer = h.Take(startTime.Add(2*cfg.ReturnLife), hotWorkspace)
 	is.Equal(answer, Wait)
 }
--- a/quota/owners.go
+++ b/quota/owners.go
@@ -6,7 +6,8 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Claim is the word of an owner about what it owns.
+// Claim states which partitions a node owns. The owner publishes it, and other nodes pass
+// it on in answers to token requests.
 type Claim struct {
 	_          struct{} `cbor:",toarray"`
 	Owner      wire.NodeID
@@ -14,21 +15,21 @@
 	Parts      []int
 }
 
-// Owners is what a node knows of who owns which part. It is a hint: only the owner's own
-// lease decides whether it lends.
+// Owners maps partitions to their owners as far as this node knows. The map is a hint:
+// only the owner's lease decides whether it lends tokens.
 type Owners struct {
-	claims []Claim // one of each owner
+	claims []Claim // one per owner
 	byPart map[int]wire.NodeID
 }
 
-// maxClaims bounds the owners that are known: a peer could name any number. There are a
-// few, and those that were replaced.
+// maxClaims bounds the number of known owners, because a peer could claim for any number
+// of them. It leaves space for owners that were replaced.
 const maxClaims = 128
 
-// NewOwners returns Owners that know none.
+// NewOwners returns an empty Owners.
 func NewOwners() *Owners { return &Owners{byPart: make(map[int]wire.NodeID)} }
 
-// Heard takes a claim, and reports whether it is news.
+// Heard records a received claim and reports whether it changed anything.
 func (o *Owners) Heard(c Claim) bool {
 	i := slices.IndexFunc(o.claims, func(known Claim) bool { return known.Owner == c.Owner })
 	switch {
@@ -43,7 +44,7 @@
 	return true
 }
 
-// rebuild lets the newest claim to each part count.
+// rebuild assigns each partition to the claim with the highest generation.
 func (o *Owners) rebuild() {
 	o.claims = slices.DeleteFunc(o.claims, func(c Claim) bool { return len(c.Parts) == 0 })
 	slices.SortStableFunc(o.claims, func(a, b Claim) int {
@@ -64,11 +65,11 @@
 	}
 }
 
-// Of returns the owner of a part.
+// Of returns the owner of a partition.
 func (o *Owners) Of(part int) (wire.NodeID, bool) {
 	id, ok := o.byPart[part]
 	return id, ok
 }
 
-// Claims lists all that is known, to be told to others.
+// Claims returns all known claims, for publication to other nodes.
 func (o *Owners) Claims() []Claim { return slices.Clone(o.claims) }
--- a/quota/owners_test.go
+++ b/quota/owners_test.go
@@ -8,27 +8,28 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-func node(n byte) wire.NodeID { return wire.NodeID{n} }
+func nodeID(n byte) wire.NodeID { return wire.NodeID{n} }
 
-// A part moves from one owner to the next; claims come in any order, late and twice.
-func TestNewestClaimToAPartCounts(t *testing.T) {
+// Guards against claims that arrive late, reordered or twice after a change of owners.
+func TestNewestClaimToAPartitionWins(t *testing.T) {
 	is := is.New(t)
 	o := NewOwners()
-	is.True(o.Heard(Claim{Owner: node(2), Generation: 7, Parts: []int{1}}))
-	is.True(o.Heard(Claim{Owner: node(1), Generation: 5, Parts: []int{0, 1}}))
-	is.True(!o.Heard(Claim{Owner: node(2), Generation: 7, Parts: []int{1}}))
-	for part, want := range map[int]wire.NodeID{0: node(1), 1: node(2)} {
+	is.True(o.Heard(Claim{Owner: nodeID(2), Generation: 7, Parts: []int{1}}))
+	is.True(o.Heard(Claim{Owner: nodeID(1), Generation: 5, Parts: []int{0, 1}}))
+	is.True(!o.Heard(Claim{Owner: nodeID(2), Generation: 7, Parts: []int{1}}))
+	for part, want := range map[int]wire.NodeID{0: nodeID(1), 1: nodeID(2)} {
 		id, known := o.Of(part)
 		is.True(known)
 		is.Equal(id, want)
 	}
-	o.Heard(Claim{Owner: node(2), Generation: 9}) // it owns nothing any more
+	o.Heard(Claim{Owner: nodeID(2), Generation: 9}) // owns nothing any more
 	id, _ := o.Of(1)
-	is.Equal(id, node(1))
+	is.Equal(id, nodeID(1))
 	_, known := o.Of(2)
 	is.True(!known)
 }
 
+// Guards against memory growth when a peer publishes claims for many owners.
 func TestClaimsAreBounded(t *testing.T) {
 	is := is.New(t)
 	o := NewOwners()
@@ -36,49 +37,49 @@
 		o.Heard(Claim{Owner: wire.NodeID{byte(i), byte(i >> 8), 1}, Generation: uint64(i), Parts: []int{i}})
 	}
 	is.Equal(len(o.Claims()), maxClaims)
-	_, known := o.Of(4*maxClaims - 1) // the newest stay
+	_, known := o.Of(4*maxClaims - 1) // the newest are kept
 	is.True(known)
 }
 
-// A lease that could not be renewed in time ends before the store gives it to another
-// node. When the store is back the tenure begins anew: another may have owned the part.
-func TestTenureBeginsAnewAfterALapse(t *testing.T) {
+// Guards against tokens issued under an expired lease, and against resuming an old lease
+// term after an outage of the store in which another node may have owned the partition.
+func TestExpiredLeaseStartsANewTerm(t *testing.T) {
 	is := is.New(t)
 	var tenure Tenure
-	life := testConfig().LeaseLife
-	lease := Lease{Sent: begin, Life: life, Generation: 3, Parts: []int{0, 4}}
+	ttl := testConfig().LeaseLife
+	lease := Lease{Sent: startTime, Life: ttl, Generation: 3, Parts: []int{0, 4}}
 	is.True(tenure.Renewed(lease))
-	lease.Sent = begin.Add(life / 2)
+	lease.Sent = startTime.Add(ttl / 2)
 	is.True(!tenure.Renewed(lease))
-	since, owns := tenure.Owns(begin.Add(life), 4)
+	since, owns := tenure.Owns(startTime.Add(ttl), 4)
 	is.True(owns)
-	is.Equal(since, begin)
-	_, owns = tenure.Owns(begin.Add(life/2+life), 4)
+	is.Equal(since, startTime)
+	_, owns = tenure.Owns(startTime.Add(ttl/2+ttl), 4)
 	is.True(!owns)
-	is.Equal(len(tenure.Parts(begin.Add(life/2+life))), 0)
-	back := begin.Add(3 * life)
-	lease.Sent = back
+	is.Equal(len(tenure.Parts(startTime.Add(ttl/2+ttl))), 0)
+	renewedAt := startTime.Add(3 * ttl)
+	lease.Sent = renewedAt
 	is.True(tenure.Renewed(lease))
-	since, owns = tenure.Owns(back, 4)
+	since, owns = tenure.Owns(renewedAt, 4)
 	is.True(owns)
-	is.Equal(since, back)
+	is.Equal(since, renewedAt)
 }
 
-// Guards against two owners of a part after the store has forgotten a lease: the next owner
-// waits for its end, one that has held the part all the while goes on.
-func TestTenureWaitsForForgottenLeases(t *testing.T) {
+// Guards against two owners of a partition after the store has lost a lease: a new owner
+// waits until it has expired, a continuous owner does not.
+func TestNewOwnerWaitsForLeasesLostByTheStore(t *testing.T) {
 	is := is.New(t)
 	var tenure Tenure
-	life := testConfig().LeaseLife
-	tenure.Renewed(Lease{Sent: begin, Life: life, Generation: 3, Parts: []int{0}})
-	restored, free := begin.Add(life/2), begin.Add(life/2+life)
-	tenure.Renewed(Lease{Sent: restored, Life: life, Generation: 4, Parts: []int{0, 4}, FreeAt: free})
-	_, owns := tenure.Owns(restored, 0)
+	ttl := testConfig().LeaseLife
+	tenure.Renewed(Lease{Sent: startTime, Life: ttl, Generation: 3, Parts: []int{0}})
+	restoredAt, freeAt := startTime.Add(ttl/2), startTime.Add(ttl/2+ttl)
+	tenure.Renewed(Lease{Sent: restoredAt, Life: ttl, Generation: 4, Parts: []int{0, 4}, FreeAt: freeAt})
+	_, owns := tenure.Owns(restoredAt, 0)
 	is.True(owns)
-	_, owns = tenure.Owns(restored, 4)
+	_, owns = tenure.Owns(restoredAt, 4)
 	is.True(!owns)
-	tenure.Renewed(Lease{Sent: restored.Add(life / 2), Life: life, Generation: 4, Parts: []int{0, 4}, FreeAt: free})
-	since, owns := tenure.Owns(free, 4)
+	tenure.Renewed(Lease{Sent: restoredAt.Add(ttl / 2), Life: ttl, Generation: 4, Parts: []int{0, 4}, FreeAt: freeAt})
+	since, owns := tenure.Owns(freeAt, 4)
 	is.True(owns)
-	is.Equal(since, free)
+	is.Equal(since, freeAt)
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,27 +1,27 @@
-// Package quota keeps the requests of each workspace within its quota over all nodes
-// together.
+// Package quota enforces the quota of each workspace across all nodes.
 //
-// What it guarantees: in any window no more requests of a workspace are let in, at all
-// nodes, than its quota allows, and the overage and slack that an operator grants to
-// mistakes. Nodes that are cut off, paused, killed or started anew keep to it.
+// In any window of Config.Window, all nodes together admit at most the requests that
+// the quota of a workspace allows, plus the configured overage and slack. This holds
+// while nodes are partitioned, paused, killed or restarted.
 //
-// One node owns the quota of a workspace: its Bank makes tokens at the rate that the
-// quota allows, one for each request, and lends them to the nodes at which requests enter; a Holder there
-// takes one for each request. Tokens that are lent and not used count against the burst
-// and end after a while, so that those of a node that is gone come back by themselves.
+// One node owns the quota of a workspace. Its token issuer (Bank) fills a token bucket
+// at the rate of the quota and lends tokens to the nodes at which requests enter. A
+// token client (Holder) on each of these nodes spends one token per request. Lent
+// tokens that are not used count against the size of the bucket until they expire, so
+// that the tokens of a crashed node become available again.
 //
-// Which node owns what is the store's word, a lease (Tenure). A node that cannot renew
-// it makes no more tokens once the lease has ended by its own clock, before the store
-// gives it to another. The next owner begins with none: what its predecessor lent was
-// made at the same rate, so both together keep to the quota without knowing of each
-// other.
+// The store decides which node owns which workspaces and grants it a lease (Tenure). A
+// node that cannot renew its lease stops issuing tokens when the lease expires by its
+// own clock, which is before the store grants it to another node. The next owner starts
+// with an empty bucket: the tokens of its predecessor were issued at the same rate, so
+// both stay within the quota without exchanging state.
 //
-// The load patterns that it answers: one workspace sends many times its usual, over all
-// nodes; and many workspaces send a few requests a second each, over as many nodes, so
-// that a fixed part for each node would turn away most of what they may send.
+// Two load patterns are handled: one workspace exceeds its usual load many times over
+// at all nodes, and many workspaces send a few requests per second each, spread over so
+// many nodes that a fixed share per node would reject most of them.
 //
-// All types here are plain: times and messages come in, decisions go out. Times are of
-// one bootclock.Clock. None is safe for concurrent use.
+// The types do no I/O and read no clock: callers pass in times, all of one
+// bootclock.Clock, and messages. No type is safe for concurrent use.
 package quota
 
 import (
@@ -32,55 +32,56 @@
 	"github.com/cassialoom/cassialoom/workspace"
 )
 
-// Config of the quotas.
+// Config configures the enforcement of quotas.
 type Config struct {
-	// Parts is into how many parts the workspaces are divided, each with an owner of its
-	// own. Zero: no quotas.
+	// Parts is the number of partitions of the workspaces. Each partition has its own
+	// owner. Zero disables quotas.
 	Parts int
-	// ReturnLife is the time for which a token may be used whose request was refused
-	// elsewhere, and one that was lent for a request that has gone. The owner takes both
-	// for used, so it must be short: many together would pass the quota at once.
+	// ReturnLife is the TTL of a token whose request another check rejected, and of a
+	// token lent to a waiting request. The owner counts both as used, so the TTL is
+	// short: saved up, they would exceed the quota at once.
 	ReturnLife time.Duration
-	// Window is the span in which a quota is counted: its rate times the window, and its
-	// burst. Overage, as a part of that, and Slack, in requests, are what may be let in
-	// beyond it by mistake. Without a window the burst alone may come at once.
+	// Window is the time over which a quota is enforced: at most the rate times the
+	// window plus the burst. Overage, as a fraction of that sum, and Slack, in requests,
+	// are the tolerated excess. If Window is zero, only the burst limits how many
+	// requests are admitted at once.
 	Window  time.Duration
 	Overage float64
 	Slack   float64
-	// TokenLife is the time for which a lent token may be used. What the owner before
-	// has lent is used up or ended then.
+	// TokenLife is the TTL of a token lent ahead of requests. A new owner assumes that
+	// the tokens of its predecessor are outstanding for that long.
 	TokenLife time.Duration
-	// Ahead is the time for which a node keeps tokens for the requests that it expects:
-	// the time without a new owner, when the last one is gone, is bridged in part.
+	// Ahead is the time for which a node holds tokens for expected requests. It covers
+	// part of the time without an owner after a failover.
 	Ahead time.Duration
-	// AheadEvery is the least time between two questions for tokens ahead alone.
+	// AheadEvery is the minimum interval between token requests while no request waits.
 	AheadEvery time.Duration
-	// Reserve is the part of all tokens that is lent only for requests that wait, not
-	// ahead of them: otherwise a few nodes hold what others need.
+	// Reserve is the fraction of a full bucket that is lent only to waiting requests,
+	// so that tokens held ahead by a few nodes do not starve the others.
 	Reserve float64
-	// CloseFor is how long a node does not ask again that was lent less than its waiting
-	// requests need, so that a workspace far above its quota costs each node a few
-	// messages a second and not one for each request.
+	// CloseFor is the pause between token requests after a node got fewer tokens than
+	// its waiting requests need. It bounds the messages that a workspace far above its
+	// quota causes.
 	CloseFor time.Duration
-	// AskAgain is the time before a node asks again for a workspace of which its owner
-	// said nothing: it owns it no more, or does not know it yet.
+	// AskAgain is the delay before a node asks again for a workspace that the answer
+	// left out: the asked node does not own it any more, or does not know it yet.
 	AskAgain time.Duration
-	// LeaseLife is the life of an owner's lease at the store, RenewEvery the time between
-	// renewals.
+	// LeaseLife is the TTL of an owner's lease at the store, RenewEvery the interval
+	// between renewals.
 	LeaseLife, RenewEvery time.Duration
-	// AskTimeout is how long an owner's answer is awaited: several round trips between
-	// data centres.
+	// AskTimeout is the timeout of a token request. It allows for several round trips
+	// between data centres.
 	AskTimeout time.Duration
-	// WaitMost is how long a request waits for a token.
+	// WaitMost is the maximum time for which a request waits for a token.
 	WaitMost time.Duration
-	// ComeBack is proposed to a caller whose workspace has used its quota.
+	// ComeBack is the Retry-After for a workspace that has used up its quota.
 	ComeBack time.Duration
-	// UnknownComeBack is proposed while no owner answers: by then another node may have
-	// the lease.
+	// UnknownComeBack is the Retry-After while no owner answers. By then another node
+	// may have the lease.
 	UnknownComeBack time.Duration
 }
 
-// DefaultConfig returns the choices explained at Config, without parts.
+// DefaultConfig returns the default settings, with quotas disabled.
 func DefaultConfig() Config {
 	return Config{
 		TokenLife:       3 * time.Second,
@@ -99,55 +100,57 @@
 	}
 }
 
-// rate is that at which tokens are made, in tokens a second.
-func (c Config) rate(q workspace.Quota) float64 {
+// refillRate returns the rate at which a token bucket fills, in tokens per second.
+func (c Config) refillRate(q workspace.Quota) float64 {
 	if c.Window <= 0 {
 		return q.Rate
 	}
 	return q.Rate + q.Burst/c.Window.Seconds()
 }
 
-// spareShare of what may be let in by mistake is the number of tokens that there may be
-// at once. With the rate that uses up the quota itself: they are what a window may hold
-// beyond it. The rest is for those that an earlier owner has lent, and for requests that
-// reach their backend servers later than others.
-const spareShare = 0.6
+// bucketDepthShare is the fraction of the tolerated excess that becomes the depth of the
+// token bucket. The refill rate alone uses up the quota, so a full bucket is excess. The
+// rest of the excess covers tokens of an earlier owner and requests that are delayed on
+// their way to the backend server.
+const bucketDepthShare = 0.6
 
-// depth is the most tokens that there may be at once, lent ones included.
-func (c Config) depth(q workspace.Quota) float64 {
+// bucketDepth returns the maximum number of tokens at any time, including lent ones.
+func (c Config) bucketDepth(q workspace.Quota) float64 {
 	if c.Window <= 0 {
 		return max(1, q.Burst)
 	}
-	return max(1, spareShare*(c.Overage*(q.Rate*c.Window.Seconds()+q.Burst)+c.Slack))
+	return max(1, bucketDepthShare*(c.Overage*(q.Rate*c.Window.Seconds()+q.Burst)+c.Slack))
 }
 
-// Part is the part that a workspace belongs to. Without parts it is the first, which
-// nobody owns: a peer's question must not end the process.
+// Part returns the partition of a workspace. If quotas are disabled it returns zero,
+// which has no owner, so that a token request of a peer does not crash the process.
 func (c Config) Part(workspace string) int {
 	return int(xxhash.Sum64String(workspace) % uint64(max(1, c.Parts)))
 }
 
-// Want is what a node asks an owner for one workspace.
+// Want is a node's token request to the owner of one workspace.
 type Want struct {
 	_         struct{} `cbor:",toarray"`
 	Workspace string
-	// Held is the number of tokens that the node still has.
+	// Held is the number of unused tokens of the node.
 	Held uint32
-	// Waiting is the number of requests that wait for a token, Ahead that of tokens
-	// wanted for those that will come.
+	// Waiting is the number of requests that wait for a token, Ahead the number of
+	// tokens wanted for expected requests.
 	Waiting, Ahead uint32
 }
 
-// Urgent reports whether the owner should be asked for this alone: a request waits, or
-// the tokens run low. What else is wanted of the same owner goes with it.
+// Urgent reports whether w justifies a message of its own: a request waits, or the
+// tokens run low. Other token requests to the same owner are sent along with an urgent
+// one.
 func (w Want) Urgent() bool { return w.Waiting > 0 || 2*w.Held < w.Ahead }
 
-// Grant is what the owner lends.
+// Grant is an owner's answer to the token request for one workspace.
 type Grant struct {
 	_         struct{} `cbor:",toarray"`
 	Workspace string
-	// Now are tokens for requests that wait, Ahead those for requests that will come.
+	// Now is the number of tokens for waiting requests, Ahead the number for expected
+	// ones.
 	Now, Ahead uint32
-	// Short says that the node was lent less than its waiting requests need.
+	// Short is set if the node got fewer tokens than its waiting requests need.
 	Short bool
 }
--- a/quota/tenure.go
+++ b/quota/tenure.go
@@ -5,58 +5,59 @@
 	"time"
 )
 
-// Tenure is this node's lease on the parts that the store gave it. It ends by the node's
-// own clock, counted from before the renewal was sent, and so before the store may give
-// the parts to another node.
+// Tenure is this node's lease on the partitions that the store assigned to it. It expires
+// by the node's own clock, counted from the time at which the renewal was sent, and
+// therefore before the store assigns the partitions to another node.
 type Tenure struct {
 	generation uint64
-	till       time.Time
-	// since is when the present tenure over each part began.
-	since map[int]time.Time
+	expiresAt  time.Time
+	// termStart is the start of the current lease term of each partition.
+	termStart map[int]time.Time
 }
 
-// leaseMargin is the part of a lease that is not used: clocks of different machines run
-// at rates that differ by far less.
-const leaseMargin = 0.05
+// unusedLeaseFraction is the fraction of a lease that stays unused. It exceeds the rate
+// difference between the clocks of two machines by far.
+const unusedLeaseFraction = 0.05
 
 // Lease is the store's answer to a renewal.
 type Lease struct {
-	// Sent is when the renewal was sent.
+	// Sent is the time at which the renewal was sent, Life the TTL of the lease.
 	Sent time.Time
 	Life time.Duration
-	// Generation grows with each change of owners that the store makes.
+	// Generation grows with each change of owners in the store.
 	Generation uint64
 	Parts      []int
-	// FreeAt is when leases that the store has granted and forgotten have ended; zero if
-	// it never forgot any.
+	// FreeAt is the time at which leases have expired that the store granted and then
+	// lost by a restore from an older copy. It is zero if there are none.
 	FreeAt time.Time
 }
 
-// Renewed takes the store's answer to a renewal and reports whether the parts changed.
+// Renewed applies the store's answer to a renewal. It reports whether the owned
+// partitions changed or the lease had expired before.
 func (t *Tenure) Renewed(l Lease) bool {
-	since := make(map[int]time.Time, len(l.Parts))
-	lapsed := !l.Sent.Before(t.till) // another node may have owned them meanwhile
+	termStart := make(map[int]time.Time, len(l.Parts))
+	lapsed := !l.Sent.Before(t.expiresAt) // another node may have owned them meanwhile
 	for _, p := range l.Parts {
-		began, held := t.since[p]
+		began, held := t.termStart[p]
 		if lapsed || !held || l.Sent.Before(began) {
-			began = later(l.Sent, l.FreeAt)
+			began = laterOf(l.Sent, l.FreeAt)
 		}
-		since[p] = began
+		termStart[p] = began
 	}
-	changed := lapsed || l.Generation != t.generation || !sameParts(since, t.since)
-	t.generation, t.since = l.Generation, since
-	t.till = l.Sent.Add(time.Duration(float64(l.Life) * (1 - leaseMargin)))
+	changed := lapsed || l.Generation != t.generation || !samePartitions(termStart, t.termStart)
+	t.generation, t.termStart = l.Generation, termStart
+	t.expiresAt = l.Sent.Add(time.Duration(float64(l.Life) * (1 - unusedLeaseFraction)))
 	return changed
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
 	return a
 }
 
-func sameParts(a, b map[int]time.Time) bool {
+func samePartitions(a, b map[int]time.Time) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -68,29 +69,29 @@
 	return true
 }
 
-// Ended gives the lease up.
-func (t *Tenure) Ended() { t.since, t.till = nil, time.Time{} }
+// Ended drops the lease. The node owns nothing until the next renewal.
+func (t *Tenure) Ended() { t.termStart, t.expiresAt = nil, time.Time{} }
 
-// Owns reports whether this node owns a part now, and since when. A part of which another
-// node may still hold a lease that the store has forgotten is not owned yet.
-func (t *Tenure) Owns(now time.Time, part int) (since time.Time, ok bool) {
-	if !now.Before(t.till) {
+// Owns reports whether this node owns a partition now, and since when. A partition is
+// not owned yet while another node may hold a lease on it that the store has lost.
+func (t *Tenure) Owns(now time.Time, part int) (termStart time.Time, ok bool) {
+	if !now.Before(t.expiresAt) {
 		return time.Time{}, false
 	}
-	since, ok = t.since[part]
-	return since, ok && !now.Before(since)
+	termStart, ok = t.termStart[part]
+	return termStart, ok && !now.Before(termStart)
 }
 
-// Generation is the store's number of the last change that this node knows.
+// Generation returns the generation of the last renewal.
 func (t *Tenure) Generation() uint64 { return t.generation }
 
-// Parts lists what this node owns, none after its lease has ended.
+// Parts returns the leased partitions, sorted. It returns none after the lease expired.
 func (t *Tenure) Parts(now time.Time) []int {
-	if !now.Before(t.till) {
+	if !now.Before(t.expiresAt) {
 		return nil
 	}
-	parts := make([]int, 0, len(t.since))
-	for p := range t.since {
+	parts := make([]int, 0, len(t.termStart))
+	for p := range t.termStart {
 		parts = append(parts, p)
 	}
 	slices.Sort(parts)
