--- a/routes/route.go
+++ b/routes/route.go
@@ -1,8 +1,8 @@
-// Package routes holds what operators publish about requests that come by host
-// and path: which service serves a path, in which shares, how long a request
-// may take, how often it may be attempted, and how it ranks against others.
+// Package routes holds the routing table that operators publish. A route maps
+// a host and a path prefix to services with weights, and sets timeout, number
+// of attempts and rank under overload.
 //
-// A Table never changes after it was made and is safe for concurrent use.
+// A Table is immutable after it is built and safe for concurrent use.
 package routes
 
 import (
@@ -18,64 +18,66 @@
 	"github.com/cassialoom/cassialoom/workspace"
 )
 
-// Route is one rule: requests for Host whose path begins with Prefix.
+// Route is a rule for requests to Host whose path begins with Prefix.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
-	// Idempotent says that a second run does no harm.
+	// Idempotent is set if running a request twice is harmless.
 	Idempotent bool
-	// Timeout is how long a caller is kept waiting at most.
+	// Timeout is the maximum time until a caller gets an answer.
 	Timeout time.Duration
-	// Aim is the time within which an answer is worth most to its caller.
+	// Aim is the target latency: an answer within it is worth most to the caller.
 	Aim time.Duration
-	// MaxAttempts is the most backend servers that one request may be sent to.
+	// MaxAttempts is the maximum number of attempts for one request, each at
+	// another backend server.
 	MaxAttempts int
-	// Rank orders routes under overload; zero is the highest.
+	// Rank orders routes under overload; zero is the highest rank.
 	Rank int
-	// Open says that requests need no key of a workspace.
+	// Open is set if requests need no workspace key.
 	Open bool
-	// Shares are the services that serve the route. Their weights are
-	// relative to each other.
+	// Shares are the services that serve the route, with relative weights.
 	Shares []Share
 }
 
-// Share is the part of a route's requests that one service gets.
+// Share is the share of a route's requests that one service gets.
 type Share struct {
 	Service string
 	Weight  float64
-	// Operation is how the rest of the node knows the route at the service.
+	// Operation represents the route at this service. New sets it.
 	Operation *graph.Operation
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what a caller may send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	// HeaderTimeout is how long the head of a request may take to arrive.
+	// HeaderTimeout is the maximum time for reading the header of a request.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection without a request is kept.
+	// IdleTimeout is the time after which an idle connection is closed.
 	IdleTimeout time.Duration
 }
 
-// Importance maps the rank to the importances that the queues and levels know.
-func (r *Route) Importance() importance.Importance { return ranked(r.Rank) }
+// Importance returns the importance for the rank of the route: Critical for rank zero,
+// one step less for each further rank.
+func (r *Route) Importance() importance.Importance { return importanceOfRank(r.Rank) }
 
-// ImportanceFor is the importance of a workspace's requests: its rank goes before the
-// route's, which counts among workspaces of one rank. There are four importances for
-// all pairs: workspaces of the highest rank share the first, and of the others the
-// highest route is told apart.
+// ImportanceFor returns the importance of a workspace's requests on the route. The rank
+// of the workspace takes precedence; the rank of the route orders requests of workspaces
+// of equal rank. Four importances cannot separate all pairs of ranks: workspaces of the
+// highest rank are always Critical, and for the others only routes of the highest rank
+// are distinguished from the rest.
 func (r *Route) ImportanceFor(w *workspace.Workspace) importance.Importance {
 	switch {
 	case w == nil || !w.Ranked:
 		return r.Importance()
 	case w.Rank <= 0 || r.Rank <= 0:
-		return ranked(w.Rank)
+		return importanceOfRank(w.Rank)
 	}
-	return ranked(w.Rank + 1)
+	return importanceOfRank(w.Rank + 1)
 }
 
-func ranked(rank int) importance.Importance {
+func importanceOfRank(rank int) importance.Importance {
 	return importance.Critical - importance.Importance(min(max(rank, 0), int(importance.Critical)))
 }
 
@@ -114,8 +116,8 @@
 	return nil
 }
 
-// bind gives each share its operation.
-func (r *Route) bind() {
+// setOperations sets the operation of each share.
+func (r *Route) setOperations() {
 	for i := range r.Shares {
 		r.Shares[i].Operation = graph.Standalone(graph.Operation{
 			Service:       r.Shares[i].Service,
@@ -128,41 +130,43 @@
 	}
 }
 
-// Table is one version of all routes.
+// Table is one version of the routing table.
 type Table struct {
-	Version uint64
-	Limits  Limits
-	byHost  map[string][]*Route // longest prefix first
-	count   int
-	health  map[string]string
-	// Workspaces is nil if requests need no keys.
+	Version     uint64
+	Limits      Limits
+	byHost      map[string][]*Route // longest prefix first
+	routeCount  int
+	healthPaths map[string]string
+	// Workspaces is nil if requests need no workspace keys.
 	Workspaces *workspace.Directory
 }
 
-// Health names the path at which backend servers of a service tell their
-// health, empty if it is not known.
-func (t *Table) Health(service string) string { return t.health[service] }
+// Health returns the path for health checks of the backend servers of a
+// service. It is empty if none is configured.
+func (t *Table) Health(service string) string { return t.healthPaths[service] }
 
-// SetHealth names those paths by service. It belongs to the making of a table.
-func (t *Table) SetHealth(paths map[string]string) { t.health = paths }
+// SetHealth sets the paths for health checks by service. It must be called
+// before the table is shared.
+func (t *Table) SetHealth(paths map[string]string) { t.healthPaths = paths }
 
-// New checks the routes and makes a table of them.
+// New validates the routes and limits and builds a table. It fails on an
+// invalid route and on two routes with the same host and prefix.
 func New(version uint64, list []Route, limits Limits) (*Table, error) {
 	if err := limits.check(); err != nil {
 		return nil, err
 	}
-	t := &Table{Version: version, Limits: limits, byHost: make(map[string][]*Route), count: len(list)}
+	t := &Table{Version: version, Limits: limits, byHost: make(map[string][]*Route), routeCount: len(list)}
 	for i := range list {
 		r := list[i]
 		if err := r.check(); err != nil {
 			return nil, err
 		}
 		r.Shares = slices.Clone(r.Shares)
-		r.bind()
+		r.setOperations()
 		host := canonicalHost(r.Host)
 		t.byHost[host] = append(t.byHost[host], &r)
 	}
-	return t, t.order()
+	return t, t.sortRoutes()
 }
 
 func (l Limits) check() error {
@@ -172,7 +176,9 @@
 	return nil
 }
 
-func (t *Table) order() error {
+// sortRoutes sorts the routes of each host by descending prefix length. It fails on
+// duplicate prefixes.
+func (t *Table) sortRoutes() error {
 	for host, list := range t.byHost {
 		slices.SortFunc(list, func(a, b *Route) int {
 			if len(a.Prefix) != len(b.Prefix) {
@@ -189,11 +195,11 @@
 	return nil
 }
 
-// Len is the number of routes.
-func (t *Table) Len() int { return t.count }
+// Len returns the number of routes.
+func (t *Table) Len() int { return t.routeCount }
 
-// Find returns the route of the host with the longest prefix that begins the
-// path; false if there is none.
+// Find returns the route of the host with the longest prefix of path. It
+// returns false if no route matches.
 func (t *Table) Find(host, path string) (*Route, bool) {
 	for _, r := range t.byHost[canonicalHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -203,7 +209,7 @@
 	return nil, false
 }
 
-// canonicalHost drops a port and the case, which do not tell hosts apart.
+// canonicalHost removes the port and converts the host to lower case.
 func canonicalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.Contains(host[i:], "]") {
 		host = host[:i]
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -15,13 +15,13 @@
 	return Route{Name: name, Host: host, Prefix: prefix, Timeout: time.Second, MaxAttempts: 2, Shares: shares}
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	is := is.New(t)
-	one := Share{Service: "a", Weight: 1}
+	share := Share{Service: "a", Weight: 1}
 	table, err := New(1, []Route{
-		route("short", "H.example", "/a/", one),
-		route("long", "h.example", "/a/b/", one),
-		route("other", "g.example", "/a/", one),
+		route("short", "H.example", "/a/", share),
+		route("long", "h.example", "/a/b/", share),
+		route("other", "g.example", "/a/", share),
 	}, limits)
 	is.NoErr(err)
 	for _, c := range []struct{ host, path, want string }{
@@ -40,18 +40,18 @@
 	}
 }
 
-func TestWrongTablesAreRefused(t *testing.T) {
-	one := Share{Service: "a", Weight: 1}
+func TestInvalidTablesAreRejected(t *testing.T) {
+	share := Share{Service: "a", Weight: 1}
 	for name, list := range map[string][]Route{
-		"prefix":         {route("r", "h", "/a", one)},
-		"no host":        {route("r", "", "/a/", one)},
-		"no name":        {route("", "h", "/a/", one)},
+		"prefix":         {route("r", "h", "/a", share)},
+		"no host":        {route("r", "", "/a/", share)},
+		"no name":        {route("", "h", "/a/", share)},
 		"no service":     {route("r", "h", "/a/")},
-		"same place":     {route("r", "h", "/a/", one), route("q", "H", "/a/", one)},
+		"same place":     {route("r", "h", "/a/", share), route("q", "H", "/a/", share)},
 		"zero weights":   {route("r", "h", "/a/", Share{Service: "a"})},
-		"below zero":     {route("r", "h", "/a/", Share{Service: "a", Weight: -1}, one)},
-		"no timeout":     {{Name: "r", Host: "h", Prefix: "/", MaxAttempts: 1, Shares: []Share{one}}},
-		"nowhere to try": {{Name: "r", Host: "h", Prefix: "/", Timeout: 1, Shares: []Share{one}}},
+		"below zero":     {route("r", "h", "/a/", Share{Service: "a", Weight: -1}, share)},
+		"no timeout":     {{Name: "r", Host: "h", Prefix: "/", MaxAttempts: 1, Shares: []Share{share}}},
+		"nowhere to try": {{Name: "r", Host: "h", Prefix: "/", Timeout: 1, Shares: []Share{share}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := New(1, list, limits)
@@ -60,25 +60,25 @@
 	}
 }
 
-// Each service is within one request of its share at any moment, not only on
-// average.
-func TestSplitIsExactAtAnyMoment(t *testing.T) {
+// Guards against bursts: each service must be within one request of its share at
+// any time, not only on average.
+func TestSplitIsWithinOneRequestOfTheShare(t *testing.T) {
 	is := is.New(t)
 	table, err := New(1, []Route{route("r", "h", "/", Share{Service: "a", Weight: 90}, Share{Service: "b", Weight: 10}, Share{Service: "c"})}, limits)
 	is.NoErr(err)
 	r, _ := table.Find("h", "/")
 	s := NewSplitter()
-	got := map[string]int{}
+	counts := map[string]int{}
 	for i := 1; i <= 1000; i++ {
-		got[s.Next(table, r).Service]++
-		is.True(abs(float64(got["b"])-float64(i)/10) <= 1)
+		counts[s.Next(table, r).Service]++
+		is.True(abs(float64(counts["b"])-float64(i)/10) <= 1)
 	}
-	is.Equal(got["c"], 0)
+	is.Equal(counts["c"], 0)
 }
 
 func abs(x float64) float64 { return max(x, -x) }
 
-func TestRanksBecomeImportances(t *testing.T) {
+func TestRankMapsToImportance(t *testing.T) {
 	is := is.New(t)
 	for rank, want := range []importance.Importance{importance.Critical, importance.High, importance.Normal, importance.Low, importance.Low} {
 		is.Equal((&Route{Rank: rank}).Importance(), want)
--- a/routes/split.go
+++ b/routes/split.go
@@ -1,45 +1,50 @@
 package routes
 
-// Splitter deals the requests of each route to its services by weight. It
-// keeps, for each service, by how much it is behind its share (smooth weighted
-// round robin): over any run of requests each service is within one request of
-// its share, where random draws would be off by the square root of the run.
+// Splitter distributes the requests of each route to its services by weight,
+// with smooth weighted round robin. At any time the number of requests of a
+// service differs from its exact share by at most one; random choice would
+// differ by the square root of the number of requests.
 //
 // It is not safe for concurrent use.
 type Splitter struct {
 	version uint64
-	behind  map[string][]float64
+	// deficits holds, by route, the current weights of the shares: by how much
+	// each service is behind its share of the requests.
+	deficits map[string][]float64
 }
 
-// NewSplitter returns a Splitter without history.
+// NewSplitter returns a Splitter for any table.
 func NewSplitter() *Splitter { return &Splitter{} }
 
-// Next returns the share whose turn it is. A new version of the table begins
-// anew, so that old debts do not distort its weights.
+// Next returns the share that gets the next request of the route. A new
+// version of the table resets the state, so that it does not distort the new
+// weights.
 func (s *Splitter) Next(t *Table, r *Route) *Share {
 	if len(r.Shares) == 1 {
 		return &r.Shares[0]
 	}
-	if s.behind == nil || s.version != t.Version {
-		s.version, s.behind = t.Version, make(map[string][]float64)
+	if s.deficits == nil || s.version != t.Version {
+		s.version, s.deficits = t.Version, make(map[string][]float64)
 	}
-	behind := s.behind[r.Name]
-	if behind == nil {
-		behind = make([]float64, len(r.Shares))
-		s.behind[r.Name] = behind
+	deficits := s.deficits[r.Name]
+	if deficits == nil {
+		deficits = make([]float64, len(r.Shares))
+		s.deficits[r.Name] = deficits
 	}
-	return &r.Shares[turn(behind, r.Shares)]
+	return &r.Shares[nextShare(deficits, r.Shares)]
 }
 
-func turn(behind []float64, shares []Share) int {
+// nextShare returns the index of the share that is furthest behind, and updates the
+// current weights.
+func nextShare(deficits []float64, shares []Share) int {
 	total, best := 0.0, 0
 	for i, share := range shares {
-		behind[i] += share.Weight
+		deficits[i] += share.Weight
 		total += share.Weight
-		if behind[i] > behind[best] {
+		if deficits[i] > deficits[best] {
 			best = i
 		}
 	}
-	behind[best] -= total
+	deficits[best] -= total
 	return best
 }
