--- a/reach/reach.go
+++ b/reach/reach.go
@@ -1,6 +1,6 @@
-// Package reach learns, from answers, which services a request leads to. Where
-// no graph is declared this is all that a node knows of the services that a
-// request will need, before any work is spent on it.
+// Package reach learns from responses which services the requests of a route
+// call, directly or indirectly. If no call graph is declared, this tells a node
+// before it runs a request which services the request will need.
 package reach
 
 import (
@@ -8,42 +8,43 @@
 	"time"
 )
 
-// Config of a Book.
+// Config configures a Book.
 type Config struct {
-	// Forget is how long a service counts as reached after it was last
-	// named. It is long against the pause between two requests of a route
-	// and short against the life of a deployment's call graph.
+	// Forget is the time after which a service that no response named is
+	// dropped. It is much longer than the interval between requests of a
+	// route and much shorter than the interval between deployments.
 	Forget time.Duration
-	// Routes bounds the number of routes remembered, and Services that of
-	// services for each.
+	// Routes is the maximum number of routes, Services the maximum number
+	// of services per route.
 	Routes, Services int
 }
 
-// DefaultConfig returns the settings that the daemon starts from.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
-		Forget:   30 * time.Second, // a few dozen requests of a rare route
-		Routes:   4096,             // well above the routes of a large installation
-		Services: 64,               // a chain of 26 with its branches
+		Forget:   30 * time.Second,
+		Routes:   4096, // more than a large installation has
+		Services: 64,   // a deep call chain with its branches
 	}
 }
 
-// Book remembers for each route the services that its requests were seen to
-// reach. It is not safe for concurrent use.
+// Book records for each route the services that its requests reach. It is not
+// safe for concurrent use.
 type Book struct {
 	cfg    Config
 	routes map[string]*route
 }
 
 type route struct {
-	services []seen
-	// names are those of services; replaced, never changed, when they do.
+	services []reachedService
+	// names holds the sorted names of services. It is replaced and never
+	// modified, because callers of Reach share it.
 	names []string
 }
 
-type seen struct {
-	name string
-	at   time.Time
+type reachedService struct {
+	name     string
+	lastSeen time.Time
 }
 
 // New returns an empty Book.
@@ -51,29 +52,29 @@
 	return &Book{cfg: cfg, routes: make(map[string]*route)}
 }
 
-// Learn notes that a request of the route reached the services. It reports
-// whether any of them is new.
+// Learn records that a request of the route reached the services. It reports
+// whether the services of the route changed.
 func (b *Book) Learn(now time.Time, name string, services []string) bool {
 	r := b.routes[name]
 	if r == nil {
-		if len(services) == 0 || !b.room(now) {
+		if len(services) == 0 || !b.makeRoomForRoute(now) {
 			return false
 		}
 		r = &route{}
 		b.routes[name] = r
 	}
-	changed := r.forget(now, b.cfg.Forget)
+	changed := r.dropExpired(now, b.cfg.Forget)
 	for _, s := range services {
-		changed = r.note(now, s, b.cfg.Services) || changed
+		changed = r.recordService(now, s, b.cfg.Services) || changed
 	}
 	if changed {
-		r.rename()
+		r.updateNames()
 	}
 	return changed
 }
 
-// Reach returns the services that requests of the route are known to reach,
-// in the order of their names. The slice is shared.
+// Reach returns the services that requests of the route reach, sorted by name.
+// The slice is shared and must not be modified.
 func (b *Book) Reach(name string) []string {
 	if r := b.routes[name]; r != nil {
 		return r.names
@@ -81,14 +82,14 @@
 	return nil
 }
 
-// room makes place for another route, if need be by forgetting those that
-// nothing was heard of.
-func (b *Book) room(now time.Time) bool {
+// makeRoomForRoute reports whether another route fits. If the book is full it first
+// removes the routes whose services have all expired.
+func (b *Book) makeRoomForRoute(now time.Time) bool {
 	if len(b.routes) < b.cfg.Routes {
 		return true
 	}
 	for name, r := range b.routes {
-		r.forget(now, b.cfg.Forget)
+		r.dropExpired(now, b.cfg.Forget)
 		if len(r.services) == 0 {
 			delete(b.routes, name)
 		}
@@ -96,27 +97,32 @@
 	return len(b.routes) < b.cfg.Routes
 }
 
-func (r *route) forget(now time.Time, after time.Duration) bool {
+// dropExpired drops services that were last seen longer ago than after. It reports
+// whether there were any.
+func (r *route) dropExpired(now time.Time, after time.Duration) bool {
 	before := len(r.services)
-	r.services = slices.DeleteFunc(r.services, func(s seen) bool { return now.Sub(s.at) > after })
+	r.services = slices.DeleteFunc(r.services, func(s reachedService) bool { return now.Sub(s.lastSeen) > after })
 	return len(r.services) != before
 }
 
-func (r *route) note(now time.Time, name string, limit int) bool {
+// recordService updates the time of a service or adds it while there are fewer than
+// limit. It reports whether it added the service.
+func (r *route) recordService(now time.Time, name string, limit int) bool {
 	for i := range r.services {
 		if r.services[i].name == name {
-			r.services[i].at = now
+			r.services[i].lastSeen = now
 			return false
 		}
 	}
 	if len(r.services) >= limit {
 		return false
 	}
-	r.services = append(r.services, seen{name: name, at: now})
+	r.services = append(r.services, reachedService{name: name, lastSeen: now})
 	return true
 }
 
-func (r *route) rename() {
+// updateNames rebuilds names from services.
+func (r *route) updateNames() {
 	names := make([]string, 0, len(r.services))
 	for _, s := range r.services {
 		names = append(names, s.name)
@@ -125,21 +131,21 @@
 	r.names = names
 }
 
-// State is what a Book knows of one route, for people.
+// State is the state of one route in the state dump.
 type State struct {
 	Route    string   `json:"route"`
 	Services []string `json:"services"`
-	// AgeMs is the time since the service named longest ago was seen.
+	// AgeMs is the age of the least recently seen service, in milliseconds.
 	AgeMs int64 `json:"age_ms"`
 }
 
-// Dump returns what is known, by route.
+// Dump returns the state of all routes, sorted by route.
 func (b *Book) Dump(now time.Time) []State {
 	out := make([]State, 0, len(b.routes))
 	for name, r := range b.routes {
 		s := State{Route: name, Services: r.names}
 		for _, known := range r.services {
-			s.AgeMs = max(s.AgeMs, now.Sub(known.at).Milliseconds())
+			s.AgeMs = max(s.AgeMs, now.Sub(known.lastSeen).Milliseconds())
 		}
 		out = append(out, s)
 	}
--- a/reach/reach_test.go
+++ b/reach/reach_test.go
@@ -8,34 +8,33 @@
 	"github.com/matryer/is"
 )
 
-var start = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-func TestReachGrowsAndIsForgotten(t *testing.T) {
+func TestReachGrowsAndExpires(t *testing.T) {
 	is := is.New(t)
 	b := New(DefaultConfig())
 	is.Equal(len(b.Reach("r")), 0)
-	is.True(b.Learn(start, "r", []string{"b", "a"}))
-	is.True(!b.Learn(start.Add(time.Second), "r", []string{"a"}))
+	is.True(b.Learn(startTime, "r", []string{"b", "a"}))
+	is.True(!b.Learn(startTime.Add(time.Second), "r", []string{"a"}))
 	is.Equal(b.Reach("r"), []string{"a", "b"})
 	is.Equal(len(b.Reach("other")), 0)
 
-	late := start.Add(DefaultConfig().Forget + 500*time.Millisecond)
-	is.True(b.Learn(late, "r", []string{"a"})) // b was not seen for too long
+	late := startTime.Add(DefaultConfig().Forget + 500*time.Millisecond)
+	is.True(b.Learn(late, "r", []string{"a"})) // b has expired
 	is.Equal(b.Reach("r"), []string{"a"})
 	is.Equal(b.Dump(late), []State{{Route: "r", Services: []string{"a"}}})
 }
 
-// A peer that names ever new services or routes takes no more memory than the
-// bounds allow.
+// Guards against memory growth when a peer keeps naming new services or routes.
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	cfg := Config{Forget: time.Second, Routes: 3, Services: 2}
 	b := New(cfg)
 	for i := range 10 {
-		b.Learn(start, fmt.Sprint("r", i), []string{"a", "b", "c"})
+		b.Learn(startTime, fmt.Sprint("r", i), []string{"a", "b", "c"})
 	}
 	is.Equal(len(b.routes), 3)
 	is.Equal(len(b.Reach("r0")), 2)
-	b.Learn(start.Add(2*time.Second), "new", []string{"a"})
+	b.Learn(startTime.Add(2*time.Second), "new", []string{"a"})
 	is.Equal(b.Reach("new"), []string{"a"})
 }
