--- a/workspace/workspace.go
+++ b/workspace/workspace.go
@@ -1,9 +1,9 @@
-// Package workspace holds the operators' workspaces: who may send requests, by which
-// keys, how they rank against others, and how many requests they may send.
+// Package workspace holds the workspaces that operators define: groups of users with
+// keys, a rank under overload and a quota of requests.
 //
-// A Directory never changes after it was made and is safe for concurrent use. It
-// knows keys by their digests alone: no dump or log of it can give one away, and the
-// time that a look-up takes tells nothing about a key.
+// A Directory is immutable after it is built and safe for concurrent use. It stores
+// only digests of keys, so that a dump or log cannot reveal a key and the duration of a
+// lookup is not a timing side channel.
 package workspace
 
 import (
@@ -16,26 +16,26 @@
 // Workspace is one group of users.
 type Workspace struct {
 	Name string
-	// Rank goes before the rank of a route; zero is the highest. Without Ranked the
-	// route's alone counts.
+	// Rank orders requests under overload, before the rank of their route. Zero is the
+	// highest rank. If Ranked is false, only the rank of the route counts.
 	Rank   int
 	Ranked bool
 	Quota  Quota
 }
 
-// Quota bounds the requests of a workspace over all nodes together.
+// Quota bounds the requests of a workspace at all nodes together.
 type Quota struct {
-	// Rate is in requests a second. Zero is no limit.
+	// Rate is the sustained rate in requests per second. Zero means no limit.
 	Rate float64
-	// Burst is the number of requests that may come beyond the rate, after a time in
-	// which fewer came.
+	// Burst is the number of requests above the sustained rate that are allowed after a
+	// time of lower load.
 	Burst float64
 }
 
-// Limited reports whether there is a limit.
+// Limited reports whether the quota limits requests.
 func (q Quota) Limited() bool { return q.Rate > 0 }
 
-// Entry is a workspace with the keys that name it.
+// Entry is a workspace with its keys.
 type Entry struct {
 	Workspace
 	Keys []string
@@ -43,13 +43,14 @@
 
 type digest = [sha256.Size]byte
 
-// Directory is one version of all workspaces.
+// Directory is one version of the set of all workspaces.
 type Directory struct {
 	byKey  map[digest]*Workspace
 	byName map[string]*Workspace
 }
 
-// New checks the workspaces and makes a directory of them. Errors name no key.
+// New validates the workspaces and builds a directory. It fails on duplicate names, on
+// keys of two workspaces and on invalid quotas. Errors contain no keys.
 func New(list []Entry) (*Directory, error) {
 	d := &Directory{byKey: make(map[digest]*Workspace), byName: make(map[string]*Workspace, len(list))}
 	for i := range list {
@@ -64,7 +65,7 @@
 	if err := e.check(); err != nil {
 		return err
 	}
-	if _, known := d.byName[e.Name]; known {
+	if _, exists := d.byName[e.Name]; exists {
 		return fmt.Errorf("workspace %s: the name is given twice", e.Name)
 	}
 	w := e.Workspace
@@ -74,7 +75,7 @@
 			return fmt.Errorf("workspace %s: key %d is empty", w.Name, i+1)
 		}
 		sum := sha256.Sum256([]byte(key))
-		if other, known := d.byKey[sum]; known && other.Name != w.Name {
+		if other, exists := d.byKey[sum]; exists && other.Name != w.Name {
 			return fmt.Errorf("workspace %s: key %d names workspace %s, too", w.Name, i+1, other.Name)
 		}
 		d.byKey[sum] = &w
@@ -86,17 +87,18 @@
 	switch {
 	case e.Name == "":
 		return errors.New("a workspace has no name")
-	case !amount(e.Quota.Rate):
+	case !finiteNonNegative(e.Quota.Rate):
 		return fmt.Errorf("workspace %s: rate %v: want requests a second, zero or more", e.Name, e.Quota.Rate)
-	case !amount(e.Quota.Burst):
+	case !finiteNonNegative(e.Quota.Burst):
 		return fmt.Errorf("workspace %s: burst %v: want a number of requests, zero or more", e.Name, e.Quota.Burst)
 	}
 	return nil
 }
 
-func amount(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
+// finiteNonNegative reports whether v is a finite number of zero or more.
+func finiteNonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
-// Find returns the workspace that a key names. A nil Directory knows none.
+// Find returns the workspace of a key. A nil Directory is empty.
 func (d *Directory) Find(key string) (*Workspace, bool) {
 	if d == nil || key == "" {
 		return nil, false
@@ -105,7 +107,7 @@
 	return w, ok
 }
 
-// Named returns the workspace of a name. A nil Directory knows none.
+// Named returns the workspace with the given name. A nil Directory is empty.
 func (d *Directory) Named(name string) (*Workspace, bool) {
 	if d == nil {
 		return nil, false
@@ -114,5 +116,5 @@
 	return w, ok
 }
 
-// Len is the number of workspaces.
+// Len returns the number of workspaces.
 func (d *Directory) Len() int { return len(d.byName) }
--- a/workspace/workspace_test.go
+++ b/workspace/workspace_test.go
@@ -31,7 +31,7 @@
 	is.Equal(d.Len(), 2)
 }
 
-func TestNewRefuses(t *testing.T) {
+func TestNewRejectsInvalidEntries(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		list []Entry
@@ -49,7 +49,7 @@
 			_, err := New(tt.list)
 			is.True(err != nil)
 			is.True(strings.Contains(err.Error(), tt.want))
-			is.True(!strings.Contains(err.Error(), "secret")) // an error is logged
+			is.True(!strings.Contains(err.Error(), "secret")) // errors are logged
 		})
 	}
 }
