--- a/graph/assemble.go
+++ b/graph/assemble.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Section is the text of one service, the unit of publication.
+// Section is the text of one service. Sections are published one by one.
 type Section struct {
 	Service string
 	Text    string
@@ -10,17 +10,18 @@
 
 const emptyRemedy = `declare at least one: service "NAME" { operation "NAME" {} }`
 
-// Parse reads a whole text.
+// Parse builds the graph of a text with all services. It returns either a graph
+// or problems.
 func Parse(filename string, src []byte) (*Graph, Problems) {
 	files := []string{filename}
 	s, ps := readSource(filename, src, MaxTextBytes)
 	if len(ps) > 0 {
-		return nil, ps.report(files)
+		return nil, ps.sortAndCut(files)
 	}
 	d := decoder{file: filename}
 	decls := d.body(s.body)
 	if len(d.problems) > 0 {
-		return nil, d.problems.report(files)
+		return nil, d.problems.sortAndCut(files)
 	}
 	if len(decls) == 0 {
 		ps.add(filename, 1, emptyRemedy, "no service is declared")
@@ -28,58 +29,59 @@
 	}
 	g, ps := build(decls)
 	if len(ps) > 0 {
-		return nil, ps.report(files)
+		return nil, ps.sortAndCut(files)
 	}
-	g.warnings = g.warnings.report(files)
+	g.warnings = g.warnings.sortAndCut(files)
 	return g, nil
 }
 
-// Assemble builds the graph of all sections. Problems name the section as file
-// and count lines from its beginning.
+// Assemble builds the graph of all sections. It returns either a graph or
+// problems, which have the section as file and count lines from its start.
 func Assemble(sections []Section) (*Graph, Problems) {
 	return new(Assembler).Assemble(sections)
 }
 
-// Assembler assembles again and again while a few sections change, as a reader
-// of publications does: it decodes only sections that it has not just seen.
-// The zero value is ready. It is not safe for concurrent use.
+// Assembler builds graphs repeatedly while few sections change: it decodes only
+// sections that differ from those of the last valid call. The zero value is ready
+// to use. It is not safe for concurrent use.
 type Assembler struct {
-	decoded map[Section]serviceDecl
+	cache map[Section]serviceDecl
 }
 
-// Assemble does the same as the function Assemble.
+// Assemble is like the function Assemble.
 func (a *Assembler) Assemble(sections []Section) (*Graph, Problems) {
 	var ps Problems
 	if len(sections) == 0 {
 		ps.add("sections", 1, emptyRemedy, "no service is declared")
 		return nil, ps
 	}
-	if total := textBytes(sections); total > MaxTextBytes {
+	if total := totalBytes(sections); total > MaxTextBytes {
 		ps.add("sections", 1, fmt.Sprintf("keep them below %d bytes", MaxTextBytes),
 			"all sections together have %d bytes, the limit is %d", total, MaxTextBytes)
 		return nil, ps
 	}
-	decls, files, ps := a.decode(sections)
+	decls, files, ps := a.decodeSections(sections)
 	if len(ps) > 0 {
-		return nil, ps.report(files)
+		return nil, ps.sortAndCut(files)
 	}
 	g, ps := build(decls)
 	if len(ps) > 0 {
-		return nil, ps.report(files)
+		return nil, ps.sortAndCut(files)
 	}
-	g.warnings = g.warnings.report(files)
+	g.warnings = g.warnings.sortAndCut(files)
 	return g, nil
 }
 
-// decode keeps what it decoded for the next time, and no more than that.
-func (a *Assembler) decode(sections []Section) ([]serviceDecl, []string, Problems) {
+// decodeSections decodes the sections and caches the result if all are valid. Sections
+// that are not passed again leave the cache.
+func (a *Assembler) decodeSections(sections []Section) ([]serviceDecl, []string, Problems) {
 	var ps Problems
 	decls := make([]serviceDecl, 0, len(sections))
 	files := make([]string, 0, len(sections))
-	decoded := make(map[Section]serviceDecl, len(sections))
+	cache := make(map[Section]serviceDecl, len(sections))
 	for _, s := range sections {
 		files = append(files, SectionFile(s.Service))
-		decl, ok := a.decoded[s]
+		decl, ok := a.cache[s]
 		if !ok {
 			var problems Problems
 			if decl, problems = decodeSection(s); len(problems) > 0 {
@@ -87,11 +89,11 @@
 				continue
 			}
 		}
-		decoded[s] = decl
+		cache[s] = decl
 		decls = append(decls, decl)
 	}
 	if len(ps) == 0 {
-		a.decoded = decoded
+		a.cache = cache
 	}
 	return decls, files, ps
 }
@@ -109,13 +111,14 @@
 	}
 	if len(decls) != 1 || decls[0].name != s.Service {
 		d.problem(1, fmt.Sprintf("a section holds exactly one block: service %q { ... }", s.Service),
-			"the section of %s declares %s", excerpt(s.Service), declared(decls))
+			"the section of %s declares %s", excerpt(s.Service), describeDecls(decls))
 		return serviceDecl{}, d.problems
 	}
 	return decls[0], nil
 }
 
-func declared(decls []serviceDecl) string {
+// describeDecls describes the declared services for a problem message.
+func describeDecls(decls []serviceDecl) string {
 	switch len(decls) {
 	case 0:
 		return "no service"
@@ -126,10 +129,10 @@
 	}
 }
 
-// SectionFile is the File of a problem that lies in the section of a service.
+// SectionFile returns the Problem.File for problems in the section of a service.
 func SectionFile(service string) string { return "section " + service }
 
-func textBytes(sections []Section) int {
+func totalBytes(sections []Section) int {
 	n := 0
 	for _, s := range sections {
 		n += len(s.Text)
--- a/graph/bench_test.go
+++ b/graph/bench_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// designSize is 200 services of 5 operations with 3 calls each, 26 calls deep.
-func designSize() []Section {
+// designSizeSections returns the sections of a graph of the largest size that the
+// software is designed for.
+func designSizeSections() []Section {
 	const services, ops, depth, fanout = 200, 5, 26, 3
 	const layer = services / (depth + 1)
 	var sections []Section
@@ -31,7 +32,7 @@
 }
 
 func BenchmarkAssemble(b *testing.B) {
-	sections := designSize()
+	sections := designSizeSections()
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, ps := Assemble(sections); len(ps) > 0 {
@@ -40,9 +41,9 @@
 	}
 }
 
-// BenchmarkAssembleOneChange is what a reader of publications does.
+// BenchmarkAssembleOneChange measures an update of one section, as a publication makes.
 func BenchmarkAssembleOneChange(b *testing.B) {
-	sections := designSize()
+	sections := designSizeSections()
 	text := sections[7].Text
 	var a Assembler
 	b.ReportAllocs()
@@ -55,7 +56,7 @@
 }
 
 func BenchmarkAllows(b *testing.B) {
-	g, ps := Assemble(designSize())
+	g, ps := Assemble(designSizeSections())
 	if len(ps) > 0 {
 		b.Fatal(ps)
 	}
--- a/graph/build.go
+++ b/graph/build.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// builder resolves declarations against each other.
+// builder builds a graph from declarations.
 type builder struct {
 	decls    []serviceDecl
 	graph    *Graph
@@ -15,31 +15,34 @@
 	problems Problems
 }
 
-// node is an operation on its way into the graph.
+// node is an operation while the graph is being built.
 type node struct {
 	op    *Operation
 	file  string
 	line  int
 	calls []edge
-	state visit
+	state visitState
 	reach bitset
 }
 
+// edge is a declared call of an operation.
 type edge struct {
 	line int
 	to   *node
 }
 
-type visit uint8
+// visitState is the state of a node in the search for cycles.
+type visitState uint8
 
 const (
-	unseen visit = iota
+	unvisited visitState = iota
 	onPath
-	done
+	visited
 )
 
-// build checks what concerns several declarations. It computes heights and
-// reach only for a graph without problems.
+// build builds the graph of the declarations. It returns either a graph or
+// problems: duplicate names, calls of undeclared operations, cycles, and
+// exceeded limits.
 func build(decls []serviceDecl) (*Graph, Problems) {
 	b := &builder{decls: decls, graph: &Graph{byName: map[string]*Service{}}, byRef: map[Ref]*node{}}
 	b.declare()
@@ -51,14 +54,15 @@
 	if len(b.problems) > 0 {
 		return nil, b.problems
 	}
-	b.order()
-	b.measure()
+	b.sort()
+	b.computeReach()
 	if len(b.problems) > 0 {
 		return nil, b.problems
 	}
 	return b.graph, nil
 }
 
+// declare adds all services and operations to the graph, without calls.
 func (b *builder) declare() {
 	if len(b.decls) > MaxServices {
 		last := b.decls[MaxServices]
@@ -98,7 +102,7 @@
 	}
 }
 
-// resolve links each call to the operation that it names.
+// resolve links each declared call to the operation that it names.
 func (b *builder) resolve() {
 	for _, d := range b.decls {
 		for _, o := range d.operations {
@@ -113,7 +117,7 @@
 func (b *builder) link(from *node, c callDecl) {
 	to, ok := b.byRef[c.ref]
 	if !ok {
-		b.unknown(from, c)
+		b.addUnknownCall(from, c)
 		return
 	}
 	if from.op.Idempotent && !to.op.Idempotent {
@@ -126,14 +130,15 @@
 	from.op.DependsOn = append(from.op.DependsOn, c.ref)
 }
 
-func (b *builder) unknown(from *node, c callDecl) {
+// addUnknownCall adds the problem of a call to an undeclared service or operation.
+func (b *builder) addUnknownCall(from *node, c callDecl) {
 	s, ok := b.graph.byName[c.ref.Service]
 	if !ok {
 		names := make([]string, len(b.graph.services))
 		for i, s := range b.graph.services {
 			names[i] = s.Name
 		}
-		b.problems.add(from.file, c.line, "declare the service or call a declared one: "+some(names),
+		b.problems.add(from.file, c.line, "declare the service or call a declared one: "+firstNames(names),
 			"%s depends on the unknown service %s", from.op.Ref(), c.ref.Service)
 		return
 	}
@@ -142,65 +147,67 @@
 		names[i] = o.Name
 	}
 	b.problems.add(from.file, c.line,
-		fmt.Sprintf("declare the operation or call a declared one of %s: %s", s.Name, some(names)),
+		fmt.Sprintf("declare the operation or call a declared one of %s: %s", s.Name, firstNames(names)),
 		"%s depends on the unknown operation %s", from.op.Ref(), c.ref)
 }
 
-// some lists the first few names.
-func some(names []string) string {
-	const most = 8
+// firstNames returns a list of the first names and the number of the others.
+func firstNames(names []string) string {
+	const maxNames = 8
 	slices.Sort(names)
-	if len(names) <= most {
+	if len(names) <= maxNames {
 		return strings.Join(names, ", ")
 	}
-	return fmt.Sprintf("%s and %d more", strings.Join(names[:most], ", "), len(names)-most)
+	return fmt.Sprintf("%s and %d more", strings.Join(names[:maxNames], ", "), len(names)-maxNames)
 }
 
 func (b *builder) findCycles() {
 	for _, n := range b.nodes {
-		if n.state == unseen {
+		if n.state == unvisited {
 			b.visit(n, nil)
 		}
 	}
 }
 
-// visit is a depth-first search; a call back to an operation on the current
+// visit searches for cycles, depth first: a call of an operation on the current
 // path closes a cycle.
 func (b *builder) visit(n *node, path []*node) {
 	n.state = onPath
 	path = append(path, n)
 	for _, e := range n.calls {
 		switch e.to.state {
-		case unseen:
+		case unvisited:
 			b.visit(e.to, path)
 		case onPath:
-			b.cycle(n, e, path)
+			b.addCycle(n, e, path)
 		}
 	}
-	n.state = done
+	n.state = visited
 }
 
-func (b *builder) cycle(from *node, e edge, path []*node) {
+// addCycle adds the problem of the cycle that the call e closes.
+func (b *builder) addCycle(from *node, e edge, path []*node) {
 	start := slices.Index(path, e.to)
 	var names []string
 	for _, n := range path[start:] {
 		names = append(names, n.op.Ref().String())
 	}
 	b.problems.add(from.file, e.line, "take one of these calls out, or give it to an operation that is not called from here",
-		"cycle: %s -> %s", shorten(names), e.to.op.Ref())
+		"cycle: %s -> %s", formatPath(names), e.to.op.Ref())
 }
 
-// shorten keeps both ends of a long path.
-func shorten(names []string) string {
-	const ends = 8
-	if len(names) > 2*ends {
-		middle := fmt.Sprintf("(%d more)", len(names)-2*ends)
-		names = slices.Concat(names[:ends], []string{middle}, names[len(names)-ends:])
+// formatPath formats a path and omits the middle of a long one.
+func formatPath(names []string) string {
+	const keptPerEnd = 8
+	if len(names) > 2*keptPerEnd {
+		middle := fmt.Sprintf("(%d more)", len(names)-2*keptPerEnd)
+		names = slices.Concat(names[:keptPerEnd], []string{middle}, names[len(names)-keptPerEnd:])
 	}
 	return strings.Join(names, " -> ")
 }
 
-func (b *builder) order() {
+// sort sorts the services, operations and calls of the graph.
+func (b *builder) sort() {
 	slices.SortFunc(b.graph.services, func(a, b *Service) int { return strings.Compare(a.Name, b.Name) })
 	for _, s := range b.graph.services {
 		slices.SortFunc(s.Operations, func(a, b *Operation) int { return strings.Compare(a.Name, b.Name) })
--- a/graph/decode.go
+++ b/graph/decode.go
@@ -22,7 +22,7 @@
 
 const nameRemedy = "use 1 to 63 letters, digits, - and _, beginning with a letter or a digit"
 
-// serviceDecl is a service as it is written in one place.
+// serviceDecl is the declaration of a service.
 type serviceDecl struct {
 	file       string
 	line       int
@@ -30,6 +30,7 @@
 	operations []operationDecl
 }
 
+// operationDecl is the declaration of an operation with its calls.
 type operationDecl struct {
 	line  int
 	op    Operation
@@ -41,7 +42,7 @@
 	ref  Ref
 }
 
-// decoder turns checked syntax into declarations and collects the problems.
+// decoder converts parsed HCL into declarations and collects problems.
 type decoder struct {
 	file     string
 	problems Problems
@@ -51,14 +52,14 @@
 	d.problems.add(d.file, line, remedy, cause, args...)
 }
 
-// body decodes the top level of a text.
+// body decodes the top level of a text or section.
 func (d *decoder) body(b *hclsyntax.Body) []serviceDecl {
 	for _, a := range sortedAttributes(b) {
 		d.problem(a.NameRange.Start.Line, formRemedy, "attribute %s stands outside of a service", excerpt(a.Name))
 	}
 	var decls []serviceDecl
 	for _, block := range b.Blocks {
-		if name, ok := d.label(block, blockService); ok {
+		if name, ok := d.blockName(block, blockService); ok {
 			decls = append(decls, d.service(block, name))
 		}
 	}
@@ -72,7 +73,7 @@
 			"unknown attribute %s of service %s", excerpt(a.Name), name)
 	}
 	for _, inner := range block.Body.Blocks {
-		op, ok := d.label(inner, blockOperation)
+		op, ok := d.blockName(inner, blockOperation)
 		if !ok {
 			continue
 		}
@@ -84,8 +85,8 @@
 	return decl
 }
 
-// label checks the kind of a block and returns its one label.
-func (d *decoder) label(block *hclsyntax.Block, kind string) (string, bool) {
+// blockName validates the kind of a block and returns its only label.
+func (d *decoder) blockName(block *hclsyntax.Block, kind string) (string, bool) {
 	line := blockLine(block)
 	if block.Type != kind {
 		d.problem(line, formRemedy, "unknown block %s, want %s", excerpt(block.Type), kind)
@@ -225,8 +226,8 @@
 	decl.calls = append(decl.calls, callDecl{line: line, ref: ref})
 }
 
-// value evaluates a literal of the wanted type; nothing is converted, so that
-// a number written as a string is told from a number.
+// value evaluates a literal of the given type. It converts no types, so that a
+// string is not accepted as a number.
 func (d *decoder) value(name string, e hcl.Expression, want cty.Type, remedy string) (cty.Value, bool) {
 	v, diags := e.Value(nil)
 	if diags.HasErrors() {
@@ -240,6 +241,7 @@
 	return v, true
 }
 
+// sortedAttributes returns the attributes of a body in the order of the text.
 func sortedAttributes(b *hclsyntax.Body) []*hclsyntax.Attribute {
 	attrs := make([]*hclsyntax.Attribute, 0, len(b.Attributes))
 	for _, a := range b.Attributes {
@@ -255,7 +257,8 @@
 
 func exprLine(e hcl.Expression) int { return e.Range().Start.Line }
 
-// validName reports whether s can stand in SERVICE.OPERATION and in a URL.
+// validName reports whether s is a valid name of a service or an operation. Such
+// names need no escaping in SERVICE.OPERATION and in a URL.
 func validName(s string) bool {
 	if s == "" || len(s) > MaxNameBytes {
 		return false
--- a/graph/diff.go
+++ b/graph/diff.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// ChangeKind says what happens to a section.
+// ChangeKind is the kind of a change of a section.
 type ChangeKind uint8
 
 // The kinds of change.
@@ -15,7 +15,7 @@
 	Removed
 )
 
-// String returns the word for people.
+// String returns the name of the kind.
 func (k ChangeKind) String() string {
 	switch k {
 	case Added:
@@ -29,28 +29,28 @@
 	}
 }
 
-// Change is a section that differs between two lists.
+// Change is the difference of one section between two lists.
 type Change struct {
 	Service string
 	Kind    ChangeKind
-	// Old and New are the texts; the one that does not exist is empty.
+	// Old and New are the texts of the section, empty if it does not exist.
 	Old string
 	New string
 }
 
-// Diff lists the sections that differ, sorted by service. Any difference of
-// the text counts, comments included: what is published is the text.
+// Diff returns the differences between two lists of sections, sorted by
+// service. It compares texts, including comments and spaces.
 func Diff(old, new []Section) []Change {
-	before := texts(old)
-	after := texts(new)
+	before := textsByService(old)
+	after := textsByService(new)
 	var changes []Change
 	for service, text := range after {
-		was, ok := before[service]
+		oldText, ok := before[service]
 		switch {
 		case !ok:
 			changes = append(changes, Change{Service: service, Kind: Added, New: text})
-		case was != text:
-			changes = append(changes, Change{Service: service, Kind: Changed, Old: was, New: text})
+		case oldText != text:
+			changes = append(changes, Change{Service: service, Kind: Changed, Old: oldText, New: text})
 		}
 	}
 	for service, text := range before {
@@ -62,7 +62,7 @@
 	return changes
 }
 
-func texts(sections []Section) map[string]string {
+func textsByService(sections []Section) map[string]string {
 	m := make(map[string]string, len(sections))
 	for _, s := range sections {
 		m[s.Service] = s.Text
--- a/graph/fuzz_test.go
+++ b/graph/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// checkTokens is the slow version of checkBytes: it refuses every token of
-// HCL's own lexer on which its parser recurses.
+// checkTokens is a reference implementation of checkBytes: it rejects every token
+// of HCL's lexer on which the parser recurses.
 func checkTokens(tokens hclsyntax.Tokens) error {
 	depth := 0
 	for _, t := range tokens {
@@ -23,7 +23,7 @@
 		case hclsyntax.TokenIdent, hclsyntax.TokenNumberLit, hclsyntax.TokenEqual, hclsyntax.TokenComma,
 			hclsyntax.TokenOQuote, hclsyntax.TokenCQuote, hclsyntax.TokenQuotedLit,
 			hclsyntax.TokenNewline, hclsyntax.TokenComment, hclsyntax.TokenEOF:
-		case hclsyntax.TokenDot, hclsyntax.TokenInvalid: // no recursion; refused by the parser
+		case hclsyntax.TokenDot, hclsyntax.TokenInvalid: // no recursion; rejected by the parser
 		default:
 			return fmt.Errorf("%v at %v", t.Type, t.Range)
 		}
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// FuzzGuard compares the check of bytes with the tokens that HCL's lexer sees.
-// A string or comment that ends elsewhere for one of them would hide brackets.
+// FuzzGuard guards against strings or comments that end elsewhere for checkBytes
+// than for HCL's lexer: they would hide brackets from the check.
 func FuzzGuard(f *testing.F) {
 	for _, seed := range []string{
 		"a = \"#\" # \" [\n/* \" */ b = [[]] // {", "/*/ [ */", "\"$${ \\\" %{", "a = 1.5.2 ... x.1", "\r\"\r\" = \u2028 [",
@@ -49,14 +49,16 @@
 		}
 		tokens, _ := hclsyntax.LexConfig(text, "f", hcl.InitialPos)
 		if err := checkTokens(tokens); err != nil {
-			t.Fatalf("let through: %v", err)
+			t.Fatalf("checkBytes accepts the token: %v", err)
 		}
 	})
 }
 
+// FuzzParse guards against panics, incomplete problems, and texts that Parse accepts
+// but Split or Assemble rejects.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(op("idempotent = true\nimportance = \"high\"\ndeadline = \"1s\"\nextra_attempts = 3")))
-	f.Add([]byte(op("calls = [\"a.leaf\", \"b.x\"] /* x\n*/ # y")))
+	f.Add([]byte(textWithAttributes("idempotent = true\nimportance = \"high\"\ndeadline = \"1s\"\nextra_attempts = 3")))
+	f.Add([]byte(textWithAttributes("calls = [\"a.leaf\", \"b.x\"] /* x\n*/ # y")))
 	f.Add([]byte("\xef\xbb\xbf# bom\r\nservice \"a\" {\r\n operation \"x\" {}\r\n}\r\n"))
 	f.Add([]byte("service \"a\" { operation \"x\" { calls = [{ a = [1e99] }, null] } }"))
 	f.Add([]byte("service \"a\" \"b\" {}\nservice b {}\n\x00\"${"))
@@ -82,8 +84,8 @@
 	})
 }
 
-// checkSplit asserts that the sections of a valid text lose nothing but blank
-// lines and assemble to the same graph.
+// checkSplit checks that the sections of a valid text contain all of it but blank
+// lines, and assemble to the same services.
 func checkSplit(t *testing.T, text []byte, g *Graph) {
 	sections, ps := Split("f", text)
 	if len(ps) > 0 {
@@ -93,16 +95,16 @@
 	for _, s := range sections {
 		joined.WriteString(s.Text)
 	}
-	if strip(joined.String()) != strip(string(text)) {
+	if removeSpace(joined.String()) != removeSpace(string(text)) {
 		t.Fatalf("sections lose text:\n%q\n%q", joined.String(), text)
 	}
-	again, ps := Assemble(sections)
+	assembled, ps := Assemble(sections)
 	if len(ps) > 0 {
 		t.Fatalf("parsed but not assembled: %v", ps)
 	}
-	if len(again.Services()) != len(g.Services()) {
-		t.Fatalf("%d services, want %d", len(again.Services()), len(g.Services()))
+	if len(assembled.Services()) != len(g.Services()) {
+		t.Fatalf("%d services, want %d", len(assembled.Services()), len(g.Services()))
 	}
 }
 
-func strip(s string) string { return strings.Join(strings.Fields(s), "") }
+func removeSpace(s string) string { return strings.Join(strings.Fields(s), "") }
--- a/graph/graph.go
+++ b/graph/graph.go
@@ -1,8 +1,7 @@
-// Package graph reads the text in which operators declare their services and
-// turns it into a checked call graph.
+// Package graph parses the HCL text in which operators declare their services
+// and builds a validated call graph from it.
 //
-// The text is HCL. Each service is a section of its own, which is the unit of
-// publication:
+// Each service is a section of the text. Sections are published one by one:
 //
 //	service "plumecast" {
 //	  operation "forecast" {
@@ -14,11 +13,11 @@
 //	  }
 //	}
 //
-// Every node folds the same publications and must come to the same verdict on
-// each, so the limits and defaults of this package are constants and not
-// settings: a node with another limit would accept what its peers refuse.
+// All nodes apply the same publications and must agree on whether each is
+// valid. The limits and defaults of this package are therefore constants and
+// not settings: a node with another limit would accept what its peers reject.
 //
-// A Graph never changes after it was assembled and is safe for concurrent use.
+// A Graph is immutable after it is built and safe for concurrent use.
 package graph
 
 import (
@@ -29,8 +28,8 @@
 	"github.com/cassialoom/cassialoom/importance"
 )
 
-// Graph is a checked call graph: every call names a declared operation, there
-// is no cycle, and no idempotent operation depends on a non-idempotent one.
+// Graph is a valid call graph: every call names a declared operation, there
+// are no cycles, and no idempotent operation calls a non-idempotent one.
 type Graph struct {
 	services []*Service
 	byName   map[string]*Service
@@ -47,17 +46,18 @@
 type Operation struct {
 	Service string
 	Name    string
-	// Idempotent reports whether a second run does no harm. Only an
-	// idempotent operation may be attempted again after "may have run".
+	// Idempotent is set if running the operation twice is harmless. Only
+	// an idempotent operation is retried when a failed attempt may have run.
 	Idempotent bool
 	Importance importance.Importance
-	// Deadline is the time for a request that enters at this operation
-	// without a deadline of its own.
+	// Deadline applies to requests that enter at this operation without a
+	// deadline of their own.
 	Deadline time.Duration
-	// ExtraAttempts is what a whole request that enters at this operation
-	// may spend on attempts beyond the first, over all its calls.
+	// ExtraAttempts is the retry budget of a request that enters at this
+	// operation, shared by all its calls.
 	ExtraAttempts int
-	// DependsOn lists the operations that this one may call, sorted.
+	// DependsOn lists the operations that this one may call, sorted by
+	// service and name.
 	DependsOn []Ref
 
 	reach  []string
@@ -70,7 +70,7 @@
 	Operation string
 }
 
-// String returns the form used in the text.
+// String returns the form used in HCL texts: SERVICE.OPERATION.
 func (r Ref) String() string { return r.Service + "." + r.Operation }
 
 func (r Ref) compare(o Ref) int {
@@ -80,16 +80,17 @@
 	return strings.Compare(r.Operation, o.Operation)
 }
 
-// Services returns all services, sorted by name. The slice is shared.
+// Services returns all services, sorted by name. The slice is shared and must
+// not be modified.
 func (g *Graph) Services() []*Service { return g.services }
 
-// Service finds a service by name.
+// Service returns the service with the given name.
 func (g *Graph) Service(name string) (*Service, bool) {
 	s, ok := g.byName[name]
 	return s, ok
 }
 
-// Operation finds an operation of a service.
+// Operation returns an operation of a service.
 func (g *Graph) Operation(service, op string) (*Operation, bool) {
 	s, ok := g.byName[service]
 	if !ok {
@@ -98,10 +99,10 @@
 	return s.Operation(op)
 }
 
-// Warnings returns what is allowed but deserves a second look.
+// Warnings returns the problems that do not make the graph invalid.
 func (g *Graph) Warnings() Problems { return g.warnings }
 
-// Operation finds an operation by name.
+// Operation returns the operation with the given name.
 func (s *Service) Operation(name string) (*Operation, bool) {
 	i, ok := slices.BinarySearchFunc(s.Operations, name, func(o *Operation, name string) int {
 		return strings.Compare(o.Name, name)
@@ -112,18 +113,19 @@
 	return s.Operations[i], true
 }
 
-// Ref returns the name of the operation.
+// Ref returns the reference to the operation.
 func (o *Operation) Ref() Ref { return Ref{Service: o.Service, Operation: o.Name} }
 
-// Reach returns the services that a call of this operation may reach: its own
-// first, then the others sorted by name. The slice is shared.
+// Reach returns the services that a call of this operation may reach, directly
+// or indirectly: its own first, then the others sorted by name. The slice is
+// shared and must not be modified.
 func (o *Operation) Reach() []string { return o.reach }
 
-// Height returns the number of calls on the longest chain below the operation;
-// it is zero for an operation that calls nothing.
+// Height returns the number of calls on the longest call chain below the
+// operation. It is zero for an operation without calls.
 func (o *Operation) Height() int { return o.height }
 
-// Allows reports whether the operation declares a call of the given one.
+// Allows reports whether the operation declares a call to the given operation.
 func (o *Operation) Allows(service, op string) bool {
 	for i := range o.DependsOn {
 		if o.DependsOn[i].Operation == op && o.DependsOn[i].Service == service {
--- a/graph/graph_test.go
+++ b/graph/graph_test.go
@@ -14,7 +14,7 @@
 	"github.com/cassialoom/cassialoom/internal/proptest"
 )
 
-// chain is a text of n+1 services that call each other in a row; each takes
+// chain returns a text with a call chain of n+1 services. Each service takes
 // three lines.
 func chain(n int) []byte {
 	var b bytes.Buffer
@@ -28,19 +28,19 @@
 	return b.Bytes()
 }
 
-// plan is a graph as the naive version sees it: calls by position.
-type plan struct {
+// graphPlan is a generated graph, valid or not. Operations are numbered.
+type graphPlan struct {
 	idempotent []bool
 	calls      [][]int
 }
 
 const opsPerService = 2
 
-func (p plan) ref(i int) Ref {
+func (p graphPlan) ref(i int) Ref {
 	return Ref{Service: fmt.Sprintf("s%d", i/opsPerService), Operation: fmt.Sprintf("o%d", i%opsPerService)}
 }
 
-func (p plan) sections() []Section {
+func (p graphPlan) sections() []Section {
 	var sections []Section
 	for first := 0; first < len(p.calls); first += opsPerService {
 		var b strings.Builder
@@ -59,9 +59,9 @@
 	return sections
 }
 
-// walk follows every path below i, without memory; it gives up on a path
-// longer than there are operations, which only a cycle makes.
-func (p plan) walk(i, depth int, services map[string]bool) (height int, cyclic bool) {
+// walk follows every path from operation i, recursively, and adds the reached services
+// to services. A path longer than the number of operations contains a cycle.
+func (p graphPlan) walk(i, depth int, services map[string]bool) (height int, cyclic bool) {
 	if depth > len(p.calls) {
 		return 0, true
 	}
@@ -76,7 +76,7 @@
 	return height, false
 }
 
-func (p plan) valid() bool {
+func (p graphPlan) valid() bool {
 	for i, calls := range p.calls {
 		if _, cyclic := p.walk(i, 0, map[string]bool{}); cyclic {
 			return false
@@ -90,10 +90,10 @@
 	return true
 }
 
-func drawPlan(t *rapid.T) plan {
+func drawGraphPlan(t *rapid.T) graphPlan {
 	n := opsPerService * rapid.IntRange(1, 5).Draw(t, "services")
 	backwards := rapid.IntRange(0, 3).Draw(t, "backwards") == 0
-	p := plan{idempotent: make([]bool, n), calls: make([][]int, n)}
+	p := graphPlan{idempotent: make([]bool, n), calls: make([][]int, n)}
 	for i := range n {
 		// Later operations are less often idempotent, so that valid plans occur.
 		p.idempotent[i] = rapid.IntRange(0, n).Draw(t, "idempotent") > n-i
@@ -108,15 +108,17 @@
 	return p
 }
 
-func TestAssembleAgreesWithNaiveWalk(t *testing.T) {
+// Guards against wrong validity, height, reach or calls of an assembled graph, by
+// comparison with a simple reference implementation.
+func TestAssembleAgreesWithReference(t *testing.T) {
 	valid := 0
 	assembler := new(Assembler)
 	proptest.Check(t, func(t *rapid.T) {
-		p := drawPlan(t)
+		p := drawGraphPlan(t)
 		sections := p.sections()
 		g, ps := assembler.Assemble(sections)
 		if (len(ps) == 0) != p.valid() {
-			t.Fatalf("naive version says valid=%v, problems:\n%v", p.valid(), ps)
+			t.Fatalf("reference implementation says valid=%v, problems:\n%v", p.valid(), ps)
 		}
 		for _, problem := range ps {
 			if !strings.HasPrefix(problem.File, "section s") || problem.Line < 2 {
@@ -132,11 +134,11 @@
 		}
 	})
 	if valid < 10 {
-		t.Fatalf("only %d plans were valid: the property compares too little", valid)
+		t.Fatalf("only %d generated graphs were valid: too few to compare", valid)
 	}
 }
 
-func checkOperation(t *rapid.T, g *Graph, p plan, i int) {
+func checkOperation(t *rapid.T, g *Graph, p graphPlan, i int) {
 	o, ok := g.Operation(p.ref(i).Service, p.ref(i).Operation)
 	if !ok {
 		t.Fatalf("%v is missing", p.ref(i))
@@ -156,7 +158,7 @@
 	}
 	for j := range p.calls {
 		if o.Allows(p.ref(j).Service, p.ref(j).Operation) != slices.Contains(p.calls[i], j) {
-			t.Fatalf("%v allows %v wrongly", o.Ref(), p.ref(j))
+			t.Fatalf("Allows is wrong for a call from %v to %v", o.Ref(), p.ref(j))
 		}
 	}
 }
@@ -172,13 +174,13 @@
 	b2, a2 := sections[1].Text, sections[0].Text
 	moved, ps := Split("f.hcl", []byte(strings.TrimSuffix(b2, "# the end\n")+a2))
 	is.NoErr(ps.Err())
-	is.Equal(len(Diff(sections, moved)), 1) // b lost its last comment, a only moved
+	is.Equal(len(Diff(sections, moved)), 1) // b lost its last comment; moving a is no change
 
 	_, ps = Split("f.hcl", []byte(a+"\n"+a))
 	is.True(strings.Contains(ps[0].Cause, "duplicate service a"))
 }
 
-func TestSectionMustHoldItsService(t *testing.T) {
+func TestSectionMustDeclareItsServiceOnly(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"", "service \"b\" {\noperation \"x\" {}\n}", string(chain(1))} {
 		_, ps := Assemble([]Section{{Service: "a", Text: text}})
@@ -192,15 +194,15 @@
 func TestDiff(t *testing.T) {
 	is := is.New(t)
 	old := []Section{{"a", "1"}, {"b", "1"}, {"c", "1"}}
-	now := []Section{{"d", "1"}, {"c", "2"}, {"a", "1"}}
-	is.Equal(Diff(old, now), []Change{
+	current := []Section{{"d", "1"}, {"c", "2"}, {"a", "1"}}
+	is.Equal(Diff(old, current), []Change{
 		{Service: "b", Kind: Removed, Old: "1"},
 		{Service: "c", Kind: Changed, Old: "1", New: "2"},
 		{Service: "d", Kind: Added, New: "1"},
 	})
 }
 
-func TestExamplesFanOutThreeServicesDeep(t *testing.T) {
+func TestExamplesHaveFanOutAndDepth(t *testing.T) {
 	is := is.New(t)
 	for file, entry := range map[string]Ref{
 		"savukartta": {"plumecast", "forecast"},
--- a/graph/guard.go
+++ b/graph/guard.go
@@ -7,14 +7,13 @@
 
 const byteOrderMark = "\xef\xbb\xbf"
 
-// checkBytes lets only texts through that the HCL parser can read without deep
-// recursion. It recurses for each bracket, operator and template: a long run
-// of them overflows the stack, which ends the process and cannot be recovered
-// from, at every node that reads the publication. Without operators and
-// templates, and with bounded nesting, nothing is left to recurse on. The
-// check looks at bytes because HCL's own tokens cost as much as the parsing.
+// checkBytes rejects texts on which the HCL parser recurses deeply. The parser
+// recurses on each bracket, operator and template. A stack overflow cannot be
+// recovered and would crash every node that reads the publication. The check
+// rejects operators and templates and bounds the nesting of brackets. It works
+// on bytes because HCL's lexer takes as long as its parser.
 func checkBytes(file string, text []byte) Problems {
-	g := guard{file: file, text: text, line: 1}
+	g := byteChecker{file: file, text: text, line: 1}
 	if !utf8.Valid(text) {
 		g.problem("save the file as UTF-8; is it the right file?", "the text is not valid UTF-8")
 		return g.problems
@@ -23,13 +22,13 @@
 		g.pos = len(byteOrderMark)
 	}
 	for g.pos < len(text) && len(g.problems) <= MaxProblems && g.depth <= maxNesting {
-		g.step()
+		g.checkToken()
 	}
 	return g.problems
 }
 
-// guard reads a text from one token to the next.
-type guard struct {
+// byteChecker scans a text token by token.
+type byteChecker struct {
 	file     string
 	text     []byte
 	pos      int
@@ -38,11 +37,12 @@
 	problems Problems
 }
 
-func (g *guard) problem(remedy, cause string, args ...any) {
+func (g *byteChecker) problem(remedy, cause string, args ...any) {
 	g.problems.add(g.file, g.line, remedy, cause, args...)
 }
 
-func (g *guard) step() {
+// checkToken checks and skips one token.
+func (g *byteChecker) checkToken() {
 	switch c := g.text[g.pos]; {
 	case c == '\n':
 		g.line++
@@ -56,23 +56,23 @@
 	case g.follows("/*"):
 		g.comment()
 	case c == '"':
-		g.quoted()
+		g.quotedString()
 	case c == '{' || c == '[':
-		g.open()
+		g.openBracket()
 	case c == '}' || c == ']':
 		g.depth--
 		g.pos++
 	case isWord(c):
 		g.word()
 	default:
-		g.unknown()
+		g.unknownRune()
 	}
 }
 
-func (g *guard) follows(s string) bool { return bytes.HasPrefix(g.text[g.pos:], []byte(s)) }
+func (g *byteChecker) follows(s string) bool { return bytes.HasPrefix(g.text[g.pos:], []byte(s)) }
 
-// skipTo moves to the next s, or to the end.
-func (g *guard) skipTo(s string) {
+// skipTo moves to the next occurrence of s, or to the end of the text.
+func (g *byteChecker) skipTo(s string) {
 	n := bytes.Index(g.text[g.pos:], []byte(s))
 	if n < 0 {
 		n = len(g.text) - g.pos
@@ -80,7 +80,7 @@
 	g.pos += n
 }
 
-func (g *guard) comment() {
+func (g *byteChecker) comment() {
 	const begin, end = "/*", "*/"
 	start := g.pos
 	g.pos += len(begin)
@@ -93,9 +93,9 @@
 	g.line += bytes.Count(g.text[start:g.pos], []byte("\n"))
 }
 
-// quoted reads a string. No value needs an escape, and without them and
-// templates the string ends where HCL ends it: at the next quote.
-func (g *guard) quoted() {
+// quotedString skips a string. It rejects escapes and templates, which no value needs,
+// so that the string ends at the next quote for HCL, too.
+func (g *byteChecker) quotedString() {
 	start := g.pos
 	g.pos++
 	for g.pos < len(g.text) {
@@ -114,7 +114,7 @@
 	g.problem(`close the string with "`, "the string %s does not end", excerpt(g.text[start:]))
 }
 
-func (g *guard) open() {
+func (g *byteChecker) openBracket() {
 	g.depth++
 	g.pos++
 	if g.depth > maxNesting {
@@ -122,8 +122,8 @@
 	}
 }
 
-// word reads a name or a number; a point may stand between digits.
-func (g *guard) word() {
+// word skips a name or a number. A point is allowed only between digits.
+func (g *byteChecker) word() {
 	start := g.pos
 	for g.pos < len(g.text) && (isWord(g.text[g.pos]) || g.isPoint()) {
 		g.pos++
@@ -133,11 +133,11 @@
 	}
 }
 
-func (g *guard) isPoint() bool {
+func (g *byteChecker) isPoint() bool {
 	return g.text[g.pos] == '.' && isDigit(g.text[g.pos-1]) && g.pos+1 < len(g.text) && isDigit(g.text[g.pos+1])
 }
 
-func (g *guard) unknown() {
+func (g *byteChecker) unknownRune() {
 	_, size := utf8.DecodeRune(g.text[g.pos:])
 	g.problem(valueRemedy, "%s is not part of a graph text", excerpt(g.text[g.pos:g.pos+size]))
 	g.pos += size
--- a/graph/limits.go
+++ b/graph/limits.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// Limits of a text. They bound the work and the memory that a publication can
-// cost every node.
+// Limits of a text. They bound the CPU time and memory that a publication uses
+// at each node.
 const (
-	// MaxTextBytes bounds a whole text: 200 services of about 3.9 KB each.
+	// MaxTextBytes is the maximum size of all sections together.
 	MaxTextBytes = 768 << 10
-	// MaxSectionBytes bounds one section, so that it fits a record of the
-	// log and a message between nodes.
+	// MaxSectionBytes is the maximum size of a section. A section must fit
+	// into a log record and into a message between nodes.
 	MaxSectionBytes = 64 << 10
-	// MaxServices is twice the number of services in the design size.
+	// MaxServices is the maximum number of services.
 	MaxServices = 400
-	// MaxOperations bounds the operations of all services together.
+	// MaxOperations is the maximum number of operations of all services.
 	MaxOperations = 4000
-	// MaxCalls bounds the calls that one operation declares.
+	// MaxCalls is the maximum number of calls that an operation declares.
 	MaxCalls = 64
-	// MaxDepth bounds the calls on the longest chain; the design size is 26.
+	// MaxDepth is the maximum number of calls on a call chain.
 	MaxDepth = 32
-	// MaxNameBytes bounds the name of a service or an operation.
+	// MaxNameBytes is the maximum length of a service or operation name.
 	MaxNameBytes = 63
-	// MaxProblems bounds what is reported about one text.
+	// MaxProblems is the maximum number of problems reported for a text.
 	MaxProblems = 20
 )
 
 // Bounds and defaults of the attributes of an operation.
 const (
-	// MinDeadline is the least deadline that a network hop can meet.
+	// MinDeadline is the shortest deadline that a network hop can meet.
 	MinDeadline = time.Millisecond
-	// MaxDeadline keeps a request from holding its slots for hours.
+	// MaxDeadline bounds the time for which a request occupies its slots.
 	MaxDeadline = time.Hour
-	// DefaultDeadline is about as long as a person waits.
+	// DefaultDeadline is about as long as a user waits for an answer.
 	DefaultDeadline = 5 * time.Second
-	// DefaultExtraAttempts lets a request survive the loss of two backend
-	// servers on its way.
+	// DefaultExtraAttempts lets a request survive the crash of two backend
+	// servers.
 	DefaultExtraAttempts = 2
-	// MaxExtraAttempts keeps a request from multiplying an overload.
+	// MaxExtraAttempts bounds the load that retries add under overload.
 	MaxExtraAttempts = 10
 )
 
 const (
-	maxWordBytes = 64 // name of an attribute or a number
-	maxNesting   = 8  // brackets; a valid text nests three
+	maxWordBytes = 64 // length of an attribute name or a number
+	maxNesting   = 8  // depth of brackets; valid texts need three levels
 )
--- a/graph/problem.go
+++ b/graph/problem.go
@@ -8,22 +8,24 @@
 	"strings"
 )
 
-// Problem is one reason why a text is refused, with what to do about it.
+// Problem is a reason why a text is invalid, or a warning about a valid text.
 type Problem struct {
-	// File is the name of the file, or the section when the text came as
-	// sections.
-	File   string
-	Line   int
-	Cause  string
+	// File is the name of the file, or SectionFile for a section.
+	File string
+	// Line starts at 1.
+	Line  int
+	Cause string
+	// Remedy tells the operator what to change.
 	Remedy string
 }
 
-// String returns the problem on one line, as compilers do.
+// String returns the problem on one line, with position, cause and remedy.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s:%d: %s; remedy: %s", p.File, p.Line, p.Cause, p.Remedy)
 }
 
-// Problems lists why a text is refused; an accepted text has none.
+// Problems lists problems or warnings. Functions that validate a text return no
+// problems if it is valid.
 type Problems []Problem
 
 // Err returns the problems as one error, or nil if there are none.
@@ -47,9 +49,9 @@
 	*ps = append(*ps, Problem{File: file, Line: line, Cause: fmt.Sprintf(cause, args...), Remedy: remedy})
 }
 
-// report orders the problems as the text is read and cuts a long list. files
-// gives the order of the sections.
-func (ps Problems) report(files []string) Problems {
+// sortAndCut sorts the problems by file, in the order of files, and line. It cuts
+// the list to MaxProblems; the last entry then counts the omitted problems.
+func (ps Problems) sortAndCut(files []string) Problems {
 	if len(ps) == 0 {
 		return nil
 	}
--- a/graph/problems_test.go
+++ b/graph/problems_test.go
@@ -10,12 +10,12 @@
 	"github.com/cassialoom/cassialoom/importance"
 )
 
-// op wraps the attributes of one operation into a text; they begin at line 3.
-func op(attributes string) string {
+// textWithAttributes returns a text with the given attributes of operation a.x, from line 3 on.
+func textWithAttributes(attributes string) string {
 	return "service \"a\" {\n operation \"x\" {\n" + attributes + "\n }\n operation \"leaf\" {}\n}\n"
 }
 
-func TestRefusalsNameLineCauseAndRemedy(t *testing.T) {
+func TestProblemsHaveLineCauseAndRemedy(t *testing.T) {
 	long := strings.Repeat("n", MaxNameBytes+1)
 	for name, c := range map[string]struct {
 		text   string
@@ -23,46 +23,46 @@
 		cause  string
 		remedy string
 	}{
-		"cycle":               {op(`calls = ["b.y"]`) + "service \"b\" {\n operation \"y\" {\n  calls = [\n\"a.x\"]\n }\n}", 10, "cycle: a.x -> b.y -> a.x", "take one"},
-		"call of itself":      {op(`calls = ["a.x"]`), 3, "cycle: a.x -> a.x", "take one"},
-		"unknown service":     {op("calls = [\n\"b.y\",\n]"), 4, "unknown service b", "declared one: a"},
-		"unknown operation":   {op(`calls = ["a.y"]`), 3, "unknown operation a.y", "leaf, x"},
-		"duplicate service":   {op("") + `service "a" { }`, 7, "no operation", "take the service out"},
-		"duplicate service 2": {op("") + "service \"a\" {\n operation \"z\" {}\n}", 7, "duplicate service a", "rename"},
+		"cycle":               {textWithAttributes(`calls = ["b.y"]`) + "service \"b\" {\n operation \"y\" {\n  calls = [\n\"a.x\"]\n }\n}", 10, "cycle: a.x -> b.y -> a.x", "take one"},
+		"call of itself":      {textWithAttributes(`calls = ["a.x"]`), 3, "cycle: a.x -> a.x", "take one"},
+		"unknown service":     {textWithAttributes("calls = [\n\"b.y\",\n]"), 4, "unknown service b", "declared one: a"},
+		"unknown operation":   {textWithAttributes(`calls = ["a.y"]`), 3, "unknown operation a.y", "leaf, x"},
+		"duplicate service":   {textWithAttributes("") + `service "a" { }`, 7, "no operation", "take the service out"},
+		"duplicate service 2": {textWithAttributes("") + "service \"a\" {\n operation \"z\" {}\n}", 7, "duplicate service a", "rename"},
 		"duplicate operation": {"service \"a\" {\n operation \"x\" {}\n operation \"x\" {}\n}", 3, "duplicate operation a.x", "rename"},
-		"duplicate call":      {op("calls = [\"a.leaf\",\n\"a.leaf\"]"), 4, "duplicate call a.leaf", "once"},
-		"duplicate attribute": {op("idempotent = true\nidempotent = true"), 4, "", ""},
-		"repeats a write":     {op("idempotent = true\ncalls = [\"a.leaf\"]"), 4, "a.x is idempotent but depends on a.leaf", "idempotent = false"},
-		"duration word":       {op(`deadline = "soon"`), 3, `"soon" is not a duration`, "800ms"},
-		"duration no unit":    {op(`deadline = "800"`), 3, "not a duration", "800ms"},
-		"duration number":     {op(`deadline = 800`), 3, "deadline is not a string", "800ms"},
-		"duration zero":       {op(`deadline = "0s"`), 3, "out of range", "800ms"},
-		"duration negative":   {op(`deadline = "-1s"`), 3, "out of range", "800ms"},
-		"duration huge":       {op(`deadline = "61m"`), 3, "out of range", "1h"},
-		"duration overflow":   {op(`deadline = "99999999999h"`), 3, "not a duration", "1h"},
-		"attempts above":      {op(`extra_attempts = 11`), 3, "out of range", "0 to 10"},
-		"attempts part":       {op(`extra_attempts = 1.5`), 3, "out of range", "0 to 10"},
-		"attempts infinite":   {op(`extra_attempts = 1e999999999`), 3, "", ""},
-		"attempts long":       {op("extra_attempts = " + strings.Repeat("1", 65)), 3, "number of 65", "plain"},
-		"importance":          {op(`importance = "vital"`), 3, "unknown importance", "critical"},
-		"bool as string":      {op(`idempotent = "true"`), 3, "not a bool", "true or false"},
-		"null":                {op(`idempotent = null`), 3, "not a bool", "true or false"},
-		"variable":            {op(`idempotent = yes`), 3, "not a plain value", "true or false"},
-		"calls no list":       {op(`calls = "a.leaf"`), 3, "not a list", "list of strings"},
-		"call no operation":   {op(`calls = ["a"]`), 3, "does not name an operation", "SERVICE.OPERATION"},
-		"unknown attribute":   {op(`dead_line = "1s"`), 3, `unknown attribute "dead_line"`, "deadline"},
+		"duplicate call":      {textWithAttributes("calls = [\"a.leaf\",\n\"a.leaf\"]"), 4, "duplicate call a.leaf", "once"},
+		"duplicate attribute": {textWithAttributes("idempotent = true\nidempotent = true"), 4, "", ""},
+		"repeats a write":     {textWithAttributes("idempotent = true\ncalls = [\"a.leaf\"]"), 4, "a.x is idempotent but depends on a.leaf", "idempotent = false"},
+		"duration word":       {textWithAttributes(`deadline = "soon"`), 3, `"soon" is not a duration`, "800ms"},
+		"duration no unit":    {textWithAttributes(`deadline = "800"`), 3, "not a duration", "800ms"},
+		"duration number":     {textWithAttributes(`deadline = 800`), 3, "deadline is not a string", "800ms"},
+		"duration zero":       {textWithAttributes(`deadline = "0s"`), 3, "out of range", "800ms"},
+		"duration negative":   {textWithAttributes(`deadline = "-1s"`), 3, "out of range", "800ms"},
+		"duration huge":       {textWithAttributes(`deadline = "61m"`), 3, "out of range", "1h"},
+		"duration overflow":   {textWithAttributes(`deadline = "99999999999h"`), 3, "not a duration", "1h"},
+		"attempts above":      {textWithAttributes(`extra_attempts = 11`), 3, "out of range", "0 to 10"},
+		"attempts part":       {textWithAttributes(`extra_attempts = 1.5`), 3, "out of range", "0 to 10"},
+		"attempts infinite":   {textWithAttributes(`extra_attempts = 1e999999999`), 3, "", ""},
+		"attempts long":       {textWithAttributes("extra_attempts = " + strings.Repeat("1", 65)), 3, "number of 65", "plain"},
+		"importance":          {textWithAttributes(`importance = "vital"`), 3, "unknown importance", "critical"},
+		"bool as string":      {textWithAttributes(`idempotent = "true"`), 3, "not a bool", "true or false"},
+		"null":                {textWithAttributes(`idempotent = null`), 3, "not a bool", "true or false"},
+		"variable":            {textWithAttributes(`idempotent = yes`), 3, "not a plain value", "true or false"},
+		"calls no list":       {textWithAttributes(`calls = "a.leaf"`), 3, "not a list", "list of strings"},
+		"call no operation":   {textWithAttributes(`calls = ["a"]`), 3, "does not name an operation", "SERVICE.OPERATION"},
+		"unknown attribute":   {textWithAttributes(`dead_line = "1s"`), 3, `unknown attribute "dead_line"`, "deadline"},
 		"service attribute":   {"service \"a\" {\n x = 1\n operation \"x\" {}\n}", 2, "unknown attribute", "operation"},
 		"top attribute":       {"\nx = 1", 2, "outside of a service", "service"},
 		"unknown block":       {"\nbackend \"a\" {\n}", 2, `unknown block "backend"`, "service"},
-		"inner block":         {op("retry {\n}"), 3, "inside of operation", "one attribute a line"},
+		"inner block":         {textWithAttributes("retry {\n}"), 3, "inside of operation", "one attribute a line"},
 		"no name":             {"service {\n}", 1, "0 names", "NAME"},
 		"bad name":            {"service \"a.b\" {\n}", 1, "not a name", "letters"},
 		"long name":           {"service \"" + long + "\" {\n}", 1, "not a name", "63"},
-		"expression":          {op(`extra_attempts = 1 + 1`), 3, `"+" is not part`, "plain values"},
-		"template":            {op(`importance = "${x}"`), 3, "not allowed in a string", "plain values"},
-		"open string":         {op("importance = \"high\n"), 3, "does not end on its line", "close"},
-		"open comment":        {op("/* idempotent = true\n"), 3, "comment does not end", "*/"},
-		"comparison":          {op(`idempotent = 1 == 1`), 3, `"=" is not part`, "plain values"},
+		"expression":          {textWithAttributes(`extra_attempts = 1 + 1`), 3, `"+" is not part`, "plain values"},
+		"template":            {textWithAttributes(`importance = "${x}"`), 3, "not allowed in a string", "plain values"},
+		"open string":         {textWithAttributes("importance = \"high\n"), 3, "does not end on its line", "close"},
+		"open comment":        {textWithAttributes("/* idempotent = true\n"), 3, "comment does not end", "*/"},
+		"comparison":          {textWithAttributes(`idempotent = 1 == 1`), 3, `"=" is not part`, "plain values"},
 		"not UTF-8":           {"# caf\xe9", 1, "UTF-8", "save"},
 		"open block":          {"service \"a\" {\n", 1, "", "close each"},
 		"empty":               {"", 1, "no service", "declare"},
@@ -83,10 +83,9 @@
 	}
 }
 
-// An operator publishes the wrong file, or somebody tries to end the nodes
-// with one. Every node reads it, so a text that costs a node its stack or
-// seconds of processor time would take the whole fleet down at once.
-func TestNoiseIsRefusedAtOnce(t *testing.T) {
+// Guards against a wrong or malicious file that overflows the stack or uses seconds
+// of CPU time: every node reads it, so it would stop all of them.
+func TestInvalidFilesAreRejectedCheaply(t *testing.T) {
 	const size = 700 << 10
 	for name, text := range map[string]string{
 		"above the limit": strings.Repeat("\x00\xff{", 1<<20/3),
@@ -110,14 +109,14 @@
 	}
 }
 
-func TestManyProblemsAreCut(t *testing.T) {
+func TestProblemListIsBounded(t *testing.T) {
 	is := is.New(t)
-	_, ps := Parse("f.hcl", []byte(op(strings.Repeat("nope = 1\n", 1)+"calls = ["+strings.Repeat("\"a\",\n", 50)+"]")))
+	_, ps := Parse("f.hcl", []byte(textWithAttributes(strings.Repeat("nope = 1\n", 1)+"calls = ["+strings.Repeat("\"a\",\n", 50)+"]")))
 	is.Equal(len(ps), MaxProblems)
 	is.True(strings.Contains(ps[MaxProblems-1].Cause, "32 more problems"))
 }
 
-func TestDepthIsBounded(t *testing.T) {
+func TestCallDepthIsBounded(t *testing.T) {
 	is := is.New(t)
 	g, ps := Parse("f.hcl", chain(MaxDepth))
 	is.NoErr(ps.Err())
@@ -125,14 +124,14 @@
 	is.Equal(top.Height(), MaxDepth)
 
 	_, ps = Parse("f.hcl", chain(MaxDepth+3))
-	is.Equal(len(ps), 1) // only the first operation that is too deep
+	is.Equal(len(ps), 1) // only the lowest operation above the limit
 	is.Equal(ps[0].Line, 2*3+2)
 	is.True(strings.Contains(ps[0].Cause, "s02.x is 33 long"))
 }
 
 func TestAttributesAndDefaults(t *testing.T) {
 	is := is.New(t)
-	g, ps := Parse("f.hcl", []byte(op(`
+	g, ps := Parse("f.hcl", []byte(textWithAttributes(`
 		idempotent = false
 		importance = "critical"
 		deadline = "800ms"
--- a/graph/reach.go
+++ b/graph/reach.go
@@ -2,7 +2,7 @@
 
 import "math/bits"
 
-// bitset holds the positions of services in the sorted list of services.
+// bitset is a set of indexes into the sorted list of services.
 type bitset []uint64
 
 const wordBits = 64
@@ -26,18 +26,18 @@
 	return n
 }
 
-// measure computes height and reach of every operation, callees first.
-func (b *builder) measure() {
+// computeReach computes the height and reach of every operation.
+func (b *builder) computeReach() {
 	index := make(map[string]int, len(b.graph.services))
 	for i, s := range b.graph.services {
 		index[s.Name] = i
 	}
 	for _, n := range b.nodes {
-		b.measureNode(n, index)
+		b.computeNodeReach(n, index)
 	}
 	for _, n := range b.nodes {
-		// Only the first operation above the limit is reported: all that
-		// call it are too deep for the same reason.
+		// Only the lowest operation above the limit is reported: its callers
+		// exceed the limit for the same reason.
 		if n.op.height == MaxDepth+1 {
 			b.problems.add(n.file, n.line, "shorten the chain: let one operation call several services in turn",
 				"the chain of calls below %s is %d long, the limit is %d", n.op.Ref(), n.op.height, MaxDepth)
@@ -45,14 +45,15 @@
 	}
 }
 
-// measureNode recurses along calls, of which no cycle is left.
-func (b *builder) measureNode(n *node, index map[string]int) {
+// computeNodeReach computes the height and reach of a node after those of its
+// callees. The graph must have no cycles.
+func (b *builder) computeNodeReach(n *node, index map[string]int) {
 	if n.reach != nil {
 		return
 	}
 	below := newBitset(len(index))
 	for _, e := range n.calls {
-		b.measureNode(e.to, index)
+		b.computeNodeReach(e.to, index)
 		below.union(e.to.reach)
 		n.op.height = max(n.op.height, e.to.op.height+1)
 	}
@@ -64,17 +65,17 @@
 	}
 	below.add(own)
 	n.reach = below
-	n.op.reach = b.names(below, own)
+	n.op.reach = b.serviceNames(below, own)
 }
 
-// names lists the services of a set, own first.
-func (b *builder) names(set bitset, own int) []string {
-	names := make([]string, 0, set.len())
-	names = append(names, b.graph.services[own].Name)
+// serviceNames returns the names of the services of a set, own first.
+func (b *builder) serviceNames(set bitset, own int) []string {
+	serviceNames := make([]string, 0, set.len())
+	serviceNames = append(serviceNames, b.graph.services[own].Name)
 	for i, s := range b.graph.services {
 		if i != own && set.has(i) {
-			names = append(names, s.Name)
+			serviceNames = append(serviceNames, s.Name)
 		}
 	}
-	return names
+	return serviceNames
 }
--- a/graph/split.go
+++ b/graph/split.go
@@ -10,20 +10,21 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Split cuts a text into the sections of its services, in their order. Each
-// section keeps its exact text: the comments between two services belong to
-// the one that follows, those after the last service to that one. Blank lines
-// around a section are dropped, so that moving a service is not a change.
+// Split splits a text into the sections of its services, in their order. The
+// text of each section is unchanged: comments between two services belong to
+// the second one, comments after the last service belong to the last. Blank
+// lines around a section are removed, so that moving a service is not a change.
+// It returns either sections or problems.
 func Split(filename string, src []byte) ([]Section, Problems) {
 	files := []string{filename}
 	s, ps := readSource(filename, src, MaxTextBytes)
 	if len(ps) > 0 {
-		return nil, ps.report(files)
+		return nil, ps.sortAndCut(files)
 	}
 	d := decoder{file: filename}
 	sections := d.split(s)
 	if len(d.problems) > 0 {
-		return nil, d.problems.report(files)
+		return nil, d.problems.sortAndCut(files)
 	}
 	if len(sections) == 0 {
 		ps.add(filename, 1, emptyRemedy, "no service is declared")
@@ -41,7 +42,7 @@
 	seen := make(map[string]bool)
 	start := 0
 	for i, block := range s.body.Blocks {
-		name, ok := d.label(block, blockService)
+		name, ok := d.blockName(block, blockService)
 		if !ok {
 			continue
 		}
@@ -65,8 +66,9 @@
 	return sections
 }
 
-// lineEnd finds the end of the line on which a block closes. It looks at
-// tokens and not at bytes: a comment that begins there may hold line breaks.
+// lineEnd returns the offset of the end of the line on which a block closes, or
+// fallback if it is the last line. It uses tokens, because a comment that begins
+// on that line may contain line breaks.
 func lineEnd(tokens hclsyntax.Tokens, from, fallback int) int {
 	first, _ := slices.BinarySearchFunc(tokens, from, func(t hclsyntax.Token, from int) int {
 		return cmp.Compare(t.Range.Start.Byte, from)
@@ -82,8 +84,8 @@
 	return fallback
 }
 
-// trimBlankLines drops blank lines at both ends and ends the text with one
-// line break.
+// trimBlankLines removes blank lines at both ends and terminates the text with
+// a single line break.
 func trimBlankLines(s string) string {
 	for {
 		line, rest, found := strings.Cut(s, "\n")
--- a/graph/standalone.go
+++ b/graph/standalone.go
@@ -1,8 +1,7 @@
 package graph
 
-// Standalone returns an operation that stands in no graph text, such as one
-// made for a published route: it declares no calls and reaches its own service
-// alone.
+// Standalone returns a copy of o that belongs to no graph, for example for a
+// published route. It declares no calls and reaches only its own service.
 func Standalone(o Operation) *Operation {
 	o.DependsOn = nil
 	o.reach = []string{o.Service}
--- a/graph/syntax.go
+++ b/graph/syntax.go
@@ -12,14 +12,15 @@
 	valueRemedy = `write plain values only: true, false, a number, "a string" or a list of strings`
 )
 
-// source is one file or section after its syntax was checked.
+// source is a file or section with valid syntax.
 type source struct {
 	file string
 	text []byte
 	body *hclsyntax.Body
 }
 
-// readSource checks size, bytes and syntax, in this order.
+// readSource validates the size, the bytes and the syntax of a text, in this
+// order. limit is the maximum size in bytes.
 func readSource(file string, text []byte, limit int) (source, Problems) {
 	var ps Problems
 	if len(text) > limit {
@@ -36,10 +37,10 @@
 	return source{file: file, text: text, body: body}, nil
 }
 
-// parseBody runs the parser. A panic in it would end every node that reads the
-// publication, one after the other and again after each restart; the recover
-// makes it a refusal, which is the same at every node because the parser
-// depends on nothing but the text.
+// parseBody runs the HCL parser. A panic in the parser would crash every node
+// that reads the publication, again after each restart, so it is recovered and
+// rejects the text. All nodes reject it alike: the result depends only on the
+// text.
 func parseBody(file string, text []byte) (body *hclsyntax.Body, ps Problems) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -59,6 +60,7 @@
 	return f.Body.(*hclsyntax.Body), nil
 }
 
+// diagLine returns the line of a diagnostic, 1 if it has none.
 func diagLine(d *hcl.Diagnostic) int {
 	if d.Subject == nil || d.Subject.Start.Line < 1 {
 		return 1
@@ -66,11 +68,11 @@
 	return d.Subject.Start.Line
 }
 
-// excerpt quotes the beginning of what the operator wrote.
+// excerpt quotes the beginning of s for a problem message.
 func excerpt[T string | []byte](s T) string {
-	const most = 40
-	if len(s) <= most {
+	const maxBytes = 40
+	if len(s) <= maxBytes {
 		return fmt.Sprintf("%q", s)
 	}
-	return fmt.Sprintf("%q...", s[:most])
+	return fmt.Sprintf("%q...", s[:maxBytes])
 }
