--- a/quota/bank.go
+++ b/quota/bank.go
@@ -64,11 +64,11 @@
 	g := Grant{Workspace: w.Workspace, Now: min(w.Waiting, wholeTokens(a.tokens))}
 	g.Short = g.Now < w.Waiting
 	a.tokens -= float64(g.Now)
-	g.Ahead = min(w.Ahead, wholeTokens(a.tokens-b.cfg.Reserve*bucketDepth))
-	a.tokens -= float64(g.Ahead)
+	g.Prefetch = min(w.Prefetch, wholeTokens(a.tokens-b.cfg.WaitingReserve*bucketDepth))
+	a.tokens -= float64(g.Prefetch)
 	// Tokens for waiting requests are used on arrival and need no loan.
-	if held := w.Held + g.Ahead; held > 0 {
-		a.loans[node] = loan{count: held, expiresAt: now.Add(b.cfg.TokenLife)}
+	if held := w.Held + g.Prefetch; held > 0 {
+		a.loans[node] = loan{count: held, expiresAt: now.Add(b.cfg.TokenTTL)}
 	}
 	return g
 }
@@ -79,7 +79,7 @@
 // full bucket; until those tokens have expired the depth is halved.
 func (b *Bank) bucketDepth(now time.Time, a *bucket, q workspace.Quota) float64 {
 	bucketDepth := b.cfg.bucketDepth(q)
-	if now.Sub(a.termStart) < b.cfg.TokenLife {
+	if now.Sub(a.termStart) < b.cfg.TokenTTL {
 		bucketDepth = max(1, bucketDepth/2)
 	}
 	return bucketDepth
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -57,7 +57,7 @@
 // dropIdleAfter is the time after which a workspace without requests is dropped.
 const dropIdleAfter = time.Minute
 
-// maxWaitForPause is the longest remaining pause (Config.CloseFor) for which a request
+// maxWaitForPause is the longest remaining pause (Config.ShortagePause) for which a request
 // waits instead of being rejected.
 const maxWaitForPause = 30 * time.Millisecond
 
@@ -91,11 +91,11 @@
 }
 
 // Return gives back the token of a request that was not run. The token may be used for
-// at most Config.ReturnLife.
+// at most Config.ReturnedTokenTTL.
 func (h *Holder) Return(now time.Time, t Token) {
 	s, ok := h.states[t.workspace]
 	if ok && now.Before(t.expiresAt) {
-		s.addBatch(tokenBatch{count: 1, expiresAt: earlierOf(t.expiresAt, now.Add(h.cfg.ReturnLife))})
+		s.addBatch(tokenBatch{count: 1, expiresAt: earlierOf(t.expiresAt, now.Add(h.cfg.ReturnedTokenTTL))})
 	}
 }
 
@@ -136,7 +136,7 @@
 			continue
 		}
 		w := s.tokenRequest(now, name, h.cfg)
-		if w.Waiting+w.Ahead == 0 || w.Waiting == 0 && now.Sub(s.requestedAt) < h.cfg.AheadEvery {
+		if w.Waiting+w.Prefetch == 0 || w.Waiting == 0 && now.Sub(s.requestedAt) < h.cfg.PrefetchEvery {
 			continue
 		}
 		wants = append(wants, w)
@@ -145,13 +145,13 @@
 }
 
 func (s *tokenState) tokenRequest(now time.Time, name string, cfg Config) Want {
-	target := uint32(s.demand.rate(now) * cfg.Ahead.Seconds())
+	target := uint32(s.demand.rate(now) * cfg.Prefetch.Seconds())
 	held := s.count()
 	// A token that has just arrived may not yet be taken by the request that waits for
 	// it. That request must not be counted again.
 	w := Want{Workspace: name, Held: held, Waiting: s.waiting - min(s.waiting, held)}
 	if held < target {
-		w.Ahead = target - held
+		w.Prefetch = target - held
 	}
 	return w
 }
@@ -178,13 +178,13 @@
 
 // Granted applies an owner's answer to the token requests sent at the given time. For a
 // workspace that the answer does not name the next request is delayed by
-// Config.AskAgain; without the delay waiting requests would cause a loop of messages.
+// Config.RetryDelay; without the delay waiting requests would cause a loop of messages.
 func (h *Holder) Granted(now, sent time.Time, wants []Want, grants []Grant) {
 	h.setInFlight(wants, false)
 	for _, w := range wants {
 		answered := slices.ContainsFunc(grants, func(g Grant) bool { return g.Workspace == w.Workspace })
 		if s, ok := h.states[w.Workspace]; ok && !answered {
-			s.retryAt = now.Add(h.cfg.AskAgain)
+			s.retryAt = now.Add(h.cfg.RetryDelay)
 		}
 	}
 	for _, g := range grants {
@@ -193,13 +193,13 @@
 			continue
 		}
 		if g.Now > 0 {
-			s.addBatch(tokenBatch{count: g.Now, expiresAt: now.Add(h.cfg.ReturnLife)})
+			s.addBatch(tokenBatch{count: g.Now, expiresAt: now.Add(h.cfg.ReturnedTokenTTL)})
 		}
-		if g.Ahead > 0 {
-			s.addBatch(tokenBatch{count: g.Ahead, expiresAt: sent.Add(h.cfg.TokenLife)})
+		if g.Prefetch > 0 {
+			s.addBatch(tokenBatch{count: g.Prefetch, expiresAt: sent.Add(h.cfg.TokenTTL)})
 		}
 		if g.Short {
-			s.pausedUntil = now.Add(h.cfg.CloseFor)
+			s.pausedUntil = now.Add(h.cfg.ShortagePause)
 		}
 	}
 }
--- a/quota/holder_test.go
+++ b/quota/holder_test.go
@@ -42,9 +42,9 @@
 	_, answer := h.Again(startTime, hotWorkspace)
 	is.Equal(answer, Over)
 	is.Equal(len(h.Wants(startTime, allDue)), 0)
-	_, answer = h.Again(startTime.Add(cfg.CloseFor), hotWorkspace)
+	_, answer = h.Again(startTime.Add(cfg.ShortagePause), hotWorkspace)
 	is.Equal(answer, Wait)
-	is.Equal(len(h.Wants(startTime.Add(cfg.CloseFor), allDue)), 1)
+	is.Equal(len(h.Wants(startTime.Add(cfg.ShortagePause), allDue)), 1)
 }
 
 // Guards against saved-up returned tokens, which the owner counts as used: together they
@@ -54,14 +54,14 @@
 	cfg := testConfig()
 	h := NewHolder(cfg)
 	h.Take(startTime, hotWorkspace)
-	h.Granted(startTime, startTime, nil, []Grant{{Workspace: hotWorkspace, Ahead: 2}})
+	h.Granted(startTime, startTime, nil, []Grant{{Workspace: hotWorkspace, Prefetch: 2}})
 	token, answer := h.Take(startTime, hotWorkspace)
 	is.Equal(answer, Taken)
 	h.Take(startTime, hotWorkspace)
 	h.Return(startTime, token)
-	reused, answer := h.Take(startTime.Add(cfg.ReturnLife/2), hotWorkspace)
+	reused, answer := h.Take(startTime.Add(cfg.ReturnedTokenTTL/2), hotWorkspace)
 	is.Equal(answer, Taken)
-	h.Return(startTime.Add(cfg.ReturnLife/2), reused)
-	_, answer = h.Take(startTime.Add(2*cfg.ReturnLife), hotWorkspace)
+	h.Return(startTime.Add(cfg.ReturnedTokenTTL/2), reused)
+	_, answer = h.Take(startTime.Add(2*cfg.ReturnedTokenTTL), hotWorkspace)
 	is.Equal(answer, Wait)
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -37,10 +37,10 @@
 	// Parts is the number of partitions of the workspaces. Each partition has its own
 	// owner. Zero disables quotas.
 	Parts int
-	// ReturnLife is the TTL of a token whose request another check rejected, and of a
-	// token lent to a waiting request. The owner counts both as used, so the TTL is
+	// ReturnedTokenTTL is the TTL of a token whose request another check rejected, and
+	// of a token lent to a waiting request. The owner counts both as used, so the TTL is
 	// short: saved up, they would exceed the quota at once.
-	ReturnLife time.Duration
+	ReturnedTokenTTL time.Duration
 	// Window is the time over which a quota is enforced: at most the rate times the
 	// window plus the burst. Overage, as a fraction of that sum, and Slack, in requests,
 	// are the tolerated excess. If Window is zero, only the burst limits how many
@@ -48,24 +48,24 @@
 	Window  time.Duration
 	Overage float64
 	Slack   float64
-	// TokenLife is the TTL of a token lent ahead of requests. A new owner assumes that
+	// TokenTTL is the TTL of a prefetched token. A new owner assumes that
 	// the tokens of its predecessor are outstanding for that long.
-	TokenLife time.Duration
-	// Ahead is the time for which a node holds tokens for expected requests. It covers
+	TokenTTL time.Duration
+	// Prefetch is the time of expected demand for which a node holds tokens. It covers
 	// part of the time without an owner after a failover.
-	Ahead time.Duration
-	// AheadEvery is the minimum interval between token requests while no request waits.
-	AheadEvery time.Duration
-	// Reserve is the fraction of a full bucket that is lent only to waiting requests,
-	// so that tokens held ahead by a few nodes do not starve the others.
-	Reserve float64
-	// CloseFor is the pause between token requests after a node got fewer tokens than
+	Prefetch time.Duration
+	// PrefetchEvery is the minimum interval between token requests while no request waits.
+	PrefetchEvery time.Duration
+	// WaitingReserve is the fraction of a full bucket that is lent only to waiting
+	// requests, so that the prefetched tokens of a few nodes do not starve the others.
+	WaitingReserve float64
+	// ShortagePause is the pause between token requests after a node got fewer tokens than
 	// its waiting requests need. It bounds the messages that a workspace far above its
 	// quota causes.
-	CloseFor time.Duration
-	// AskAgain is the delay before a node asks again for a workspace that the answer
+	ShortagePause time.Duration
+	// RetryDelay is the delay before a node asks again for a workspace that the answer
 	// left out: the asked node does not own it any more, or does not know it yet.
-	AskAgain time.Duration
+	RetryDelay time.Duration
 	// LeaseLife is the TTL of an owner's lease at the store, RenewEvery the interval
 	// between renewals.
 	LeaseLife, RenewEvery time.Duration
@@ -84,19 +84,19 @@
 // DefaultConfig returns the default settings, with quotas disabled.
 func DefaultConfig() Config {
 	return Config{
-		TokenLife:       3 * time.Second,
-		ReturnLife:      150 * time.Millisecond,
-		Ahead:           700 * time.Millisecond,
-		AheadEvery:      200 * time.Millisecond,
-		Reserve:         0.25,
-		CloseFor:        100 * time.Millisecond,
-		AskAgain:        40 * time.Millisecond,
-		LeaseLife:       3 * time.Second,
-		RenewEvery:      700 * time.Millisecond,
-		AskTimeout:      250 * time.Millisecond,
-		WaitMost:        120 * time.Millisecond,
-		ComeBack:        time.Second,
-		UnknownComeBack: 500 * time.Millisecond,
+		TokenTTL:         3 * time.Second,
+		ReturnedTokenTTL: 150 * time.Millisecond,
+		Prefetch:         700 * time.Millisecond,
+		PrefetchEvery:    200 * time.Millisecond,
+		WaitingReserve:   0.25,
+		ShortagePause:    100 * time.Millisecond,
+		RetryDelay:       40 * time.Millisecond,
+		LeaseLife:        3 * time.Second,
+		RenewEvery:       700 * time.Millisecond,
+		AskTimeout:       250 * time.Millisecond,
+		WaitMost:         120 * time.Millisecond,
+		ComeBack:         time.Second,
+		UnknownComeBack:  500 * time.Millisecond,
 	}
 }
 
@@ -134,23 +134,23 @@
 	Workspace string
 	// Held is the number of unused tokens of the node.
 	Held uint32
-	// Waiting is the number of requests that wait for a token, Ahead the number of
-	// tokens wanted for expected requests.
-	Waiting, Ahead uint32
+	// Waiting is the number of requests that wait for a token, Prefetch the number of
+	// tokens wanted for expected requests (Config.Prefetch).
+	Waiting, Prefetch uint32
 }
 
 // Urgent reports whether w justifies a message of its own: a request waits, or the
 // tokens run low. Other token requests to the same owner are sent along with an urgent
 // one.
-func (w Want) Urgent() bool { return w.Waiting > 0 || 2*w.Held < w.Ahead }
+func (w Want) Urgent() bool { return w.Waiting > 0 || 2*w.Held < w.Prefetch }
 
 // Grant is an owner's answer to the token request for one workspace.
 type Grant struct {
 	_         struct{} `cbor:",toarray"`
 	Workspace string
-	// Now is the number of tokens for waiting requests, Ahead the number for expected
-	// ones.
-	Now, Ahead uint32
+	// Now is the number of tokens for waiting requests, Prefetch the number of
+	// prefetched tokens.
+	Now, Prefetch uint32
 	// Short is set if the node got fewer tokens than its waiting requests need.
 	Short bool
 }
