--- a/node/entry.go
+++ b/node/entry.go
@@ -16,14 +16,14 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// refuseRetryAfter is proposed with refusals that end as soon as the node has
-// what it lacks, such as a configuration.
+// refuseRetryAfter is the Retry-After of refusals for a transient state of the node,
+// such as a missing configuration.
 const refuseRetryAfter = time.Second
 
-// Do implements entry.Doer: a caller's request enters the graph here.
+// Do implements entry.Doer for a caller's request.
 func (n *Node) Do(ctx context.Context, in entry.Incoming) call.Outcome {
-	n.entered.Add(1)
-	defer n.entered.Add(-1)
+	n.callerRequests.Add(1)
+	defer n.callerRequests.Add(-1)
 	out := n.enter(ctx, in)
 	n.counts.Outcome(out.Verdict, out.Reason)
 	return out
@@ -41,9 +41,9 @@
 	if err != nil {
 		return call.Failed(err)
 	}
-	ledger := n.allowance(in, op)
+	ledger := n.retryLedger(in, op)
 	defer n.dispatch.CloseLedger(ledger)
-	p := n.params(in, op)
+	p := n.callParams(in, op)
 	p.Ledger = ledger
 	p.Holder = holder
 	p.Entering = true
@@ -66,6 +66,7 @@
 	return op, nil
 }
 
+// keyHolder returns the incarnation that an idempotency key names, zero for none.
 func keyHolder(key string) (wire.NodeID, *verdict.Error) {
 	if key == "" {
 		return wire.NodeID{}, nil
@@ -77,16 +78,16 @@
 	return info.Holder, nil
 }
 
-// allowance is the request's number of extra attempts; none for one that the
-// caller has sent here before.
-func (n *Node) allowance(in entry.Incoming, op *graph.Operation) *retry.Ledger {
+// retryLedger returns a ledger of the request's extra attempts. It is empty for a
+// request that the caller has sent here before.
+func (n *Node) retryLedger(in entry.Incoming, op *graph.Operation) *retry.Ledger {
 	n.requestMu.Lock()
 	defer n.requestMu.Unlock()
 	return n.requests.Allowance(time.Now(), in.RequestID, uint32(op.ExtraAttempts))
 }
 
-// params are those of a call that has no parent.
-func (n *Node) params(in entry.Incoming, op *graph.Operation) dispatch.Params {
+// callParams returns the parameters of a call that has no parent.
+func (n *Node) callParams(in entry.Incoming, op *graph.Operation) dispatch.Params {
 	budget := op.Deadline
 	if in.Budget > 0 {
 		budget = min(budget, in.Budget)
@@ -94,7 +95,7 @@
 	return dispatch.Params{
 		RequestID:   in.RequestID,
 		Operation:   op,
-		Importance:  lower(op.Importance, in.Importance),
+		Importance:  lowerImportance(op.Importance, in.Importance),
 		Deadline:    in.Received.Add(budget),
 		Key:         in.Key,
 		Fingerprint: poison.Fingerprint(in.Service, in.Operation, in.Query, in.Body),
@@ -105,20 +106,20 @@
 	}
 }
 
-// lower lets a caller give its request less importance than declared, never
-// more: otherwise every caller would be critical.
-func lower(declared importance.Importance, asked *importance.Importance) importance.Importance {
+// lowerImportance returns the lower of the declared importance and the one that the caller
+// asked for, if any. A caller cannot raise the importance of its request.
+func lowerImportance(declared importance.Importance, asked *importance.Importance) importance.Importance {
 	if asked == nil {
 		return declared
 	}
 	return min(declared, *asked)
 }
 
-// Call implements local.Doer: the backend server makes a call for the running
-// call that token names.
+// Call implements local.Doer. It makes a call on behalf of the run that token
+// names.
 func (n *Node) Call(ctx context.Context, token string, in entry.Incoming) call.Outcome {
 	n.counts.LocalCalls.Add(1)
-	r, ok := n.server.find(token)
+	r, ok := n.server.runByToken(token)
 	if !ok {
 		return call.Failed(verdict.Refuse(verdict.BadRequest, "no call with this token is running"))
 	}
@@ -135,10 +136,10 @@
 	if err != nil {
 		return call.Failed(err)
 	}
-	p := n.params(in, op)
+	p := n.callParams(in, op)
 	p.Holder = holder
 	p.RequestID = parent.Request.RequestID
-	p.Importance = lower(parent.Request.Importance, in.Importance)
+	p.Importance = lowerImportance(parent.Request.Importance, in.Importance)
 	if p.Importance == parent.Request.Importance {
 		p.Bars = parent.Request.Bars
 	}
@@ -148,26 +149,27 @@
 	if parent.Deadline.Before(p.Deadline) {
 		p.Deadline = parent.Deadline
 	}
-	return n.callFor(ctx, r, p)
+	return n.callUntilRunEnds(ctx, r, p)
 }
 
-// callFor makes a call that ends with the run it is made for, or with the
-// backend server's interest in it, whichever is first.
-func (n *Node) callFor(ctx context.Context, r *run, p dispatch.Params) call.Outcome {
+// callUntilRunEnds makes a call on behalf of a run. The call is cancelled when the run or
+// ctx ends.
+func (n *Node) callUntilRunEnds(ctx context.Context, r *run, p dispatch.Params) call.Outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(r.ctx, cancel)()
-	return n.callBeside(ctx, r, p)
+	return n.callForRun(ctx, r, p)
 }
 
-// callBeside makes a call on behalf of a run.
-func (n *Node) callBeside(ctx context.Context, r *run, p dispatch.Params) call.Outcome {
-	n.server.calling(time.Now(), r, 1)
+// callForRun makes a call on behalf of a run and records its result there. The call
+// goes on if the run ends.
+func (n *Node) callForRun(ctx context.Context, r *run, p dispatch.Params) call.Outcome {
+	n.server.countCall(time.Now(), r, 1)
 	out := n.dispatch.Call(ctx, p)
 	if out.Verdict != verdict.NotRun {
-		n.server.touch(r)
+		n.server.noteCallMayHaveRun(r)
 	}
-	n.server.use(r, p.Operation.Service, out)
-	n.server.calling(time.Now(), r, -1)
+	n.server.addCallUse(r, p.Operation.Service, out)
+	n.server.countCall(time.Now(), r, -1)
 	return out
 }
--- a/node/forward.go
+++ b/node/forward.go
@@ -16,8 +16,9 @@
 	"github.com/cassialoom/cassialoom/workspace"
 )
 
-// operation finds what a call asks for. A call for a route brings all that the
-// callee needs: its sender may know a newer version of the routes.
+// operation returns the operation that a call names; configured is false while
+// the node has no graph. A call for a route carries the operation itself, since its
+// sender may know a newer version of the routes.
 func (n *Node) operation(req call.Request) (op *graph.Operation, configured bool) {
 	if !n.routing.enabled() {
 		return n.graph.operation(req.Service, req.Operation)
@@ -30,18 +31,18 @@
 	}), true
 }
 
-// Forward takes a request that came by host and path to the backend server
-// that its route names.
+// Forward sends a request that arrived by host and path to a backend server of the
+// service that its route names. path is the path of the request's URL.
 func (n *Node) Forward(ctx context.Context, in entry.Incoming, path string) call.Outcome {
-	n.entered.Add(1)
-	defer n.entered.Add(-1)
+	n.callerRequests.Add(1)
+	defer n.callerRequests.Add(-1)
 	out := n.forward(ctx, in, path)
 	n.counts.Outcome(out.Verdict, out.Reason)
 	return out
 }
 
-// timed adds the latency of a request that was answered by a backend server.
-func (n *Node) timed(p dispatch.Params, received time.Time, out call.Outcome) {
+// observeLatencies records the latencies of a request that a backend server answered.
+func (n *Node) observeLatencies(p dispatch.Params, received time.Time, out call.Outcome) {
 	if out.Reason != verdict.None {
 		return
 	}
@@ -64,14 +65,14 @@
 	}
 	in.HTTP.Origin = n.cfg.Service
 	if table.Workspaces == nil {
-		in.Header = append(in.Header, in.Credentials...) // nobody here asks for keys
+		in.Header = append(in.Header, in.Credentials...) // the node checks no keys, so the backend server may
 	}
-	// The calls of backend servers bear no key; a request with one is a caller's, whatever
-	// its id looks like.
-	if parent, ok := n.server.running(in.Parent); ok && in.Parent != "" && in.WorkspaceKey == "" {
+	// Calls of backend servers carry no key. A request with a key is a caller's, even if
+	// it names a parent.
+	if parent, ok := n.server.runOfRequest(in.Parent); ok && in.Parent != "" && in.WorkspaceKey == "" {
 		p := n.routeParams(table, route, in)
 		out := n.forwardCall(ctx, parent, p)
-		n.timed(p, in.Received, out)
+		n.observeLatencies(p, in.Received, out)
 		return out
 	}
 	space, err := n.authorize(ctx, route, in.WorkspaceKey)
@@ -80,13 +81,13 @@
 		return call.Failed(err)
 	}
 	p := n.routeParams(table, route, in)
-	out := n.forwardFor(ctx, route, space, p)
-	n.timed(p, in.Received, out)
+	out := n.forwardForWorkspace(ctx, route, space, p)
+	n.observeLatencies(p, in.Received, out)
 	return out
 }
 
-// forwardFor takes a request that enters here for a workspace, nil for none.
-func (n *Node) forwardFor(ctx context.Context, route *routes.Route, space *workspace.Workspace, p dispatch.Params) call.Outcome {
+// forwardForWorkspace forwards a caller's request on behalf of a workspace, nil for none.
+func (n *Node) forwardForWorkspace(ctx context.Context, route *routes.Route, space *workspace.Workspace, p dispatch.Params) call.Outcome {
 	if space == nil {
 		return n.forwardRoot(ctx, p)
 	}
@@ -99,8 +100,9 @@
 	return out
 }
 
+// routeParams returns the parameters of a call along a route.
 func (n *Node) routeParams(table *routes.Table, route *routes.Route, in entry.Incoming) dispatch.Params {
-	op := n.routing.pick(table, route).Operation
+	op := n.routing.pickShare(table, route).Operation
 	return dispatch.Params{
 		Version:     table.Version,
 		RequestID:   in.RequestID,
@@ -117,25 +119,24 @@
 	}
 }
 
-// forwardRoot takes a request that enters the system here.
+// forwardRoot forwards a caller's request.
 func (n *Node) forwardRoot(ctx context.Context, p dispatch.Params) call.Outcome {
 	defer n.dispatch.CloseLedger(p.Ledger)
 	p.Entering = true
-	p.Reach = n.routing.reach(p.Operation)
+	p.Reach = n.routing.servicesReached(p.Operation)
 	out := n.dispatch.Call(ctx, p)
 	if out.Verdict == verdict.Ran {
-		n.routing.learn(time.Now(), p.Operation, call.Names(out.Used))
+		n.routing.recordReach(time.Now(), p.Operation, call.Names(out.Used))
 	}
 	return out
 }
 
-// forwardCall makes a call for a request that runs at the backend server. It has
-// no more time than that request and ranks like the one that it was made for.
+// forwardCall forwards a call that the backend server makes for the request that
+// parent runs. The call has the request's importance and at most its deadline.
 //
-// It does not end when the request is cancelled: the backend server is told of
-// that, and closes the connections of its calls if it gives up. An answer from
-// here in place of one that is on its way would be a false failure for a
-// backend server that goes on.
+// It does not end when the request is cancelled: the backend server is notified of
+// the cancellation and closes the connections of its calls if it stops. A backend
+// server that continues would otherwise get a failure in place of a true reply.
 func (n *Node) forwardCall(ctx context.Context, parent *run, p dispatch.Params) call.Outcome {
 	defer n.dispatch.CloseLedger(p.Ledger)
 	req := &parent.task.Request
@@ -148,15 +149,15 @@
 	if parent.task.Deadline.Before(p.Deadline) {
 		p.Deadline = parent.task.Deadline
 	}
-	out := n.callBeside(ctx, parent, p)
-	if n.routing.learnOwn(time.Now(), p.Operation.Service, call.Names(out.Used)) {
-		n.dispatch.PassOn(n.routing.below(n.cfg.Service))
+	out := n.callForRun(ctx, parent, p)
+	if n.routing.recordCallReach(time.Now(), p.Operation.Service, call.Names(out.Used)) {
+		n.dispatch.PassOn(n.routing.servicesCalled(n.cfg.Service))
 	}
 	return out
 }
 
-// budget is the time that a request has: its caller's, but no more than the
-// operation allows.
+// budget returns the time that a request has: what its caller allows, but at most
+// the deadline of the operation.
 func budget(in entry.Incoming, op *graph.Operation) time.Duration {
 	if in.Budget > 0 {
 		return min(op.Deadline, in.Budget)
--- a/node/late.go
+++ b/node/late.go
@@ -32,5 +32,5 @@
 // clockMillis is this process's clock for Request.SentMillis: it never steps, and is
 // never zero.
 func (n *Node) clockMillis() uint32 {
-	return max(1, uint32(time.Since(n.started).Milliseconds()))
+	return max(1, uint32(time.Since(n.startedAt).Milliseconds()))
 }
--- a/node/links.go
+++ b/node/links.go
@@ -12,7 +12,7 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// linker finds the connections for the dispatcher.
+// linker implements dispatch.Linker with the connections of the node.
 type linker struct{ n *Node }
 
 // Link implements dispatch.Linker.
@@ -27,14 +27,14 @@
 	return l.n.hold(c), nil
 }
 
-// connect returns a connection to a member.
+// connect returns a connection to a member and opens one if there is none.
 func (n *Node) connect(ctx context.Context, id wire.NodeID) (*transport.Conn, error) {
 	if c, ok := n.peers.Lookup(id); ok {
 		return c, nil
 	}
 	rec, ok := n.members.lookup(id)
 	if !ok || rec.State.Gone() {
-		return nil, fmt.Errorf("node %s is not there", id.Short())
+		return nil, fmt.Errorf("node %s is not a live member", id.Short())
 	}
 	c, err := n.peers.Connect(ctx, id, rec.PeerAddr)
 	if err != nil {
@@ -44,13 +44,14 @@
 	return c, err
 }
 
-// peerLink is a connection in use by one attempt.
+// peerLink implements dispatch.Link for one attempt on a connection to a peer.
 type peerLink struct {
 	n    *Node
 	c    *transport.Conn
 	sent time.Time
 }
 
+// hold keeps the connection open until the link is released.
 func (n *Node) hold(c *transport.Conn) *peerLink {
 	c.Hold()
 	return &peerLink{n: n, c: c}
@@ -67,7 +68,7 @@
 }
 
 func (l *peerLink) Cancel(c call.Cancel) {
-	// Without room for it the callee finds out by the call's own deadline.
+	// If the cancel cannot be sent, the callee ends the call at its deadline.
 	_, _ = l.c.Send(wire.KindCancel, c)
 }
 
@@ -77,7 +78,7 @@
 
 func (l *peerLink) Release() { l.c.Release() }
 
-// ownLink leads to this node's own backend server.
+// ownLink implements dispatch.Link for calls to this node's own backend server.
 type ownLink struct{ n *Node }
 
 func (l ownLink) Call(req call.Request) (func() bool, error) {
--- a/node/loops.go
+++ b/node/loops.go
@@ -12,35 +12,34 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// How often each duty is asked what is due.
+// Intervals of the background loops.
 const (
-	// serverTick holds while something waits beside the backend server: what
-	// expires there is refused that late at most. restTick holds otherwise.
+	// serverTick applies while a task waits, and is the longest delay after
+	// which an expired task is refused. idleTick applies otherwise.
 	serverTick  = 10 * time.Millisecond
-	restTick    = 200 * time.Millisecond
+	idleTick    = 200 * time.Millisecond
 	bindingTick = 5 * time.Millisecond
 	memberTick  = 200 * time.Millisecond
 	configTick  = 100 * time.Millisecond
 	noticeTick  = 5 * time.Second
 )
 
-// noticeFanOut is to how many nodes a notice is passed on.
+// noticeFanOut is the number of nodes to which a received notice is forwarded.
 const noticeFanOut = 4
 
-// gossipNotices is how many suspects are repeated to one peer at a time.
-const gossipNotices = 64
+// maxGossipNotices is the largest number of notices in one round of gossip.
+const maxGossipNotices = 64
 
-// watchServer asks the callee's decisions what is due: often while something
-// waits, and seldom at rest, since each of 100 wake-ups a second costs a node
-// that has nothing to do.
-func (n *Node) watchServer() {
-	timer := time.NewTimer(restTick)
+// runServerLoop calls tickServer every serverTick while a task waits and every
+// idleTick otherwise, which saves an idle node the frequent wake-ups.
+func (n *Node) runServerLoop() {
+	timer := time.NewTimer(idleTick)
 	defer timer.Stop()
 	for {
 		select {
 		case <-n.ctx.Done():
 			return
-		case <-n.server.queued:
+		case <-n.server.taskWaiting:
 			timer.Reset(serverTick)
 			continue
 		case <-timer.C:
@@ -49,7 +48,7 @@
 		if n.server.waiting() {
 			timer.Reset(serverTick)
 		} else {
-			timer.Reset(restTick)
+			timer.Reset(idleTick)
 		}
 	}
 }
@@ -73,21 +72,22 @@
 	})
 }
 
-// Meet names addresses at which other nodes may be.
+// Meet adds addresses at which other nodes may be reached.
 func (n *Node) Meet(addrs []string) { n.members.seeds(addrs) }
 
-// Listed names the addresses of the fleet, by data centre, that this node found when it
-// started anew at one of them.
+// Listed sets the addresses of the fleet by data centre, as a node finds them when it
+// restarts at one of them. The node then asks the first of each data centre for quota
+// ownership claims.
 func (n *Node) Listed(addrs map[string][]string) {
 	firsts := firstsOf(addrs)
 	n.listed.Store(&listing{first: slices.Contains(firsts, n.cfg.PeerAddr), others: len(firsts) > 1})
 	if n.cfg.Quota.Window == 0 {
-		return // nobody here has a quota
+		return // no workspace has a quota
 	}
 	for _, addr := range firsts {
 		if addr != n.cfg.PeerAddr {
-			// On the new connection an owner says what it owns.
-			n.posts.postTo(letter{addr: addr, kind: wire.KindQuotaAsk, msg: quotaAsk{Claims: true}})
+			// An owner sends its claim on each new connection.
+			n.outbox.send(controlMessage{addr: addr, kind: wire.KindQuotaAsk, msg: quotaAsk{Claims: true}})
 		}
 	}
 }
@@ -138,7 +138,7 @@
 	return context.WithTimeout(n.ctx, n.cfg.LogTimeout)
 }
 
-// background runs f beside the loops; Stop waits for it.
+// background runs f in a goroutine of its own; Stop waits for it.
 func (n *Node) background(f func()) {
 	n.wg.Add(1)
 	go func() {
@@ -149,14 +149,14 @@
 
 func (n *Node) sendMembership(sends []membership.Send) {
 	for _, s := range sends {
-		n.posts.postTo(letter{to: s.To, addr: s.Addr, kind: wire.KindMembership, msg: s.Msg})
+		n.outbox.send(controlMessage{to: s.To, addr: s.Addr, kind: wire.KindMembership, msg: s.Msg})
 	}
 }
 
 func (n *Node) tickConfig(now time.Time) {
 	version := n.members.version()
 	peers := n.members.configPeers()
-	n.act(n.graph.do(func(s *config.Spread) config.Actions {
+	n.applyConfigActions(n.graph.do(func(s *config.Spread) config.Actions {
 		if n.graph.seen != version {
 			n.graph.seen = version
 			s.SetMembers(peers)
@@ -165,27 +165,27 @@
 	}))
 }
 
-// act does what the spread of the configuration wants done.
-func (n *Node) act(a config.Actions) {
+// applyConfigActions carries out the actions of the configuration spread.
+func (n *Node) applyConfigActions(a config.Actions) {
 	for _, s := range a.Send {
-		n.posts.post(s.To, wire.KindConfig, s.Msg)
+		n.outbox.sendToMember(s.To, wire.KindConfig, s.Msg)
 	}
 	for _, data := range a.Append {
-		n.background(func() { _ = n.append(config.Stream, data) }) // repeated by itself if it failed
+		n.background(func() { _ = n.append(config.Stream, data) }) // the spread repeats a failed append
 	}
 	if a.Read != nil {
 		n.background(func() { n.readConfig(*a.Read) })
 	}
 	if a.Changed {
-		n.configured()
+		n.configChanged()
 	}
 }
 
-// configured makes a new configuration known to those that depend on it.
-func (n *Node) configured() {
+// configChanged passes a new configuration to the parts that depend on it.
+func (n *Node) configChanged() {
 	version := n.graph.state().Version()
 	if n.inForce.Swap(version) == version {
-		return // only the place in the log moved
+		return // only the offset in the log has changed
 	}
 	n.dispatch.PassOn(below(n.graph.graph(), n.cfg.Service))
 	n.counts.ConfigChanges.Add(1)
@@ -198,7 +198,7 @@
 	n.counts.LogReads.Add(1)
 	page, err := n.stream.Read(ctx, config.Stream, r.From, r.Max)
 	now := time.Now()
-	n.act(n.graph.do(func(s *config.Spread) config.Actions {
+	n.applyConfigActions(n.graph.do(func(s *config.Spread) config.Actions {
 		if err != nil {
 			n.counts.LogFailures.Add(1)
 			s.LogFailed(now)
@@ -208,7 +208,8 @@
 	}))
 }
 
-// bindStream holds the bindings of callers' own keys for one service.
+// bindStream returns the log stream with the bindings of the idempotency keys
+// that callers chose themselves, for the service of this node.
 func (n *Node) bindStream() string { return "bind." + n.cfg.Service }
 
 func (n *Node) tickBindings(now time.Time) {
@@ -236,6 +237,7 @@
 	})
 }
 
+// bindingsPage is the largest number of log entries in one read of bindings.
 const bindingsPage = 256
 
 func (n *Node) readBindings(from uint64) {
@@ -253,11 +255,11 @@
 	})
 }
 
-// spreadNotice tells the other nodes of the service about suspects.
-func (n *Node) spreadNotice(notice poison.Notice) {
+// broadcastNotice sends a notice about suspects to all other nodes of the service.
+func (n *Node) broadcastNotice(notice poison.Notice) {
 	for _, id := range n.members.ofService(n.cfg.Service) {
 		if id != n.id {
-			n.posts.post(id, wire.KindPoison, notice)
+			n.outbox.sendToMember(id, wire.KindPoison, notice)
 		}
 	}
 }
@@ -267,31 +269,31 @@
 	onward := n.server.serve.Hear(time.Now(), notice)
 	n.server.mu.Unlock()
 	for _, next := range onward {
-		n.passOn(next)
+		n.forwardNotice(next)
 	}
 }
 
-// passOn repeats another node's notice to a few nodes of the service. Its
-// origin has told them all; this reaches those that it could not.
-func (n *Node) passOn(notice poison.Notice) {
+// forwardNotice forwards another node's notice to a few nodes of the service. The
+// origin sends it to all of them; forwarding covers those that it cannot reach.
+func (n *Node) forwardNotice(notice poison.Notice) {
 	for range noticeFanOut {
 		if id, ok := n.dispatch.Choose(n.cfg.Service); ok && id != n.id {
-			n.posts.post(id, wire.KindPoison, notice)
+			n.outbox.sendToMember(id, wire.KindPoison, notice)
 		}
 	}
 }
 
-// tickNotices repeats some suspects to one other node of the service, for
-// nodes that missed a notice or started later.
+// tickNotices repeats some notices to one other node of the service, for nodes
+// that missed them or started later.
 func (n *Node) tickNotices(now time.Time) {
 	id, ok := n.dispatch.Choose(n.cfg.Service)
 	if !ok || id == n.id {
 		return
 	}
 	n.server.mu.Lock()
-	notices := n.server.serve.Gossip(now, gossipNotices)
+	notices := n.server.serve.Gossip(now, maxGossipNotices)
 	n.server.mu.Unlock()
 	for _, notice := range notices {
-		n.posts.post(id, wire.KindPoison, notice)
+		n.outbox.sendToMember(id, wire.KindPoison, notice)
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -1,10 +1,10 @@
-// Package node is the process beside a backend server: it joins the duties,
-// which decide, to the sockets and clocks, which do. It holds no policy of its
-// own.
+// Package node is the process that runs beside a backend server. It connects
+// the packages that decide (serve, dispatch, membership, config and others) to
+// sockets and clocks, and holds no policy itself.
 //
-// Each plain type is called under the one lock that belongs to it, and what it
-// wants done is done after the lock is released. No two of these locks are
-// ever held at once.
+// The deciding types are not safe for concurrent use. Each has one lock; the
+// effects that it returns are carried out after the lock is released. No two of
+// these locks are held at once.
 package node
 
 import (
@@ -36,38 +36,39 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Config of a Node. The slices' own configurations come with the reasons for
-// their defaults.
+// Config is the configuration of a Node and of the packages that it connects.
 type Config struct {
 	Service    string
 	DataCentre string
 	Region     string
-	// PeerAddr, OpsAddr and CallerAddr are where others reach this node.
+	// PeerAddr, OpsAddr and CallerAddr are the addresses (HOST:PORT) at which
+	// other nodes, operators and callers reach this node.
 	PeerAddr   string
 	OpsAddr    string
 	CallerAddr string
-	// Seeds are peer addresses to try besides those in the log.
+	// Seeds are peer addresses to try in addition to those in the log.
 	Seeds []string
-	// DrainAfter is how long a node that is stopped as planned goes on as
-	// before, but for telling its callers that it is not ready. Its backend
-	// server stays in use meanwhile: while the callers are led away nothing is
-	// gained by losing its capacity, too.
+	// DrainAfter is the time between the begin of a planned stop, when the node
+	// reports to its callers that it is not ready, and the notification of the
+	// other nodes. The backend server stays in use until then, so that its
+	// capacity is not lost while the callers move to other nodes.
 	DrainAfter time.Duration
-	// DrainGrace is how long a leaving node still takes work from peers
-	// that have not heard of it; the users allow a few seconds.
+	// DrainGrace is how long a draining node still accepts work after it has
+	// notified its peers, for those that have not received the message yet.
 	DrainGrace time.Duration
-	// EnterGrace is how long a leaving node still takes requests that come by
-	// host and path: their callers have no other node until they hear that
-	// this one is not ready. What comes later could not be finished in time.
+	// EnterGrace is how long after the begin of a planned stop the node still
+	// accepts requests by host and path: their callers use no other node until
+	// they see that this one is not ready. A later request might not finish
+	// before the process ends.
 	EnterGrace time.Duration
-	// BackendSilence is how long a backend server may go without announcing
-	// itself before it counts as gone. It announces every second.
+	// BackendSilence is the time without a heartbeat after which the backend
+	// server counts as gone. It sends one every second.
 	BackendSilence time.Duration
-	// LateCallWait is how long a call that a connection held up waits for its
-	// cancel before it goes on: several round trips inside a region, in which a
-	// connection that begins anew hands over its backlog.
+	// LateCallWait is how long a call that arrives late waits for its cancel
+	// before it is accepted: several round trips inside a region, the time in
+	// which a connection that resumes delivers its backlog.
 	LateCallWait time.Duration
-	// LogTimeout bounds one operation of the log.
+	// LogTimeout is the timeout of one operation of the log.
 	LogTimeout time.Duration
 
 	Transport  transport.Config
@@ -78,25 +79,26 @@
 	Backend    backend.Config
 	Entry      entry.Config
 	Explain    explain.Config
-	// Directory says that others tell the node where its peers may be (Meet),
-	// in place of a stream of the log.
+	// Directory is set if the addresses of peers come through Meet. Otherwise
+	// the node reads them from a stream of the log.
 	Directory bool
-	// Quota bounds the requests of workspaces; without parts none are bounded.
+	// Quota limits the requests of workspaces; without parts there is no limit.
 	Quota quota.Config
-	// FreshWithin is the age of the configuration beyond which requests that need a key
-	// are refused, since the key may have been taken away; zero for any age.
+	// FreshWithin is the greatest age of the configuration at which requests that need a
+	// key are accepted: in an older one the key may have been revoked. Zero is no limit.
 	FreshWithin time.Duration
-	// ProvenWithin is the age up to which a node keeps a proof that its published routes
-	// are the newest: by asking its peers, or else the store. Zero for any age.
+	// ProvenWithin is the greatest age of a freshness proof, which shows that the
+	// published routes are the newest. An older one is renewed by asking the peers or
+	// else the store. Zero is no limit.
 	ProvenWithin time.Duration
-	// Clock judges leases and ages.
+	// Clock measures leases and ages.
 	Clock bootclock.Clock
-	// DecodeRoutes reads published routes. If it is set the node serves
-	// those instead of a graph text.
+	// DecodeRoutes decodes published routes. If it is set the node serves
+	// them instead of a graph text.
 	DecodeRoutes func(text []byte) (*routes.Table, error)
 }
 
-// DefaultConfig returns the settings that the daemon starts from.
+// DefaultConfig returns the default settings of the daemon.
 func DefaultConfig() Config {
 	return Config{
 		DrainGrace:     time.Second,
@@ -117,7 +119,8 @@
 	}
 }
 
-// Node is safe for concurrent use.
+// Node connects one backend server to the other nodes. It is safe for
+// concurrent use.
 type Node struct {
 	cfg    Config
 	id     wire.NodeID
@@ -135,36 +138,37 @@
 	routing *routing
 	quotas  *quotas
 	server  *server
-	posts   *postman
+	outbox  *peerOutbox
 
 	requestMu sync.Mutex
 	requests  *retry.Requests
 
 	stateMu  sync.Mutex
-	instance instance // what the backend server last said of itself
+	instance instance // the backend server's last reported state
 	starts   starts
 
 	pressure pressure // used by one loop alone
 
-	// levelsHeard wakes the loop that passes levels on.
-	levelsHeard chan struct{}
+	// levelsReceived wakes the loop that gossips admission levels.
+	levelsReceived chan struct{}
 
-	// listed is what the addresses of the fleet say to a node that restarted; nil if it
-	// did not find its own among them.
+	// listed is derived from the fleet's addresses when the node restarts at one of
+	// them; nil otherwise.
 	listed atomic.Pointer[listing]
 
-	started  time.Time
-	inForce  atomic.Uint64 // version of the configuration
-	draining atomic.Bool
-	leaving  atomic.Int64 // when the planned stop began, in Unix nanoseconds
-	entered  atomic.Int64 // callers' requests under way
-	replying atomic.Int64 // effects of the callee's decisions being carried out
-	stop     context.CancelFunc
-	ctx      context.Context
-	wg       sync.WaitGroup
+	startedAt      time.Time
+	inForce        atomic.Uint64 // version of the configuration in force
+	draining       atomic.Bool
+	drainBegan     atomic.Int64 // begin of the planned stop in Unix nanoseconds, zero before it
+	callerRequests atomic.Int64 // callers' requests in flight
+	replying       atomic.Int64 // calls of serve that still carry out effects
+	stop           context.CancelFunc
+	ctx            context.Context
+	wg             sync.WaitGroup
 }
 
-// New returns a Node with an identity of its own. Start sets it going.
+// New returns a Node with a new identity; Start starts it. It fails if the
+// system provides no random bytes.
 func New(cfg Config, stream applog.Log, log zerolog.Logger, counts *ops.Counters) (*Node, error) {
 	id := wire.NewNodeID()
 	var secret [once.SecretLen]byte
@@ -185,30 +189,30 @@
 	cfg.Dispatch.Seed = seed
 
 	if cfg.DecodeRoutes == nil {
-		cfg.ProvenWithin = 0 // a graph text is spread by other means
+		cfg.ProvenWithin = 0 // a graph text is distributed by package config, without proofs
 	}
 	n := &Node{
-		cfg:      cfg,
-		id:       id,
-		log:      log.With().Str("node", id.Short()).Str("service", cfg.Service).Logger(),
-		stream:   stream,
-		counts:   counts,
-		notes:    explain.New(cfg.Explain),
-		backend:  backend.New(cfg.Backend),
-		members:  newRoster(membership.New(cfg.Membership, record(cfg, id), seed)),
-		graph:    newGraphs(config.NewSpread(cfg.Spread, id, cfg.DataCentre, seed)),
-		requests: retry.NewRequests(cfg.Dispatch.Budget),
-		routing:  newRouting(cfg.DecodeRoutes),
-		quotas:   newQuotas(cfg.Quota, cfg.FreshWithin, cfg.ProvenWithin, cfg.Clock),
-		started:  now,
+		cfg:       cfg,
+		id:        id,
+		log:       log.With().Str("node", id.Short()).Str("service", cfg.Service).Logger(),
+		stream:    stream,
+		counts:    counts,
+		notes:     explain.New(cfg.Explain),
+		backend:   backend.New(cfg.Backend),
+		members:   newRoster(membership.New(cfg.Membership, record(cfg, id), seed)),
+		graph:     newGraphs(config.NewSpread(cfg.Spread, id, cfg.DataCentre, seed)),
+		requests:  retry.NewRequests(cfg.Dispatch.Budget),
+		routing:   newRouting(cfg.DecodeRoutes),
+		quotas:    newQuotas(cfg.Quota, cfg.FreshWithin, cfg.ProvenWithin, cfg.Clock),
+		startedAt: now,
 
-		levelsHeard: make(chan struct{}, 1),
+		levelsReceived: make(chan struct{}, 1),
 	}
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	n.server = newServer(serve.New(cfg.Serve, secret, now))
 	n.dispatch = dispatch.New(cfg.Dispatch, linker{n}, n.members, n.notes)
 	n.peers = transport.New(cfg.Transport, (*peerHandler)(n))
-	n.posts = newPostman(n)
+	n.outbox = newPeerOutbox(n)
 	n.members.seeds(cfg.Seeds)
 	return n, nil
 }
@@ -228,12 +232,12 @@
 // ID returns the identity of this incarnation.
 func (n *Node) ID() wire.NodeID { return n.id }
 
-// Peers takes the connections of other nodes.
+// Peers returns the transport that accepts the connections of other nodes.
 func (n *Node) Peers() *transport.Transport { return n.peers }
 
-// Start begins the node's own work; Stop ends it.
+// Start starts the node's background loops; Stop ends them.
 func (n *Node) Start() {
-	n.background(n.watchServer)
+	n.background(n.runServerLoop)
 	n.background(n.tellLevels)
 	n.background(n.tendQuotas)
 	n.loop(memberTick, n.tickMembers)
@@ -245,7 +249,7 @@
 	n.log.Info().Str("data_centre", n.cfg.DataCentre).Str("peer_addr", n.cfg.PeerAddr).Msg("started")
 }
 
-// loop calls f every so often until the node stops.
+// loop calls f at the given interval until the node stops.
 func (n *Node) loop(every time.Duration, f func(now time.Time)) {
 	n.wg.Add(1)
 	go func() {
@@ -263,12 +267,13 @@
 	}()
 }
 
-// Stop ends the node at once; Drain and Wait come before a planned stop.
+// Stop ends the node without waiting for requests in flight. For a planned stop
+// call Drain and Wait first.
 func (n *Node) Stop() {
 	n.leave()
 	n.stop()
 	n.peers.Close()
-	n.posts.close()
+	n.outbox.close()
 	n.wg.Wait()
 	n.backend.Close()
 	n.log.Info().Msg("stopped")
--- a/node/ops.go
+++ b/node/ops.go
@@ -12,7 +12,7 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// State is the dump of the whole process.
+// State is a dump of the state of a node.
 type State struct {
 	Node       wire.NodeID     `json:"node"`
 	Service    string          `json:"service"`
@@ -30,7 +30,7 @@
 	Workspaces WorkspacesState `json:"workspaces"`
 }
 
-// BackendState is what the backend server last said of itself.
+// BackendState is the backend server's last reported state.
 type BackendState struct {
 	URL   string    `json:"url"`
 	Boot  string    `json:"boot"`
@@ -48,7 +48,7 @@
 		Service:    n.cfg.Service,
 		DataCentre: n.cfg.DataCentre,
 		Draining:   n.draining.Load(),
-		Entered:    n.entered.Load(),
+		Entered:    n.callerRequests.Load(),
 		Peers:      len(n.peers.Connected()),
 		Backend:    BackendState{URL: inst.url, Boot: inst.start.ID, Born: inst.start.Born, Ready: inst.ready, Heard: inst.heard},
 		Serve:      n.server.dump(now),
@@ -67,30 +67,30 @@
 	switch {
 	case n.draining.Load():
 		return false, "draining"
-	case !n.configuredYet():
+	case !n.hasConfiguration():
 		return false, "no configuration yet"
 	case !n.routing.enabled() && !n.backendInstance().ready:
 		return false, "backend server has not announced itself"
 	case n.joining():
-		return false, "learning which other nodes there are"
+		return false, "discovering the other nodes"
 	case n.server.exhausted():
-		return false, "no room for new senders: drain and restart this node"
+		return false, "cannot track new senders: drain and restart this node"
 	default:
 		return true, ""
 	}
 }
 
-// configuredYet reports whether the node knows where requests go.
-func (n *Node) configuredYet() bool {
+// hasConfiguration reports whether the node has a configuration to route requests by.
+func (n *Node) hasConfiguration() bool {
 	if n.routing.enabled() {
 		return n.routing.table() != nil
 	}
 	return n.graph.graph() != nil
 }
 
-// joining reports that the list of nodes is not complete yet: a request that
-// entered now could be told that a service has no backend server. A node that
-// has met nobody for a while is alone.
+// joining reports whether the list of nodes may still be incomplete, in which case
+// a request could be refused for want of a backend server that exists. A node that
+// has found no other within joinTimeout counts as alone.
 func (n *Node) joining() bool {
 	var d membership.Dump
 	alone := false
@@ -98,12 +98,12 @@
 		d = m.Dump()
 		alone = len(m.View()) == 1
 	})
-	return d.Joining && !(alone && time.Since(n.started) > joinPatience)
+	return d.Joining && !(alone && time.Since(n.startedAt) > joinTimeout)
 }
 
-// joinPatience is longer than a node without peers waits before it announces
-// itself and is found.
-const joinPatience = 5 * time.Second
+// joinTimeout is longer than a node without peers takes to announce itself in the
+// log and to be found there.
+const joinTimeout = 5 * time.Second
 
 // Version implements ops.Node.
 func (n *Node) Version() ops.Version {
@@ -122,7 +122,7 @@
 // Explain implements ops.Node.
 func (n *Node) Explain(requestID string) []explain.Event { return n.notes.Find(requestID) }
 
-// Sync brings the counters that the slices keep themselves up to date.
+// Sync copies the counts that other packages keep into the counters of the node.
 func (n *Node) Sync() {
 	c := n.dispatch.Counts()
 	n.counts.Attempts.Set(int64(c.Attempts))
@@ -146,17 +146,17 @@
 		{Name: "routes_learned", Value: float64(len(routes.Reach))},
 		{Name: "members", Value: float64(len(n.members.view()))},
 		{Name: "connected_peers", Value: float64(len(n.peers.Connected()))},
-		{Name: "requests_under_way", Value: float64(n.entered.Load())},
+		{Name: "requests_under_way", Value: float64(n.callerRequests.Load())},
 		{Name: "running", Value: float64(s.Running)},
 		{Name: "waiting", Value: float64(s.Queue.Waiting)},
 		{Name: "concurrency_limit", Value: float64(s.Concurrency)},
 		{Name: "admission_level", Value: float64(s.Gate.Level)},
-		{Name: "backend_ready", Value: number(n.backendInstance().ready)},
+		{Name: "backend_ready", Value: boolGauge(n.backendInstance().ready)},
 	}
 	return append(gauges, n.budgetGauge(now))
 }
 
-// budgetGauge tells how many extra attempts are left where they are scarcest.
+// budgetGauge returns the number of retry tokens in the budget that has the fewest.
 func (n *Node) budgetGauge(now time.Time) ops.Gauge {
 	g := ops.Gauge{Name: "retry_tokens_least", Value: n.cfg.Dispatch.Budget.Burst}
 	for _, b := range n.dispatch.Dump(now).Budgets {
@@ -165,7 +165,7 @@
 	return g
 }
 
-func number(b bool) float64 {
+func boolGauge(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -12,8 +12,8 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// peerHandler takes what peers send; it is the node under another name, so
-// that these methods do not stand among the node's own.
+// peerHandler implements transport.Handler. It is a Node under a type of its
+// own, so that these methods are not part of the API of Node.
 type peerHandler Node
 
 // Up implements transport.Handler.
@@ -21,12 +21,12 @@
 	n := (*Node)(h)
 	n.counts.PeerConnects.Add(1)
 	if v := n.routing.version(); v > 0 {
-		// A node that starts while the platform is away hears of the routes
-		// here. If the offer is lost, replies name the version, too.
+		// A node that starts while the platform is unreachable gets its routes
+		// this way. If the offer is lost, replies name the version as well.
 		_, _ = c.Send(wire.KindRoutes, routesMessage{Version: v, Era: n.era()})
 	}
 	if claim, owns := n.ownClaim(); owns {
-		// A node that has just started knows no owner.
+		// The peer may have just started and know no quota owner.
 		_, _ = c.Send(wire.KindQuotaClaim, claim)
 	}
 	now := time.Now()
@@ -34,7 +34,7 @@
 		n.members.with(func(m *membership.Members) { m.Answered(now, c.Dialed(), c.Peer().ID) })
 		return
 	}
-	// A node that dialled is up, whether or not the log has told of it.
+	// A node that dials is up, even if the log does not list it yet.
 	if _, known := n.members.lookup(c.Peer().ID); !known {
 		n.members.seeds([]string{c.Peer().Addr})
 	}
@@ -45,8 +45,8 @@
 	(*Node)(h).counts.PeerLosses.Add(1)
 }
 
-// Stalled implements transport.Handler. The membership asks others about the peer at
-// once, so that calls leave it soon if it is gone.
+// Stalled implements transport.Handler. The membership probes the peer through other
+// nodes at once, so that calls soon avoid it if it has failed.
 func (h *peerHandler) Stalled(c *transport.Conn) {
 	n := (*Node)(h)
 	n.counts.PeerStalls.Add(1)
@@ -57,12 +57,11 @@
 
 // Busy implements transport.Handler.
 func (h *peerHandler) Busy(id wire.NodeID) bool {
-	return (*Node)(h).server.busy(id)
+	return (*Node)(h).server.owesReply(id)
 }
 
 // Handle implements transport.Handler. A message that cannot be decoded ends
-// the connection: its sender is faulty, and what it sends next cannot be
-// trusted either.
+// the connection, since the sender is faulty.
 func (h *peerHandler) Handle(c *transport.Conn, f wire.Frame) {
 	n := (*Node)(h)
 	if err := n.handle(c, f); err != nil {
@@ -90,15 +89,15 @@
 	return n.handleControl(from, f)
 }
 
-// messageNames name the kinds in metrics.
+// messageNames holds the names of the message kinds in metrics.
 var messageNames = map[wire.Kind]string{
 	wire.KindCall: "call", wire.KindReply: "reply", wire.KindCancel: "cancel", wire.KindMembership: "membership",
 	wire.KindConfig: "config", wire.KindPoison: "poison", wire.KindRoutes: "routes", wire.KindLevels: "levels",
 	wire.KindQuotaAsk: "quota", wire.KindQuotaAnswer: "quota", wire.KindQuotaClaim: "quota",
 }
 
-// countPeerBytes counts a message by its kind, apart for what comes from another data
-// centre: those bytes are dear.
+// countPeerBytes counts the bytes of a message by its kind, with the suffix "_far" if it
+// comes from another data centre: that traffic is expensive.
 func (n *Node) countPeerBytes(dataCentre string, f wire.Frame) {
 	name, ok := messageNames[f.Kind]
 	if !ok {
@@ -129,23 +128,23 @@
 	case wire.KindQuotaClaim:
 		return decode(f, func(m quota.Claim) { n.handleQuotaClaim(from, m) })
 	default:
-		// A kind that this release does not know: a newer one may send it.
+		// A node of a newer release may send kinds that are unknown here.
 		return nil
 	}
 }
 
-// decode opens a message and hands it to f.
-func decode[M any](f wire.Frame, take func(M)) error {
+// decode decodes the body of a frame and calls handle with it.
+func decode[M any](f wire.Frame, handle func(M)) error {
 	var m M
 	if err := wire.Unmarshal(f.Body, &m); err != nil {
 		return err
 	}
-	take(m)
+	handle(m)
 	return nil
 }
 
-// handleCall takes an attempt. A peer speaks for itself only: with another
-// sender's name it could use up that sender's sequence numbers.
+// handleCall accepts a call attempt. It drops one that names another sender than
+// the peer: a forged one would use up the other sender's sequence numbers.
 func (n *Node) handleCall(c *transport.Conn, req call.Request) {
 	if req.From != c.Peer().ID {
 		n.counts.BadMessages.Add(1)
@@ -173,7 +172,7 @@
 		return
 	}
 	if r.ConfigVersion > n.graph.asOf() {
-		n.act(n.graph.do(func(s *config.Spread) config.Actions {
+		n.applyConfigActions(n.graph.do(func(s *config.Spread) config.Actions {
 			return s.SawVersion(time.Now(), from, r.ConfigVersion)
 		}))
 	}
@@ -188,5 +187,5 @@
 
 func (n *Node) handleConfig(from wire.NodeID, msg config.Message) {
 	now := time.Now()
-	n.act(n.graph.do(func(s *config.Spread) config.Actions { return s.Receive(now, from, msg) }))
+	n.applyConfigActions(n.graph.do(func(s *config.Spread) config.Actions { return s.Receive(now, from, msg) }))
 }
--- a/node/post.go
+++ b/node/post.go
@@ -11,121 +11,123 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Limits of messages that wait for a connection to be opened. Control messages
-// are repaired by later ones, so what exceeds them is dropped.
+// Limits for messages that wait until a connection is open. Messages beyond them
+// are dropped: later control messages make up for lost ones.
 const (
-	postWorkers = 16
-	postBacklog = 512
+	outboxWorkers = 16
+	outboxBacklog = 512
 )
 
-// letter is one control message on its way to a peer. A zero to stands for
-// whichever incarnation answers at addr.
-type letter struct {
+// controlMessage is a control message for a peer. A zero to stands for the
+// incarnation that answers at addr.
+type controlMessage struct {
 	to   wire.NodeID
 	addr string
 	kind wire.Kind
 	msg  any
 }
 
-// postman sends control messages. Those for connected peers go at once; for
-// the others a few workers open connections.
-type postman struct {
-	n    *Node
-	todo chan letter
-	wg   sync.WaitGroup
+// peerOutbox sends control messages. Messages to connected peers are sent at once;
+// for the others a fixed number of workers open connections.
+type peerOutbox struct {
+	n       *Node
+	pending chan controlMessage
+	wg      sync.WaitGroup
 }
 
-func newPostman(n *Node) *postman {
-	p := &postman{n: n, todo: make(chan letter, postBacklog)}
-	for range postWorkers {
-		p.wg.Add(1)
-		go p.work()
+func newPeerOutbox(n *Node) *peerOutbox {
+	o := &peerOutbox{n: n, pending: make(chan controlMessage, outboxBacklog)}
+	for range outboxWorkers {
+		o.wg.Add(1)
+		go o.work()
 	}
-	return p
+	return o
 }
 
-func (p *postman) close() { p.wg.Wait() }
+func (o *peerOutbox) close() { o.wg.Wait() }
 
-// post sends a message to a member.
-func (p *postman) post(to wire.NodeID, kind wire.Kind, msg any) {
-	rec, ok := p.n.members.lookup(to)
+// sendToMember sends a message to a member, and drops it if the member is unknown.
+func (o *peerOutbox) sendToMember(to wire.NodeID, kind wire.Kind, msg any) {
+	rec, ok := o.n.members.lookup(to)
 	if !ok {
 		return
 	}
-	p.postTo(letter{to: to, addr: rec.PeerAddr, kind: kind, msg: msg})
+	o.send(controlMessage{to: to, addr: rec.PeerAddr, kind: kind, msg: msg})
 }
 
-// postAll sends a message to all other members.
-func (n *Node) postAll(kind wire.Kind, msg any) {
+// sendToMembers sends a message to all other members.
+func (n *Node) sendToMembers(kind wire.Kind, msg any) {
 	for _, rec := range n.members.view() {
 		if rec.ID != n.id && !rec.State.Gone() {
-			n.posts.post(rec.ID, kind, msg)
+			n.outbox.sendToMember(rec.ID, kind, msg)
 		}
 	}
 }
 
-// answer sends a message to a peer that has just been heard from, member or
-// not yet. Without a connection there is nobody to answer any more.
-func (p *postman) answer(to wire.NodeID, kind wire.Kind, msg any) {
-	if c, ok := p.n.peers.Lookup(to); ok {
-		p.send(c, letter{to: to, kind: kind, msg: msg})
+// sendIfConnected sends a message to a peer, which need not be a member, and
+// drops it if there is no connection.
+func (o *peerOutbox) sendIfConnected(to wire.NodeID, kind wire.Kind, msg any) {
+	if c, ok := o.n.peers.Lookup(to); ok {
+		o.write(c, controlMessage{to: to, kind: kind, msg: msg})
 	}
 }
 
-func (p *postman) postTo(l letter) {
-	if c, ok := p.n.peers.Lookup(l.to); ok {
-		p.send(c, l)
+// send sends a message, or queues it if the peer is not connected. A message is
+// dropped if the queue is full.
+func (o *peerOutbox) send(m controlMessage) {
+	if c, ok := o.n.peers.Lookup(m.to); ok {
+		o.write(c, m)
 		return
 	}
 	select {
-	case p.todo <- l:
+	case o.pending <- m:
 	default:
 	}
 }
 
-func (p *postman) work() {
-	defer p.wg.Done()
+func (o *peerOutbox) work() {
+	defer o.wg.Done()
 	for {
 		select {
-		case <-p.n.ctx.Done():
+		case <-o.n.ctx.Done():
 			return
-		case l := <-p.todo:
-			p.deliver(l)
+		case m := <-o.pending:
+			o.connectAndWrite(m)
 		}
 	}
 }
 
-func (p *postman) deliver(l letter) {
-	c, err := p.n.peers.Connect(p.n.ctx, l.to, l.addr)
+func (o *peerOutbox) connectAndWrite(m controlMessage) {
+	c, err := o.n.peers.Connect(o.n.ctx, m.to, m.addr)
 	if err != nil {
-		p.failed(l, err)
+		o.connectFailed(m, err)
 		return
 	}
-	p.send(c, l)
+	o.write(c, m)
 }
 
-func (p *postman) send(c *transport.Conn, l letter) {
-	data, err := wire.Encode(l.kind, l.msg)
+func (o *peerOutbox) write(c *transport.Conn, m controlMessage) {
+	data, err := wire.Encode(m.kind, m.msg)
 	if err != nil {
-		p.n.log.Error().Err(err).Msg("control message not encoded")
+		o.n.log.Error().Err(err).Msg("cannot encode control message")
 		return
 	}
 	if c.SendEncoded(data) == nil {
-		p.n.counts.ControlBytesOut.Add(int64(len(data)))
+		o.n.counts.ControlBytesOut.Add(int64(len(data)))
 	}
 }
 
-// failed tells the membership that a peer was not reached.
-func (p *postman) failed(l letter, err error) {
+// connectFailed reports to the membership that a peer could not be reached.
+func (o *peerOutbox) connectFailed(m controlMessage, err error) {
 	if errors.Is(err, context.Canceled) || errors.Is(err, transport.ErrClosed) {
 		return
 	}
 	now := time.Now()
-	p.n.members.with(func(m *membership.Members) {
-		if l.to.IsZero() {
-			m.FailedAddr(now, l.addr)
+	o.n.members.with(func(ms *membership.Members) {
+		if m.to.IsZero() {
+			ms.FailedAddr(now, m.addr)
 			return
 		}
-		m.Failed(now, l.to)
+		ms.Failed(now, m.to)
 	})
 }
--- a/node/quota_asks.go
+++ b/node/quota_asks.go
@@ -97,7 +97,7 @@
 		n.handleQuotaAnswer(n.id, n.answerQuota(n.id, out.msg))
 		return
 	}
-	n.posts.post(out.to, wire.KindQuotaAsk, out.msg)
+	n.outbox.sendToMember(out.to, wire.KindQuotaAsk, out.msg)
 }
 
 // missing is what the owners' answers do not bring.
@@ -201,7 +201,7 @@
 }
 
 func (n *Node) handleQuotaAsk(from wire.NodeID, m quotaAsk) {
-	n.posts.answer(from, wire.KindQuotaAnswer, n.answerQuota(from, m))
+	n.outbox.sendIfConnected(from, wire.KindQuotaAnswer, n.answerQuota(from, m))
 }
 
 // answerQuota decides what a node is lent and told.
--- a/node/quota_owner.go
+++ b/node/quota_owner.go
@@ -22,7 +22,7 @@
 		switch {
 		case reached < 2 && listed.others:
 			return false // cut off since its start: nobody could ask it
-		case time.Since(n.started) < settleMost:
+		case time.Since(n.startedAt) < settleMost:
 			return listed.first
 		}
 	}
@@ -73,10 +73,10 @@
 // tellClaim tells all nodes what this one owns: those that it knows, and those that are
 // connected, which it may not know yet.
 func (n *Node) tellClaim(claim quota.Claim) {
-	n.postAll(wire.KindQuotaClaim, claim)
+	n.sendToMembers(wire.KindQuotaClaim, claim)
 	for _, id := range n.peers.Connected() {
 		if _, known := n.members.lookup(id); !known {
-			n.posts.answer(id, wire.KindQuotaClaim, claim)
+			n.outbox.sendIfConnected(id, wire.KindQuotaClaim, claim)
 		}
 	}
 }
--- a/node/quotas_test.go
+++ b/node/quotas_test.go
@@ -188,7 +188,7 @@
 	n := &Node{cfg: DefaultConfig(), quotas: q, routing: newRouting(nil)}
 	n.cfg.FreshWithin = 4 * time.Second
 	n.cfg.Quota.WaitMost = time.Hour
-	n.routing.take(time.Now(), &routes.Table{Version: 3, Workspaces: spaces}, nil)
+	n.routing.install(time.Now(), &routes.Table{Version: 3, Workspaces: spaces}, nil)
 	space, refusal := n.authorize(t.Context(), &routes.Route{Open: true}, "")
 	is.True(refusal == nil)
 	is.True(space == nil)
--- a/node/run.go
+++ b/node/run.go
@@ -13,18 +13,19 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// serve calls f on the callee's decisions and does what follows.
+// serve calls f with the callee's state under its lock and carries out the
+// effects that f returns.
 func (n *Node) serve(f func(now time.Time, s *serve.Server) serve.Effects) {
 	now := time.Now()
 	n.replying.Add(1)
 	defer n.replying.Add(-1)
 	e, started := n.server.do(func(s *serve.Server) serve.Effects { return f(now, s) })
 	for _, notice := range e.Notices {
-		n.spreadNotice(notice)
+		n.broadcastNotice(notice)
 	}
 	for _, tell := range e.Tell {
 		for _, notice := range tell.Notices {
-			n.posts.post(tell.To, wire.KindPoison, notice)
+			n.outbox.sendToMember(tell.To, wire.KindPoison, notice)
 		}
 	}
 	for _, r := range started {
@@ -47,7 +48,8 @@
 	n.serve(func(now time.Time, s *serve.Server) serve.Effects { return s.Cancel(now, c) })
 }
 
-// run hands one task to the backend server and reports what became of it.
+// run sends one task to the backend server and passes the result to the callee's
+// state.
 func (n *Node) run(r *run) {
 	defer n.wg.Done()
 	defer r.stop()
@@ -68,20 +70,20 @@
 		Workspace:  req.Workspace,
 		Idempotent: req.Idempotent || r.task.Operation != nil && r.task.Operation.Idempotent,
 	})
-	touched := n.server.ended(r)
-	result := n.result(r, res, touched)
+	callMayHaveRun := n.server.removeRun(r)
+	result := n.result(r, res, callMayHaveRun)
 	if res.Broken {
 		n.counts.BackendBroken.Add(1)
 	}
 	if res.Crashed {
 		n.backendCrashed(inst.start)
 	}
-	n.noteRun(r.task, inst, result)
+	n.recordRun(r.task, inst, result)
 	n.serve(func(now time.Time, s *serve.Server) serve.Effects { return s.Done(now, r.task.ID, result) })
 }
 
-func (n *Node) result(r *run, res backend.Result, touched bool) serve.Result {
-	used, callsFailed := n.server.used(r)
+func (n *Node) result(r *run, res backend.Result, callMayHaveRun bool) serve.Result {
+	callUse, callsFailed := n.server.callUse(r)
 	result := serve.Result{
 		Verdict:     res.Verdict,
 		Reason:      res.Reason,
@@ -93,20 +95,20 @@
 		Latency:     res.Latency,
 		Crashed:     res.Crashed,
 		Offered:     res.Offered,
-		Used:        used,
+		Used:        callUse,
 		CallsFailed: callsFailed,
 		Unused:      n.dispatch.CloseLedger(r.ledger),
 	}
-	// A backend server that declines after it made calls of its own has left
-	// traces elsewhere: the request as a whole may have run.
-	if result.Verdict == verdict.NotRun && touched {
+	// If a call made for the task may have run, the request as a whole may have
+	// run, even if the backend server declined the task itself.
+	if result.Verdict == verdict.NotRun && callMayHaveRun {
 		result.Verdict = verdict.MayHaveRun
 	}
 	return result
 }
 
-// noteRun notes what became of a task that was handed to the backend server.
-func (n *Node) noteRun(t *serve.Task, inst instance, r serve.Result) {
+// recordRun records the latencies and the result of a task.
+func (n *Node) recordRun(t *serve.Task, inst instance, r serve.Result) {
 	step := explain.Ran
 	if r.Reason != verdict.None {
 		step = explain.Lost
@@ -131,7 +133,7 @@
 	})
 }
 
-// reply sends an answer to the node that asked.
+// reply sends a reply to the node that made the call.
 func (n *Node) reply(now time.Time, r call.Reply) {
 	if r.Verdict == verdict.NotRun {
 		n.notes.Note(now, explain.Event{
@@ -145,29 +147,30 @@
 		n.dispatch.Reply(n.id, r)
 		return
 	}
-	c, ok := n.toCaller(r)
+	c, ok := n.replyConn(r)
 	if !ok {
-		return // the caller's node has seen the connection end, and concluded
+		return // the connection has ended, which the caller's node sees as well
 	}
 	if _, err := c.Send(wire.KindReply, r); err != nil {
-		// An answer that cannot be sent must not leave its caller waiting:
-		// the end of the connection tells it at once.
+		// The caller's node would wait for the lost reply until the deadline;
+		// the end of the connection fails the call at once.
 		c.Close()
 	}
 }
 
-// toCaller returns the connection for an answer: the one that its call came by. The
-// caller's node waits for the answer or the end of that connection, whichever is
-// first. By another one, which may end alone, the answer could be lost without
-// its knowing. If the call's has ended at this end, another may still tell a
-// caller's node that has not noticed.
-func (n *Node) toCaller(r call.Reply) (*transport.Conn, bool) {
+// replyConn returns the connection for a reply: the one on which the call arrived.
+// The caller's node waits for the reply or the end of that connection. On another
+// connection the reply could be lost without a sign to the caller's node. If the
+// connection of the call has ended here, another one is used, since the caller's
+// node may not have noticed the end yet.
+func (n *Node) replyConn(r call.Reply) (*transport.Conn, bool) {
 	if c, ok := n.peers.Numbered(r.Via); ok {
 		return c, true
 	}
 	return n.peers.Lookup(r.To)
 }
 
+// levels lists the admission levels to send with a reply.
 func (n *Node) levels(now time.Time) []call.Level {
 	levels := n.dispatch.Levels(now)
 	if own := n.server.level(now); own > 0 {
--- a/node/server.go
+++ b/node/server.go
@@ -14,57 +14,56 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// server puts a lock around the callee's decisions and keeps, under the same
-// lock, how to stop what runs: a stop that is decided after a start always
-// finds it.
+// server guards the callee's state with a lock. The runs are registered under
+// the same lock, so that a stop decided after a start always finds its run.
 type server struct {
 	mu      sync.Mutex
 	serve   *serve.Server
 	runs    map[uint64]*run
 	byToken map[string]*run
-	// byRequest finds a run by the id that the backend server knows.
+	// byRequest finds a run by its request id, which the backend server knows.
 	byRequest map[string]*run
 
-	// queued is told when something begins to wait.
-	queued chan struct{}
+	// taskWaiting receives a value when a task begins to wait and none waited before.
+	taskWaiting chan struct{}
 
 	mintMu  sync.Mutex
 	mints   map[uint64]mintWait
 	mintSeq uint64
 }
 
-// run is one task at the backend server.
+// run is one task that the backend server executes.
 type run struct {
 	task  *serve.Task
 	token string
 	ctx   context.Context
 	stop  context.CancelFunc
-	// ledger holds the extra attempts of the request's calls from here.
+	// ledger holds the extra attempts for the calls that the task makes.
 	ledger *retry.Ledger
-	// calls is the number of calls for the task that are under way.
+	// calls is the number of calls in flight that the task has made.
 	calls int
-	// touched is set when a call made for the task may have run: the task
-	// itself can then no longer claim "not run".
-	touched bool
-	// callsFailed says that one of them failed.
+	// callMayHaveRun is set when a call made by the task may have run: the result of
+	// the task can then no longer be "not run".
+	callMayHaveRun bool
+	// callsFailed is set when a call made by the task has failed.
 	callsFailed bool
-	// used is the slot time that calls made for the task took at each service.
-	used []call.Use
+	// callUse is the slot time that the calls made by the task took at each service.
+	callUse []call.Use
 }
 
 func newServer(s *serve.Server) *server {
 	return &server{
-		serve:     s,
-		runs:      make(map[uint64]*run),
-		queued:    make(chan struct{}, 1),
-		byToken:   make(map[string]*run),
-		byRequest: make(map[string]*run),
-		mints:     make(map[uint64]mintWait),
+		serve:       s,
+		runs:        make(map[uint64]*run),
+		taskWaiting: make(chan struct{}, 1),
+		byToken:     make(map[string]*run),
+		byRequest:   make(map[string]*run),
+		mints:       make(map[uint64]mintWait),
 	}
 }
 
-// do calls f under the lock. What it starts and stops is registered there;
-// the rest is for the caller to act on.
+// do calls f under the lock, stops the runs that f ends and registers those that
+// it starts. The caller starts the returned runs and carries out the other effects.
 func (s *server) do(f func(*serve.Server) serve.Effects) (serve.Effects, []*run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,8 +71,8 @@
 	e := f(s.serve)
 	if !waited && s.serve.Waiting() {
 		select {
-		case s.queued <- struct{}{}:
-		default: // told already
+		case s.taskWaiting <- struct{}{}:
+		default: // already signalled
 		}
 	}
 	for _, id := range e.Stop {
@@ -99,16 +98,18 @@
 
 const tokenBytes = 16
 
-// newToken names a running call to the backend server. It cannot be guessed:
-// with another call's token a backend server could spend that call's grants.
+// newToken returns a token by which the backend server names a running task. It
+// cannot be guessed: with the token of another task a backend server could spend
+// that task's extra attempts.
 func newToken() string {
 	var b [tokenBytes]byte
 	rand.Read(b[:]) // never fails (crypto/rand, Go 1.24)
 	return hex.EncodeToString(b[:])
 }
 
-// ended takes a run out; its token is not known any more.
-func (s *server) ended(r *run) (touched bool) {
+// removeRun removes a run and its token, and reports whether a call made by it may
+// have run.
+func (s *server) removeRun(r *run) (callMayHaveRun bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.runs, r.task.ID)
@@ -116,83 +117,87 @@
 	if s.byRequest[r.task.Request.RequestID] == r {
 		delete(s.byRequest, r.task.Request.RequestID)
 	}
-	return r.touched || r.calls > 0
+	return r.callMayHaveRun || r.calls > 0
 }
 
-// running returns the run of the request that the backend server is working
-// on, false if it is not.
-func (s *server) running(requestID string) (*run, bool) {
+// runOfRequest returns the run of a request, or false if the backend server is not
+// working on it.
+func (s *server) runOfRequest(requestID string) (*run, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.byRequest[requestID]
 	return r, ok
 }
 
-// waiting reports whether something waits beside the backend server.
+// waiting reports whether a task waits.
 func (s *server) waiting() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.serve.Waiting()
 }
 
-// use notes the slot time that a call made for a run took, at its service and below.
-func (s *server) use(r *run, service string, out call.Outcome) {
+// addCallUse adds the slot time that a call made by a run took, at its service and at the
+// services that it called in turn.
+func (s *server) addCallUse(r *run, service string, out call.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r.used = out.AddUses(r.used, service)
+	r.callUse = out.AddUses(r.callUse, service)
 	r.callsFailed = r.callsFailed || !out.Served()
 }
 
-// used lists the slot time that the calls made for a run took, and tells whether any
-// of them failed.
-func (s *server) used(r *run) (uses []call.Use, callsFailed bool) {
+// callUse returns the slot time that the calls made by a run took at each service, and
+// whether any of them failed.
+func (s *server) callUse(r *run) (uses []call.Use, callsFailed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(r.used), r.callsFailed
+	return slices.Clone(r.callUse), r.callsFailed
 }
 
-// find returns the run that a token names.
-func (s *server) find(token string) (*run, bool) {
+// runByToken returns the run with a token, or false if there is none.
+func (s *server) runByToken(token string) (*run, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.byToken[token]
 	return r, ok
 }
 
-// calling notes the begin or end of a call that a run makes.
-func (s *server) calling(now time.Time, r *run, change int) {
+// countCall records the begin (change 1) or end (change -1) of a call made by a run.
+func (s *server) countCall(now time.Time, r *run, change int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.calls += change
 	s.serve.Calling(now, r.task.ID, change)
 }
 
-func (s *server) touch(r *run) {
+// noteCallMayHaveRun records that a call made by a run may have run.
+func (s *server) noteCallMayHaveRun(r *run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r.touched = true
+	r.callMayHaveRun = true
 }
 
-// busy reports whether the peer waits for an answer from here.
-func (s *server) busy(id wire.NodeID) bool {
+// owesReply reports whether the peer waits for a reply from this node.
+func (s *server) owesReply(id wire.NodeID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.serve.Owes(id)
 }
 
+// level returns the admission level of the service, zero if all is admitted.
 func (s *server) level(now time.Time) uint16 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.serve.Level(now)
 }
 
+// exhausted reports whether calls of nodes that start from now on are refused.
 func (s *server) exhausted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.serve.Exhausted()
 }
 
-// tasks is the number of calls that wait or run beside the backend server.
+// tasks returns the number of calls that wait or run.
 func (s *server) tasks() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/spread_levels.go
+++ b/node/spread_levels.go
@@ -46,7 +46,7 @@
 	select {
 	case <-n.ctx.Done():
 		return false
-	case <-n.levelsHeard:
+	case <-n.levelsReceived:
 		return true
 	}
 }
@@ -54,7 +54,7 @@
 // noteLevels wakes tellLevels.
 func (n *Node) noteLevels() {
 	select {
-	case n.levelsHeard <- struct{}{}:
+	case n.levelsReceived <- struct{}{}:
 	default:
 	}
 }
@@ -83,7 +83,7 @@
 	stay := min(NewsFanOut-leave, len(near))
 	leave = min(NewsFanOut-stay, len(far))
 	for _, id := range append(near[:stay], far[:leave]...) {
-		n.posts.answer(id, wire.KindLevels, m)
+		n.outbox.sendIfConnected(id, wire.KindLevels, m)
 	}
 }
 
--- a/node/spread_routes.go
+++ b/node/spread_routes.go
@@ -28,10 +28,10 @@
 func (r *routing) mayAsk(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.askedAt) < askAgainAfter {
+	if now.Sub(r.lastAskedAt) < askAgainAfter {
 		return false
 	}
-	r.askedAt = now
+	r.lastAskedAt = now
 	return true
 }
 
@@ -46,14 +46,14 @@
 	}
 	before := n.routing.version()
 	now := time.Now()
-	if !n.routing.take(now, table, text) {
+	if !n.routing.install(now, table, text) {
 		return table.Version == n.routing.version()
 	}
 	n.inForce.Store(table.Version)
 	n.quotas.inForce(table.Version)
 	n.counts.ConfigChanges.Add(1)
 	n.log.Info().Uint64("version", table.Version).Uint64("before", before).Int("routes", table.Len()).
-		Str("source", source).Dur("behind_ms", n.routing.caughtUp(now)).Msg("routes in force")
+		Str("source", source).Dur("behind_ms", n.routing.resetLag(now)).Msg("routes in force")
 	if source == SourceStore && n.Reader() {
 		n.offerRoutes(table.Version)
 	}
@@ -122,7 +122,7 @@
 
 // offerRoutes tells all other nodes of a version; those that lack it ask.
 func (n *Node) offerRoutes(version uint64) {
-	n.postAll(wire.KindRoutes, routesMessage{Version: version})
+	n.sendToMembers(wire.KindRoutes, routesMessage{Version: version})
 }
 
 // Routes returns the routes in force, nil before any are known.
@@ -135,11 +135,11 @@
 		return
 	}
 	now := time.Now()
-	n.routing.heard(now)
+	n.routing.noteNewerVersion(now)
 	if !n.routing.mayAsk(now) {
 		return
 	}
-	n.posts.answer(from, wire.KindRoutes, routesMessage{Version: own, Want: true})
+	n.outbox.sendIfConnected(from, wire.KindRoutes, routesMessage{Version: own, Want: true})
 }
 
 func (n *Node) handleRoutes(from wire.NodeID, m routesMessage) {
@@ -158,11 +158,11 @@
 }
 
 func (n *Node) giveRoutes(to wire.NodeID, have uint64) {
-	p := n.routing.force.Load()
+	p := n.routing.current.Load()
 	if p == nil || p.table.Version <= have {
 		return
 	}
-	n.posts.answer(to, wire.KindRoutes, routesMessage{Version: p.table.Version, Text: p.text})
+	n.outbox.sendIfConnected(to, wire.KindRoutes, routesMessage{Version: p.table.Version, Text: p.text})
 }
 
 // configVersion is what replies say is in force here.
--- a/node/stop.go
+++ b/node/stop.go
@@ -14,15 +14,15 @@
 // the time allowed for a planned stop.
 var ErrStopTimeout = errors.New("requests still in flight at the end of the stop timeout")
 
-// Drain starts the planned stop and returns at once. The other nodes are told
-// after DrainAfter; work that peers send before they have heard is taken for
-// DrainGrace, then refused, so that no new work starts after that.
+// Drain begins the planned stop and returns at once. The other nodes are
+// notified after Config.DrainAfter. Work from peers is accepted for another
+// Config.DrainGrace and refused after that.
 func (n *Node) Drain() {
 	if n.draining.Swap(true) {
 		return
 	}
 	n.log.Info().Msg("draining")
-	n.leaving.Store(time.Now().UnixNano())
+	n.drainBegan.Store(time.Now().UnixNano())
 	if n.cfg.DrainAfter == 0 {
 		n.drainPeers()
 		return
@@ -34,7 +34,7 @@
 	})
 }
 
-// drainPeers tells the other nodes, and refuses their work a little later.
+// drainPeers notifies the other nodes and refuses their work after DrainGrace.
 func (n *Node) drainPeers() {
 	now := time.Now()
 	connected := n.peers.Connected()
@@ -50,23 +50,24 @@
 	})
 }
 
-// sleep waits; false if the node stopped meanwhile.
+// sleep waits for d and reports false if the node stops before that.
 func (n *Node) sleep(d time.Duration) bool { return pause.For(n.ctx, d) }
 
 // Draining reports whether the planned stop has begun.
 func (n *Node) Draining() bool { return n.draining.Load() }
 
-// closedToCallers reports whether a request that came by host and path is too
-// late for a node that is leaving.
+// closedToCallers reports whether EnterGrace has passed since the begin of the
+// planned stop, so that requests by host and path are refused.
 func (n *Node) closedToCallers(now time.Time) bool {
-	since := n.leaving.Load()
+	since := n.drainBegan.Load()
 	return since != 0 && now.Sub(time.Unix(0, since)) > n.cfg.EnterGrace
 }
 
+// waitPoll is the interval at which Wait checks for requests in flight.
 const waitPoll = 20 * time.Millisecond
 
-// Wait returns when the drain's grace has passed and nothing is in flight, or
-// with the context's end.
+// Wait returns nil when the drain has ended and nothing is in flight, or
+// ErrStopTimeout when ctx ends first.
 func (n *Node) Wait(ctx context.Context) error {
 	grace := time.NewTimer(n.cfg.DrainAfter + n.cfg.DrainGrace + waitPoll)
 	defer grace.Stop()
@@ -87,37 +88,37 @@
 	return nil
 }
 
-// InFlight is what a planned stop waits for.
+// InFlight counts the work that a planned stop waits for.
 type InFlight struct {
-	// Entered are callers' requests, Tasks calls of peers that wait or run here,
-	// Replying answers on their way to a connection.
+	// Entered is the number of callers' requests, Tasks that of calls of peers
+	// that wait or run here, Replying that of replies being sent.
 	Entered, Tasks, Replying int
-	// Unflushed says that a peer has not read all that was sent to it.
+	// Unflushed is true if data for a peer is not yet written to its connection.
 	Unflushed bool
 }
 
-// InFlight returns what a planned stop still waits for.
+// InFlight returns the work in flight.
 func (n *Node) InFlight() InFlight {
 	return InFlight{
-		Entered:   int(n.entered.Load()),
+		Entered:   int(n.callerRequests.Load()),
 		Tasks:     n.server.tasks(),
 		Replying:  int(n.replying.Load()),
 		Unflushed: !n.peers.Flushed(),
 	}
 }
 
-// idle reports whether nothing is in flight: an answer that waits for its
-// peer to read would be cut off by the end of the connection.
+// idle reports whether nothing is in flight. That includes replies not yet
+// written: closing the connection would cut them off.
 func (n *Node) idle() bool {
 	return n.InFlight() == InFlight{}
 }
 
-// leave tells the connected peers that this process ends.
+// leave notifies the connected peers that this process ends.
 func (n *Node) leave() {
 	now := time.Now()
 	connected := n.peers.Connected()
 	n.sendMembership(n.members.send(func(m *membership.Members) []membership.Send {
 		return m.Leave(now, connected...)
 	}))
-	time.Sleep(waitPoll) // the connections' writers need a moment
+	time.Sleep(waitPoll) // lets the connections write the messages
 }
