--- a/node/behind_test.go
+++ b/node/behind_test.go
@@ -37,7 +37,7 @@
 func TestANodeWithoutProofReadsTheStoreItself(t *testing.T) {
 	is := is.New(t)
 	clock := &sharedClock{now: time.Unix(1000, 0)}
-	c := startRouted(t, func(cfg *node.Config) { cfg.Clock = clock.read })
+	c := startWithRoutes(t, func(cfg *node.Config) { cfg.Clock = clock.read })
 	reads, rests := c.Add("a", testnode.Echo), c.Add("a", testnode.Echo)
 	for _, i := range []*testnode.Instance{reads, rests} {
 		i.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), node.SourceStore)
@@ -61,7 +61,7 @@
 func TestANodeThatStartsHearsHowOldTheEraIs(t *testing.T) {
 	is := is.New(t)
 	clock := &sharedClock{now: time.Unix(1000, 0)}
-	c := startRouted(t, func(cfg *node.Config) { cfg.Clock = clock.read })
+	c := startWithRoutes(t, func(cfg *node.Config) { cfg.Clock = clock.read })
 	first := c.Add("a", testnode.Echo)
 	first.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), node.SourceStore)
 	began := first.Node.EraSeen(3)
--- a/node/calls_test.go
+++ b/node/calls_test.go
@@ -18,17 +18,16 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// A request enters at a node of another service, fans out over two services
-// and one of them calls a third. The answer holds what all of them said, and
-// the time that is left shrinks with every hop.
+// A request that fans out over two services and two hops gets the answers of all of
+// them, and its remaining time decreases at each hop.
 func TestRequestFansOutOverTheGraph(t *testing.T) {
 	is := is.New(t)
 	var budgets [3]time.Duration
-	c := start(t, nil)
-	entry := c.Add("stationlog", timed(&budgets[2], named("history")))
-	c.Add("alertdesk", timed(&budgets[0], both))
-	c.Add("plumecast", timed(&budgets[1], through("stationlog", "history")))
-	c.Add("fieldlog", named("file"))
+	c := startCluster(t, nil)
+	entry := c.Add("stationlog", recordBudget(&budgets[2], prefixBody("history")))
+	c.Add("alertdesk", recordBudget(&budgets[0], fanOut))
+	c.Add("plumecast", recordBudget(&budgets[1], proxyTo("stationlog", "history")))
+	c.Add("fieldlog", prefixBody("file"))
 	c.AwaitWhole()
 
 	a := entry.Must(t, "alertdesk", "issue", "smoke", headers.DeadlineMs, "5000")
@@ -40,8 +39,8 @@
 	is.True(budgets[2] < budgets[1])
 }
 
-// Many requests are under way between the same two nodes and the backend
-// server answers the last one first. Each caller gets its own answer.
+// Each caller gets its own answer when the backend server answers concurrent
+// requests on one connection in reverse order.
 func TestAnswersOutOfOrderReachTheirCallers(t *testing.T) {
 	is := is.New(t)
 	const requests = 48
@@ -53,7 +52,7 @@
 	for i := range requests {
 		arrived <- i
 	}
-	c := start(t, func(cfg *node.Config) { cfg.Serve.Limit.Initial = requests })
+	c := startCluster(t, func(cfg *node.Config) { cfg.Serve.Limit.Initial = requests })
 	entry := c.Add("alertdesk", testnode.Echo)
 	c.Add("fieldlog", func(ctx context.Context, w *testnode.Work) testnode.Answer {
 		i := <-arrived
@@ -78,12 +77,13 @@
 	}
 }
 
-// What is refused before it reaches a backend server says so and did not run.
+// Calls of unknown operations, undeclared calls and calls with an unknown token are
+// refused with their reasons and do not run.
 func TestCallsThatAreNotDeclaredAreRefused(t *testing.T) {
 	is := is.New(t)
-	c := start(t, nil)
+	c := startCluster(t, nil)
 	file := c.Add("fieldlog", testnode.Echo)
-	desk := c.Add("alertdesk", through("fieldlog", "file"))
+	desk := c.Add("alertdesk", proxyTo("fieldlog", "file"))
 	c.AwaitWhole()
 
 	unknown := file.Must(t, "nowhere", "file", "")
@@ -93,7 +93,7 @@
 	is.Equal(unknown.Verdict(), verdict.NotRun)
 	is.Equal(unknown.Reason(), verdict.UnknownOperation)
 
-	undeclared := desk.Must(t, "alertdesk", "idle", "undeclared") // the answer of its call
+	undeclared := desk.Must(t, "alertdesk", "idle", "undeclared") // the answer of the call that it makes
 	is.Equal(undeclared.Status, verdict.UndeclaredCall.Status())
 	stranger, err := desk.CallAs(t.Context(), "no such token", "fieldlog", "file", []byte("stranger"))
 	is.NoErr(err)
@@ -102,11 +102,11 @@
 	is.Equal(file.Backend.Runs("undeclared")+file.Backend.Runs("stranger"), 0)
 }
 
-// The caller hangs up while its request runs at four backend servers. All of
-// them are told, and no node keeps anything of it.
+// When the caller closes its connection, the request is cancelled at all backend
+// servers that it runs at, and no node keeps any state of it.
 func TestCancellationReachesEveryBranch(t *testing.T) {
-	c := start(t, nil)
-	running := c.hold(t)
+	c := startCluster(t, nil)
+	running := c.startHolding(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _, _ = c.entry.Send(ctx, "alertdesk", "issue", []byte("x")) }() // ends with an error
@@ -117,11 +117,11 @@
 	testnode.Await(t, "every branch has ended", func() bool { return running() == 0 && c.idle() })
 }
 
-// The deadline passes while a request runs at four backend servers.
+// The deadline of a request ends it at all backend servers that it runs at.
 func TestDeadlineEndsEveryBranch(t *testing.T) {
 	is := is.New(t)
-	c := start(t, nil)
-	running := c.hold(t)
+	c := startCluster(t, nil)
+	running := c.startHolding(t)
 
 	a := c.entry.Must(t, "alertdesk", "issue", "x", headers.DeadlineMs, "300")
 
@@ -130,10 +130,10 @@
 	testnode.Await(t, "every branch has ended", func() bool { return running() == 0 && c.idle() })
 }
 
-// Without anybody to run it a request is refused at once, and its caller is
-// told when to come back.
-func TestNobodyToRunIt(t *testing.T) {
-	c := start(t, nil)
+// A request of a service without a ready backend server is refused at once with a
+// Retry-After.
+func TestRequestWithoutBackendServerIsRefused(t *testing.T) {
+	c := startCluster(t, nil)
 	desk := c.Add("alertdesk", testnode.Echo)
 	c.Add("plumecast", nil)
 	file := c.Add("fieldlog", testnode.Echo)
@@ -151,14 +151,14 @@
 	refused("stationlog", "history", verdict.NoBackend) // no node of the service
 	refused("plumecast", "forecast", verdict.NoBackend) // no backend server
 	file.Announce("draining")
-	testnode.Await(t, "the entry node knows", func() bool {
+	testnode.Await(t, "the entry node knows that the backend server is draining", func() bool {
 		return desk.Must(t, "fieldlog", "file", "x").Reason() == verdict.NoBackend
 	})
 	refused("fieldlog", "file", verdict.NoBackend)
 }
 
-// A node has no configuration at its start and refuses. What is published
-// later comes into force, and so does what is published after that.
+// A node without a configuration refuses requests. A configuration that is published
+// later comes into force, and so does its successor.
 func TestConfigurationPublishedLater(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
@@ -171,7 +171,7 @@
 	is.Equal(a.Reason(), verdict.NoConfiguration)
 	is.True(a.RetryAfter() > 0)
 
-	c.Publish(text)
+	c.Publish(graphText)
 	testnode.Await(t, "configuration in force", func() bool {
 		return desk.Must(t, "fieldlog", "file", "x").Verdict() == verdict.Ran
 	})
@@ -184,12 +184,12 @@
 	})
 }
 
-// Bodies of all sizes up to the limit come through two nodes whole, in both
-// directions; beyond it the caller is told which way it was too large.
+// Bodies of up to the size limit pass two nodes unchanged in both directions. A
+// larger request is refused, and a larger answer is reported as too large.
 func TestBodiesAreWholeUpToTheLimit(t *testing.T) {
 	is := is.New(t)
 	limit := int(node.DefaultConfig().Entry.MaxBody)
-	c := start(t, nil)
+	c := startCluster(t, nil)
 	desk := c.Add("alertdesk", testnode.Echo)
 	c.Add("fieldlog", func(_ context.Context, w *testnode.Work) testnode.Answer {
 		return testnode.OK(append(w.Body, w.Query...))
@@ -207,15 +207,15 @@
 	a := desk.Must(t, "fieldlog", "file", string(make([]byte, limit+1)))
 	is.Equal(a.Verdict(), verdict.NotRun)
 	is.Equal(a.Reason(), verdict.TooLarge)
-	a = desk.Must(t, "fieldlog", "file?x", string(make([]byte, limit))) // the answer has one more
+	a = desk.Must(t, "fieldlog", "file?x", string(make([]byte, limit))) // the answer is one byte longer
 	is.Equal(a.Verdict(), verdict.Ran)
 	is.Equal(a.Reason(), verdict.TooLarge)
 }
 
-// A backend server says that it did not begin, but calls that it made have
-// run: the request as a whole did not leave things as they were.
-func TestDecliningAfterCallsIsNotNotRun(t *testing.T) {
-	c := start(t, nil)
+// A request that its backend server declines is not reported as "not run" if a call
+// that it made has run.
+func TestDeclineAfterCallMayHaveRun(t *testing.T) {
+	c := startCluster(t, nil)
 	file := c.Add("fieldlog", testnode.Echo)
 	desk := c.Add("alertdesk", func(ctx context.Context, w *testnode.Work) testnode.Answer {
 		if slices.Contains([]string{"refused", "ran"}, string(w.Body)) {
--- a/node/drain_test.go
+++ b/node/drain_test.go
@@ -21,7 +21,7 @@
 // node stops.
 func TestDrain(t *testing.T) {
 	is := is.New(t)
-	c := start(t, nil)
+	c := startCluster(t, nil)
 	release := make(chan struct{})
 	held := func(ctx context.Context, w *testnode.Work) testnode.Answer {
 		if string(w.Body) == "held" {
@@ -72,7 +72,7 @@
 // none is given, from the moment of the stop on.
 func TestLeavingNodeGivesOutNoKeys(t *testing.T) {
 	is := is.New(t)
-	c := start(t, func(cfg *node.Config) { cfg.DrainGrace = time.Minute })
+	c := startCluster(t, func(cfg *node.Config) { cfg.DrainGrace = time.Minute })
 	leaving := c.Add("fieldlog", testnode.Echo)
 	c.AwaitWhole()
 	deaf := leaving.Dial(t, wire.NewNodeID())
--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -15,23 +15,24 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
+// mintRequest asks a node for an idempotency key.
 type mintRequest struct {
 	Seq       uint64 `cbor:"1,keyasint"`
 	Operation string `cbor:"2,keyasint"`
 }
+
+// mintReply answers a mintRequest.
 type mintReply struct {
 	Seq    uint64         `cbor:"1,keyasint"`
 	Key    string         `cbor:"2,keyasint"`
 	Reason verdict.Reason `cbor:"4,keyasint"`
 }
 
-// A caller asks for a key. Before the node that was asked answers, another
-// peer sends answers with guessed numbers, which count up from 1. The caller
-// gets a key that nobody can verify: all its requests with it are refused, or
-// said to "may have run" because the key names a node of the forger's choice.
+// A peer that guesses sequence numbers must not answer another node's mint request:
+// the caller would get a key that no node can verify.
 func TestForgedKeyReachesNoCaller(t *testing.T) {
 	is := is.New(t)
-	c := start(t, nil)
+	c := startCluster(t, nil)
 	desk := c.Add("alertdesk", testnode.Echo)
 	c.AwaitWhole()
 	asked := desk.Dial(t, wire.NewNodeID())
@@ -50,13 +51,12 @@
 	is.Equal(<-got, "true")
 }
 
-// A backend server starts a call of its own, and declines ("503, not run")
-// while that call is running elsewhere. The request as a whole has run in
-// part; "not run" lets the caller, or this node itself, send it again.
-func TestDecliningDuringACallIsNotNotRun(t *testing.T) {
+// A request that its backend server declines while a call that it made still runs is
+// not reported as "not run": a retry would run that call twice.
+func TestDeclineDuringCallMayHaveRun(t *testing.T) {
 	is := is.New(t)
-	c := start(t, nil)
-	file := c.Add("fieldlog", wait)
+	c := startCluster(t, nil)
+	file := c.Add("fieldlog", waitForCancel)
 	c.Add("alertdesk", func(ctx context.Context, w *testnode.Work) testnode.Answer {
 		go func() { _, _ = w.Call(context.WithoutCancel(ctx), "fieldlog", "file", w.Body) }()
 		testnode.Await(t, "the call runs", func() bool { return file.Backend.Runs("x") > 0 })
@@ -68,13 +68,9 @@
 	is.Equal(a.Verdict(), verdict.MayHaveRun)
 }
 
-// A request with a key of the caller's own has run at the node that the log
-// binds it to. That node dies; the caller, whose first answer was lost, sends
-// the same request again at once, before anybody holds the node for dead. It
-// is redirected, the connection cannot be opened, and the answer is "not run"
-// although the action has run: a caller that believes it uses a new key.
-// (A minted key in the same place is answered key-holder-gone, may have run.)
-func TestOwnKeyOfADeadHolderIsNotNotRun(t *testing.T) {
+// A request whose key is bound to a node that has failed, but is not yet marked
+// failed, may have run there: "not run" would make the caller retry with a new key.
+func TestOwnKeyOfFailedHolderMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	k := startKeyed(t)
 	close(k.release)
@@ -84,20 +80,18 @@
 		a := desk.Must(t, "fieldlog", "file", "x", headers.IdempotencyKey, "own")
 		t.Log(a)
 		if a.Verdict() == verdict.NotRun {
-			t.Error("not run: but it has")
+			t.Error("reported as not run, but it has run")
 		}
 	}
 	is.Equal(k.runs("x"), 1)
 }
 
-// A resend joined the running request. Its node's connection to the holder
-// carries nothing else, so the holder, which only counts attempts that have a
-// task of their own (Server.Owes), closes it as idle: the resend loses its
-// answer, or spends the request's extra attempts on joining again and again.
-func TestJoinedRequestKeepsItsConnection(t *testing.T) {
+// A connection on which only a resend waits, joined to a running request, is not
+// closed as idle: the resend would lose its answer.
+func TestJoinedRequestKeepsConnectionOpen(t *testing.T) {
 	is := is.New(t)
 	const idle = 100 * time.Millisecond
-	c := start(t, func(cfg *node.Config) {
+	c := startCluster(t, func(cfg *node.Config) {
 		cfg.Transport.IdleTimeout = idle
 		cfg.Membership.ProbeInterval = time.Hour
 		cfg.Membership.RepairInterval = time.Hour
@@ -119,7 +113,7 @@
 	testnode.Await(t, "runs", func() bool { return file.Backend.Runs("x") == 1 })
 	go send(second)
 	testnode.Await(t, "joined", func() bool { return file.State().Serve.Counts.Joined == 1 })
-	time.Sleep(10 * idle) // the backend server takes that long
+	time.Sleep(10 * idle) // the request runs longer than the idle timeout
 	is.Equal(file.State().Serve.Counts.Joined, uint64(1))
 	close(release)
 	for range 2 {
@@ -129,14 +123,12 @@
 	}
 }
 
-// In an outage of the log a caller, or a faulty peer, sends the same key again
-// and again. Each copy waits for the binding: MaxPending bounds the keys, and
-// nothing the copies, each with a body of up to 4 MB. The state dump counts
-// keys only ("waiting_for_binding": 1).
-func TestCopiesOfOneKeyAreBounded(t *testing.T) {
+// The number of requests that wait for the binding of one key is bounded: in an outage
+// of the log, copies of a request would otherwise use up the memory with their bodies.
+func TestRequestsWaitingForOneKeyAreBounded(t *testing.T) {
 	is := is.New(t)
 	const copies = 1000
-	c := start(t, func(cfg *node.Config) { cfg.Serve.Once.PendingFor = time.Minute })
+	c := startCluster(t, func(cfg *node.Config) { cfg.Serve.Once.PendingFor = time.Minute })
 	file := c.Add("fieldlog", testnode.Echo)
 	c.AwaitWhole()
 	c.Log.Outage(time.Now().Add(time.Hour))
@@ -161,17 +153,16 @@
 	waiting := copies - refused
 	bound := node.DefaultConfig().Serve.Once.MaxJoined + 1
 	if waiting > bound {
-		t.Errorf("%d copies wait for one key, at most %d can ever be answered", waiting, bound)
+		t.Errorf("%d copies wait for one key, at most %d can be answered", waiting, bound)
 	}
 }
 
-// A node of a called service names services that do not exist in the levels
-// of its replies. The caller's node keeps every name for good, and looks
-// through all of them at each reply.
-func TestLearnedLevelsAreBounded(t *testing.T) {
+// Replies with levels of services that do not exist must not grow the memory of the
+// calling node, nor the time that it takes for each reply.
+func TestReceivedLevelsAreBounded(t *testing.T) {
 	is := is.New(t)
 	const names = 5000
-	c := start(t, nil)
+	c := startCluster(t, nil)
 	desk := c.Add("alertdesk", testnode.Echo)
 	c.AwaitWhole()
 	p := desk.Dial(t, wire.NewNodeID())
@@ -188,18 +179,15 @@
 	is.NoErr(p.Send(wire.KindReply, reply))
 	<-got
 	if n := len(desk.State().Dispatch.Entering); n > 400 {
-		t.Errorf("%d services with levels, the graph has 4 and can have 400", n)
+		t.Errorf("%d services have levels, at most 400 are allowed", n)
 	}
 }
 
-// A node has heard from so many senders that it can tell no new one apart (by
-// default 4096 and 32768: a month, by the comment at once.Senders). It then
-// says nothing at all to them: each call waits until its deadline and "may
-// have run", also the calls of its own callers, while it looks ready. Nobody
-// asks Exhausted. As it never accepts such a sender, "not run" would be true.
-func TestExhaustedNodeRefusesInsteadOfSilence(t *testing.T) {
+// A node that cannot track another sender refuses its calls as "not run", rather than
+// let them wait until their deadline with an unknown result.
+func TestExhaustedNodeRefusesNewSenders(t *testing.T) {
 	is := is.New(t)
-	c := start(t, func(cfg *node.Config) {
+	c := startCluster(t, func(cfg *node.Config) {
 		cfg.Serve.Once.MaxSenders = 2
 		cfg.Serve.Once.MaxFloors = 2
 	})
@@ -217,15 +205,13 @@
 	is.Equal(a.Verdict(), verdict.NotRun)
 }
 
-// The planned stop of a node whose answer has not left yet: a large answer, a
-// peer that reads it slowly. The call has finished, so Wait returns, and Stop
-// closes the connection 20 ms later with the answer half written: the caller
-// hears "may have run: lost" although it ran and was answered.
-func TestPlannedStopSendsTheAnswers(t *testing.T) {
+// A planned stop waits until large replies are written to a slow peer, rather than
+// close the connection in the middle of one.
+func TestPlannedStopSendsPendingReplies(t *testing.T) {
 	is := is.New(t)
 	const calls = 12
-	// A machine that is busy with other work must not look like a frozen peer.
-	c := start(t, func(cfg *node.Config) { cfg.Transport.WriteTimeout = time.Minute })
+	// On a loaded machine the peer reads slowly and must not count as frozen.
+	c := startCluster(t, func(cfg *node.Config) { cfg.Transport.WriteTimeout = time.Minute })
 	file := c.Add("fieldlog", func(_ context.Context, w *testnode.Work) testnode.Answer {
 		return testnode.OK(make([]byte, 1<<20))
 	})
@@ -238,7 +224,7 @@
 	stopped := make(chan error, 1)
 	go func() { stopped <- file.Stop(t.Context()) }()
 	testnode.Await(t, "no work left", func() bool { return file.State().Serve.Draining })
-	time.Sleep(300 * time.Millisecond) // a line of 100 ms and more
+	time.Sleep(300 * time.Millisecond) // the peer reads nothing in this time
 	var reply call.Reply
 	for n := range calls {
 		if err := p.NextOf(wire.KindReply, &reply); err != nil {
@@ -248,18 +234,16 @@
 	is.NoErr(<-stopped)
 }
 
-// The node that was asked answers with a reason, or with a header field of its
-// backend server's, that holds a control character. It is written to the
-// caller as it is: the caller's HTTP client cannot read the answer and has to
-// take the request for one that may have run. (FuzzReply finds it in a second.)
-func TestControlCharactersFromAPeer(t *testing.T) {
+// Control characters in the reason or a header field of a peer's reply do not reach
+// the caller: its HTTP client could not parse the response.
+func TestControlCharactersInReplyDoNotReachCaller(t *testing.T) {
 	for name, reply := range map[string]call.Reply{
 		"reason": {Verdict: verdict.NotRun, Reason: "a\x00b"},
 		"field":  {Verdict: verdict.Ran, Status: 200, Header: []call.Field{{Name: "A", Value: "b\x00c"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c := start(t, nil)
+			c := startCluster(t, nil)
 			desk := c.Add("alertdesk", testnode.Echo)
 			c.AwaitWhole()
 			p := desk.Dial(t, wire.NewNodeID())
@@ -279,14 +263,11 @@
 	}
 }
 
-// A node has two connections to a peer, as after both dialled at once or the link
-// was silent for a while. It sends a call by the one; the peer answers by the
-// other, which ends before the answer is through. The asking node waits for an
-// answer that does not come, until the caller's time is over, because the
-// connection that it looks at is sound.
-func TestAnswerGoesByTheConnectionOfItsCall(t *testing.T) {
+// A reply uses the connection of its call even if the peer has a later one: the
+// calling node would not notice the end of another connection and wait in vain.
+func TestReplyUsesConnectionOfItsCall(t *testing.T) {
 	is := is.New(t)
-	c := start(t, nil)
+	c := startCluster(t, nil)
 	release := make(chan struct{})
 	file := c.Add("fieldlog", func(ctx context.Context, w *testnode.Work) testnode.Answer {
 		<-release
--- a/node/fuzz_test.go
+++ b/node/fuzz_test.go
@@ -18,13 +18,13 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// fuzzBound is the bound of all that a node holds for peers while it is fuzzed.
+// fuzzBound is the limit for each kind of item that the fuzzed node holds for peers.
 const fuzzBound = 32
 
-// fuzzed starts a node of the service fieldlog with small bounds.
-func fuzzed(f *testing.F) *testnode.Instance {
+// startFuzzedNode starts a node of the service fieldlog with the limits of fuzzBound.
+func startFuzzedNode(f *testing.F) *testnode.Instance {
 	cfg := testnode.DefaultConfig()
-	cfg.Graph = text
+	cfg.Graph = graphText
 	cfg.Change = func(cfg *node.Config) {
 		cfg.Serve.Queue.MaxItems = fuzzBound
 		cfg.Serve.Once.MaxSenders = fuzzBound
@@ -34,7 +34,7 @@
 		cfg.Serve.Once.MaxKeys = fuzzBound
 		cfg.Membership.MaxMembers = fuzzBound
 		cfg.Membership.ProbeInterval = time.Hour
-		// A level that a reply brings must not keep the next calls away.
+		// An admission level in a fuzzed reply must not reject the next calls.
 		cfg.Dispatch.Levels.Fresh = time.Millisecond
 		cfg.Dispatch.Levels.Decay = time.Millisecond
 	}
@@ -44,17 +44,17 @@
 	return i
 }
 
-// Identities in fuzzed messages that stand for the ends of the connection.
+// Placeholders in fuzzed messages for the IDs of both ends of the connection.
 var (
 	asNode = wire.NodeID{}
 	asPeer = wire.NodeID{1}
 )
 
-// FuzzFrames lets a peer send any frames in a row. The node goes on, holds no
-// more than it may, answers no attempt twice and none that was not made.
+// FuzzFrames sends sequences of arbitrary frames. The node keeps running and within
+// its limits, answers no call twice, and answers only calls that were made.
 func FuzzFrames(f *testing.F) {
-	i := fuzzed(f)
-	for _, msgs := range seeds(i.MintKey(f, "fieldlog", "file")) {
+	i := startFuzzedNode(f)
+	for _, msgs := range frameSeeds(i.MintKey(f, "fieldlog", "file")) {
 		var data []byte
 		for _, m := range msgs {
 			frame, err := wire.Encode(m.kind, m.msg)
@@ -66,26 +66,28 @@
 		}
 		f.Add(data)
 	}
-	h := &hostile{node: i}
+	h := &hostilePeer{node: i}
 	f.Cleanup(h.close)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		h.begin(t)
+		h.beginRound(t)
 		for len(data) > 2 {
 			n := min(int(binary.BigEndian.Uint16(data)), len(data)-2)
 			h.send(data[2 : 2+n])
 			data = data[2+n:]
 		}
-		h.settle(t)
+		h.checkReplies(t)
 		checkBounds(t, i.State(), fuzzBound)
 	})
 }
 
+// message is a message before it is encoded.
 type message struct {
 	kind wire.Kind
 	msg  any
 }
 
-func seeds(key string) [][]message {
+// frameSeeds returns the seed corpus of FuzzFrames: sequences of messages.
+func frameSeeds(key string) [][]message {
 	c := func(seq uint64, key string) message {
 		return message{wire.KindCall, call.Request{From: asPeer, Seq: seq, Service: "fieldlog", Operation: "file", RequestID: "r",
 			Budget: time.Second, Grant: 2, Key: key, Body: []byte("x"), Header: []call.Field{{Name: "A", Value: "b"}}}}
@@ -112,25 +114,27 @@
 	}
 }
 
-// hostile is the peer of a fuzzer. It keeps its connection as long as the node
-// does, up to a number of rounds, and knows which attempts it made.
-type hostile struct {
+// hostilePeer is the peer that sends fuzzed frames. It keeps its connection until the
+// node closes it, for at most maxRounds rounds.
+type hostilePeer struct {
 	node   *testnode.Instance
 	peer   *testnode.Peer
 	rounds int
-	made   map[uint64]int // attempts to answers
+	sent   map[uint64]int // number of replies by the sequence number of the call
 }
 
+// maxRounds is the number of rounds after which the connection is replaced.
 const maxRounds = 64
 
-func (h *hostile) close() {
+func (h *hostilePeer) close() {
 	if h.peer != nil {
 		h.peer.Close()
 		h.peer = nil
 	}
 }
 
-func (h *hostile) begin(t *testing.T) {
+// beginRound starts a round and opens a connection if there is none.
+func (h *hostilePeer) beginRound(t *testing.T) {
 	h.rounds++
 	if h.rounds%maxRounds == 0 {
 		h.close()
@@ -142,32 +146,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.peer, h.made = p, make(map[uint64]int)
+	h.peer, h.sent = p, make(map[uint64]int)
 }
 
-// send sends a frame after the stand-ins for identities are resolved and all
-// addresses lead nowhere: the node dials what peers tell it.
-func (h *hostile) send(data []byte) {
+// send replaces the placeholders in a frame and sends it. It replaces all addresses
+// with an unreachable one, since the node dials the addresses that peers send.
+func (h *hostilePeer) send(data []byte) {
 	f, err := wire.Decode(data)
 	if err != nil {
-		return // FuzzDecode covers what is no frame
+		return // FuzzDecode covers data that is no frame
 	}
 	switch f.Kind {
 	case wire.KindCall:
 		rewrite(&f, func(m *call.Request) {
-			h.ends(&m.From, &m.To)
-			h.made[m.Seq] += 0
+			h.replaceIDs(&m.From, &m.To)
+			h.sent[m.Seq] += 0
 		})
 	case wire.KindCancel:
-		rewrite(&f, func(m *call.Cancel) { h.ends(&m.From, &m.To) })
+		rewrite(&f, func(m *call.Cancel) { h.replaceIDs(&m.From, &m.To) })
 	case wire.KindReply:
-		rewrite(&f, func(m *call.Reply) { h.ends(&m.From, &m.To) })
+		rewrite(&f, func(m *call.Reply) { h.replaceIDs(&m.From, &m.To) })
 	case wire.KindMembership:
-		rewrite(&f, h.members)
+		rewrite(&f, h.rewriteMembership)
 	}
 	_ = h.peer.Send(f.Kind, f.Body)
 }
 
+// rewrite changes the body of a frame, if it can be decoded.
 func rewrite[M any](f *wire.Frame, change func(*M)) {
 	var m M
 	if wire.Unmarshal(f.Body, &m) != nil {
@@ -179,7 +184,8 @@
 	}
 }
 
-func (h *hostile) ends(ids ...*wire.NodeID) {
+// replaceIDs replaces placeholders with the IDs of both ends.
+func (h *hostilePeer) replaceIDs(ids ...*wire.NodeID) {
 	for _, id := range ids {
 		switch *id {
 		case asNode:
@@ -190,47 +196,48 @@
 	}
 }
 
-func (h *hostile) members(m *membership.Message) {
+// rewriteMembership replaces the placeholders and addresses in a membership message.
+func (h *hostilePeer) rewriteMembership(m *membership.Message) {
 	for i := range m.Records {
-		h.ends(&m.Records[i].ID)
+		h.replaceIDs(&m.Records[i].ID)
 		if m.Records[i].PeerAddr != "" {
 			m.Records[i].PeerAddr = testnode.Nowhere
 		}
 	}
 	for i := range m.Changes {
-		h.ends(&m.Changes[i].ID)
+		h.replaceIDs(&m.Changes[i].ID)
 	}
 	for i := range m.Want {
-		h.ends(&m.Want[i])
+		h.replaceIDs(&m.Want[i])
 	}
 	if m.Probe != nil && m.Probe.Addr != "" {
 		m.Probe.Addr = testnode.Nowhere
 	}
 }
 
-// settle waits until the node has handled what was sent, or hung up.
-func (h *hostile) settle(t *testing.T) {
+// checkReplies waits until the node has handled what was sent or has closed the connection,
+// and checks that each reply belongs to a call without one.
+func (h *hostilePeer) checkReplies(t *testing.T) {
 	err := h.peer.SyncTaking(func(f wire.Frame) {
 		var r call.Reply
 		if f.Kind != wire.KindReply || wire.Unmarshal(f.Body, &r) != nil {
 			return
 		}
-		answers, made := h.made[r.Seq]
-		if !made || answers > 0 || r.To != h.peer.ID {
-			t.Fatalf("answer %d to an attempt (made: %v): %+v", answers+1, made, r)
+		answers, sent := h.sent[r.Seq]
+		if !sent || answers > 0 || r.To != h.peer.ID {
+			t.Fatalf("reply %d to a call (sent: %v): %+v", answers+1, sent, r)
 		}
-		h.made[r.Seq]++
+		h.sent[r.Seq]++
 	})
 	if err != nil {
 		h.close()
 	}
 }
 
-// FuzzReply lets the node that was asked answer a call with anything. The
-// caller gets one whole answer with a verdict; an answer that is good is the
-// one that was given.
+// FuzzReply answers calls with arbitrary replies. The caller gets one complete answer
+// with a verdict, and the body of a successful reply unchanged.
 func FuzzReply(f *testing.F) {
-	i := fuzzed(f)
+	i := startFuzzedNode(f)
 	for _, r := range []call.Reply{
 		{Verdict: verdict.Ran, Status: 200, Body: []byte("x"), Header: []call.Field{{Name: "A", Value: "b"}, {Name: "Content-Length", Value: "9"}}},
 		{Verdict: verdict.Ran, Status: 204, Body: []byte("x"), Unused: 1 << 31, Levels: []call.Level{{Service: "stationlog", Priority: 1}}},
@@ -245,27 +252,27 @@
 		}
 		f.Add(body)
 	}
-	h := &callee{node: i, id: wire.NewNodeID()}
+	h := &fakeCallee{node: i, id: wire.NewNodeID()}
 	f.Cleanup(h.close)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		var reply call.Reply
-		// What is no reply ends the connection, and with one for each of
-		// them a fuzzer runs out of ports.
+		// Data that is no reply ends the connection. It is not sent, since a new
+		// connection for each input would use up the ports.
 		if wire.Unmarshal(body, &reply) == nil {
 			h.round(t, reply)
 		}
 	})
 }
 
-// callee is a peer that is taken for the one node of the service stationlog.
-type callee struct {
+// fakeCallee is a peer that joins as the only node of the service stationlog.
+type fakeCallee struct {
 	node  *testnode.Instance
 	id    wire.NodeID
 	peer  *testnode.Peer
 	calls chan call.Request // closed with the connection
 }
 
-func (h *callee) close() {
+func (h *fakeCallee) close() {
 	if h.peer != nil {
 		h.peer.Close()
 		for range h.calls {
@@ -273,8 +280,8 @@
 	}
 }
 
-// connect opens the connection.
-func (h *callee) connect(t *testing.T) {
+// connect opens the connection and starts to receive calls.
+func (h *fakeCallee) connect(t *testing.T) {
 	p, err := h.node.Connect(h.id)
 	if err == nil {
 		err = p.Join("stationlog")
@@ -299,7 +306,9 @@
 	}()
 }
 
-func (h *callee) round(t *testing.T, reply call.Reply) {
+// round sends one request through the node, answers its calls with reply and checks
+// the caller's answer.
+func (h *fakeCallee) round(t *testing.T, reply call.Reply) {
 	if h.peer == nil {
 		h.connect(t)
 	}
@@ -313,24 +322,24 @@
 	a, answered := h.serve(answer, reply)
 	v := a.Header.Get(headers.Verdict)
 	if !answered || v == "" || verdict.Parse(v).String() != v {
-		t.Fatalf("no whole answer with a verdict: %v", a)
+		t.Fatalf("no complete answer with a verdict: %v", a)
 	}
-	if reply.Reason == verdict.None && a.Status == reply.Status && !bytes.Equal(a.Body, visible(reply)) {
-		t.Fatalf("%+v came as %v", reply, a)
+	if reply.Reason == verdict.None && a.Status == reply.Status && !bytes.Equal(a.Body, visibleBody(reply)) {
+		t.Fatalf("reply %+v arrived as %v", reply, a)
 	}
 	checkBounds(t, h.node.State(), fuzzBound)
 }
 
-// visible is the body that HTTP allows with the status.
-func visible(r call.Reply) []byte {
+// visibleBody returns the body that HTTP allows with the status of the reply.
+func visibleBody(r call.Reply) []byte {
 	if r.Status == http.StatusNoContent || r.Status == http.StatusNotModified {
 		return nil
 	}
 	return r.Body
 }
 
-// serve answers the calls that the node makes until its caller is answered.
-func (h *callee) serve(answer <-chan testnode.Answer, reply call.Reply) (testnode.Answer, bool) {
+// serve answers the calls that the node makes until the caller has its answer.
+func (h *fakeCallee) serve(answer <-chan testnode.Answer, reply call.Reply) (testnode.Answer, bool) {
 	if reply.BoundTo == asPeer {
 		reply.BoundTo = h.id
 	}
@@ -344,7 +353,7 @@
 				continue
 			}
 			reply.From, reply.To, reply.Seq = h.id, req.From, req.Seq
-			_ = h.peer.Send(wire.KindReply, reply) // the node may hang up
+			_ = h.peer.Send(wire.KindReply, reply) // fails if the node has closed the connection
 		}
 	}
 }
--- a/node/hostile_test.go
+++ b/node/hostile_test.go
@@ -16,7 +16,7 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// request is a call as a node sends it.
+// request returns a call from a peer to a node.
 func request(from *testnode.Peer, to *testnode.Instance, seq uint64, body string) call.Request {
 	return call.Request{
 		From: from.ID, Seq: seq, To: to.Node.ID(),
@@ -25,12 +25,11 @@
 	}
 }
 
-// A peer answers calls that it was never asked, in its own name and in that of
-// the node that was asked, while a request is under way. The caller gets the
-// answer of its backend server.
+// A peer sends replies to calls that another node has received, under its own ID and
+// under that node's. The caller still gets the reply of its backend server.
 func TestForgedRepliesReachNoCaller(t *testing.T) {
 	is := is.New(t)
-	c := start(t, nil)
+	c := startCluster(t, nil)
 	release := make(chan struct{})
 	desk := c.Add("alertdesk", testnode.Echo)
 	file := c.Add("fieldlog", func(_ context.Context, w *testnode.Work) testnode.Answer {
@@ -57,11 +56,11 @@
 	is.Equal(desk.State().Dispatch.Counts.Unmatched, uint64(2*guesses))
 }
 
-// A peer sends calls and cancels in another node's name, a forged key, a call
-// that is not for this node, and one copy of a call after another.
+// A call under another node's ID, for another node or with a forged key does not
+// run, and a copied call runs once.
 func TestForgedCallsDoNotRun(t *testing.T) {
 	is := is.New(t)
-	c := start(t, nil)
+	c := startCluster(t, nil)
 	file := c.Add("fieldlog", testnode.Echo)
 	c.AwaitWhole()
 	p := file.Dial(t, wire.NewNodeID())
@@ -70,11 +69,11 @@
 	forged.From = wire.NewNodeID()
 	is.NoErr(p.Send(wire.KindCall, forged))
 	is.NoErr(p.Send(wire.KindCancel, call.Cancel{From: forged.From, Seq: 2, To: forged.To}))
-	astray := request(p, file, 3, "forged")
-	astray.To = wire.NewNodeID()
-	is.NoErr(p.Send(wire.KindCall, astray))
+	misdirected := request(p, file, 3, "forged")
+	misdirected.To = wire.NewNodeID()
+	is.NoErr(p.Send(wire.KindCall, misdirected))
 	is.NoErr(p.Sync())
-	is.Equal(file.State().Serve.Senders.Windows, 0) // nobody's numbers are used up
+	is.Equal(file.State().Serve.Senders.Windows, 0) // no sender's sequence numbers are used up
 
 	keyed := request(p, file, 4, "forged")
 	key := file.MintKey(t, "fieldlog", "file")
@@ -95,11 +94,11 @@
 	is.Equal(file.State().Serve.Counts.Duplicates, uint64(2))
 }
 
-// What cannot be a message ends the connection that it came by. A kind of a
-// later release is passed over. Others are served all the while.
+// A malformed frame ends its connection alone. Frames of an unknown kind are
+// ignored, since a later release may send them.
 func TestMalformedFramesEndTheConnection(t *testing.T) {
 	is := is.New(t)
-	c := start(t, nil)
+	c := startCluster(t, nil)
 	file := c.Add("fieldlog", testnode.Echo)
 	c.AwaitWhole()
 	raw := func(kind wire.Kind, body ...byte) []byte { return append([]byte{0x82, byte(kind)}, body...) }
@@ -120,25 +119,24 @@
 	} {
 		p := file.Dial(t, wire.NewNodeID())
 		if err := p.SendRaw(data); err == nil && p.Sync() == nil {
-			t.Errorf("%s: the connection goes on", name)
+			t.Errorf("%s: the connection is still open", name)
 		}
 		p.Close()
 	}
 	p := file.Dial(t, wire.NewNodeID())
-	is.NoErr(p.Send(wire.KindHello, 1)) // passed over, as what is not expected
-	is.NoErr(p.Send(wire.Kind(99), 1))  // of a later release
+	is.NoErr(p.Send(wire.KindHello, 1)) // ignored: not expected here
+	is.NoErr(p.Send(wire.Kind(99), 1))  // ignored: of a later release
 	is.NoErr(p.Sync())
 	is.Equal(file.Must(t, "fieldlog", "file", "x").Verdict(), verdict.Ran)
-	is.Equal(file.State().Serve.Senders.Windows, 1) // the node's own call alone
+	is.Equal(file.State().Serve.Senders.Windows, 1) // only that of the node's own call
 }
 
-// A peer floods a node with calls, senders, keys and members, and reads none
-// of the answers. What the node holds stays within its bounds, and it serves
-// others afterwards.
+// A peer that floods a node with calls, senders, keys and members and reads no
+// reply does not exceed the node's bounds, and other callers are still served.
 func TestFloodIsBounded(t *testing.T) {
 	is := is.New(t)
 	const bound = 16
-	c := start(t, func(cfg *node.Config) {
+	c := startCluster(t, func(cfg *node.Config) {
 		cfg.Serve.Queue.MaxItems = bound
 		cfg.Serve.Once.MaxSenders = bound
 		cfg.Serve.Once.MaxFloors = 16 * bound // one for every sender
@@ -189,7 +187,7 @@
 	})
 }
 
-// checkBounds fails the test if the node holds more than it may.
+// checkBounds fails the test if the node holds more than bound items of a kind.
 func checkBounds(t testing.TB, s node.State, bound int) {
 	t.Helper()
 	members := 0
--- a/node/keys_test.go
+++ b/node/keys_test.go
@@ -22,7 +22,7 @@
 }
 
 func startKeyed(t *testing.T) *keyed {
-	k := &keyed{cluster: start(t, nil), release: make(chan struct{})}
+	k := &keyed{cluster: startCluster(t, nil), release: make(chan struct{})}
 	for i := range k.desks {
 		k.desks[i] = k.Add("alertdesk", testnode.Echo)
 		k.files[i] = k.Add("fieldlog", func(ctx context.Context, w *testnode.Work) testnode.Answer {
--- a/node/late_test.go
+++ b/node/late_test.go
@@ -19,7 +19,7 @@
 // was read, and took a slot from the second.
 func TestHeldUpCallWaitsForItsCancel(t *testing.T) {
 	is := is.New(t)
-	c := start(t, func(cfg *node.Config) { cfg.LateCallWait = 2 * time.Second })
+	c := startCluster(t, func(cfg *node.Config) { cfg.LateCallWait = 2 * time.Second })
 	n := c.Add("fieldlog", testnode.Echo)
 	c.AwaitWhole()
 	p := n.Dial(t, wire.NewNodeID())
--- a/node/levels_test.go
+++ b/node/levels_test.go
@@ -22,7 +22,7 @@
 // word than it was told.
 func TestLevelsArePassedOn(t *testing.T) {
 	is := is.New(t)
-	c := start(t, func(cfg *node.Config) { cfg.Dispatch.News = admission.DefaultNewsConfig() })
+	c := startCluster(t, func(cfg *node.Config) { cfg.Dispatch.News = admission.DefaultNewsConfig() })
 	n := c.Add("fieldlog", testnode.Echo)
 	c.AwaitWhole()
 	from, to := n.Dial(t, wire.NewNodeID()), n.Dial(t, wire.NewNodeID())
--- a/node/loops.go
+++ b/node/loops.go
@@ -266,9 +266,9 @@
 
 func (n *Node) handleNotice(notice poison.Notice) {
 	n.server.mu.Lock()
-	onward := n.server.serve.Hear(time.Now(), notice)
+	toForward := n.server.serve.Hear(time.Now(), notice)
 	n.server.mu.Unlock()
-	for _, next := range onward {
+	for _, next := range toForward {
 		n.forwardNotice(next)
 	}
 }
--- a/node/main_test.go
+++ b/node/main_test.go
@@ -11,10 +11,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// text declares a request that fans out over two services and two hops. Its
-// deadlines are longer than any test waits: what ends does so for another
-// reason.
-const text = `
+// graphText declares an operation whose request fans out over two services and two
+// hops. Its deadlines are longer than any test: a request ends for other reasons.
+const graphText = `
 service "alertdesk" {
   operation "issue" {
     deadline = "60s"
@@ -43,11 +42,12 @@
   }
 }`
 
-// start returns a cluster with the graph in force and no nodes.
-func start(t *testing.T, change func(*node.Config)) *cluster {
+// startCluster returns a cluster with the graph published and no nodes. change, if not nil,
+// changes the configuration of each node.
+func startCluster(t *testing.T, change func(*node.Config)) *cluster {
 	t.Parallel()
 	cfg := testnode.DefaultConfig()
-	cfg.Graph = text
+	cfg.Graph = graphText
 	cfg.Change = change
 	return &cluster{Cluster: testnode.Start(t, cfg)}
 }
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -18,7 +18,7 @@
 // and no other.
 func TestMetricsAndTheirTableAgree(t *testing.T) {
 	is := is.New(t)
-	c := startRouted(t, nil)
+	c := startWithRoutes(t, nil)
 	a := c.Add("a", testnode.Echo)
 	a.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), "store")
 	forward(a, "a", "r", "")
--- a/node/routing_test.go
+++ b/node/routing_test.go
@@ -18,7 +18,7 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// routesText lists services that each serve /NAME/ of every test's one host.
+// routesText is a version of the routes: each service NAME serves testHost/NAME/.
 type routesText struct {
 	Version  uint64
 	Services []string
@@ -49,7 +49,9 @@
 	return routes.New(r.Version, list, routes.Limits{MaxHeaderBytes: 1, HeaderTimeout: 1, IdleTimeout: 1})
 }
 
-func startRouted(t *testing.T, change func(*node.Config)) *testnode.Cluster {
+// startWithRoutes starts a cluster of nodes that serve published routes. change, if not
+// nil, changes the configuration of each node.
+func startWithRoutes(t *testing.T, change func(*node.Config)) *testnode.Cluster {
 	cfg := testnode.DefaultConfig()
 	cfg.Change = func(c *node.Config) {
 		c.DecodeRoutes = decodeTestRoutes
@@ -61,7 +63,8 @@
 	return testnode.Start(t, cfg)
 }
 
-// forward sends a request to a service through a node.
+// forward sends a request to a service through a node. parent names the request that
+// it is a call of, empty for none.
 func forward(i *testnode.Instance, service, id, parent string) call.Outcome {
 	return i.Node.Forward(context.Background(), entry.Incoming{
 		RequestID: id,
@@ -71,9 +74,9 @@
 	}, "/"+service+"/x")
 }
 
-// onward calls another service and answers with its answer. The call's id names
-// the request that it is made for.
-func onward(i **testnode.Instance, service string) testnode.Script {
+// proxyCall calls another service through node i, with the running request as parent,
+// and responds with its answer.
+func proxyCall(i **testnode.Instance, service string) testnode.Script {
 	return func(_ context.Context, w *testnode.Work) testnode.Answer {
 		out := forward(*i, service, w.RequestID+".c", w.RequestID)
 		if out.Reason != verdict.None {
@@ -83,12 +86,11 @@
 	}
 }
 
-// One node reads new routes from the store, the others cannot reach it. They
-// serve them, too, since peers tell each other; an older version that comes
-// late, and a text that cannot be read, change nothing.
-func TestRoutesReachNodesThatTheStoreDoesNot(t *testing.T) {
+// Nodes that cannot reach the store get new routes from their peers. An older version
+// and a text that cannot be decoded are ignored.
+func TestRoutesSpreadWithoutTheStore(t *testing.T) {
 	is := is.New(t)
-	c := startRouted(t, nil)
+	c := startWithRoutes(t, nil)
 	a := c.Add("a", testnode.Echo)
 	first := routesText{Version: 3, Services: []string{"a"}}.encode(t)
 	a.Node.Publish(first, "store")
@@ -98,7 +100,7 @@
 
 	c.AwaitWhole()
 	b.Node.Publish(routesText{Version: 7, Services: []string{"a", "b"}}.encode(t), "store")
-	testnode.Await(t, "replies bring the news", func() bool {
+	testnode.Await(t, "replies announce the new version", func() bool {
 		forward(a, "a", "r", "")
 		forward(b, "a", "r", "")
 		forward(a, "b", "r", "")
@@ -111,16 +113,14 @@
 	is.Equal(forward(a, "nowhere", "r", "").Reason, verdict.UnknownOperation)
 }
 
-// A request enters at one service, which calls a second, which calls a third.
-// The node at the entry learns from the answer what the route leads to, with
-// nothing declared. A request that claims to be a call of one that does not run
-// here counts as entering here.
-func TestReachIsLearnedFromAnswers(t *testing.T) {
+// The entry node records the services that a route reaches from the replies. A request
+// whose parent does not run at the node counts as a caller's request.
+func TestReachIsRecordedFromReplies(t *testing.T) {
 	is := is.New(t)
-	c := startRouted(t, nil)
+	c := startWithRoutes(t, nil)
 	var top, middle *testnode.Instance
-	top = c.Add("top", onward(&top, "middle"))
-	middle = c.Add("middle", onward(&middle, "deep"))
+	top = c.Add("top", proxyCall(&top, "middle"))
+	middle = c.Add("middle", proxyCall(&middle, "deep"))
 	c.Add("deep", testnode.Echo)
 	c.AwaitWhole()
 	top.Node.Publish(routesText{Version: 1, Services: []string{"top", "middle", "deep"}}.encode(t), "store")
@@ -133,15 +133,14 @@
 		learned[strings.Fields(r.Route)[0]] = strings.Join(r.Services, " ")
 	}
 	is.Equal(learned["to-top"], "deep middle top")
-	is.Equal(learned["to-middle"], "") // its calls entered elsewhere
+	is.Equal(learned["to-middle"], "") // its requests entered at other nodes
 }
 
-// The backend server says that it is leaving. From the acknowledgement on it is
-// handed nothing, and a heartbeat that was held up on its way, from before or
-// of an earlier start, does not bring it back. The next start does.
-func TestLateHeartbeatsBringNothingBack(t *testing.T) {
+// A backend server that has announced its stop gets no requests, even if a delayed
+// heartbeat of it or of an earlier backend incarnation arrives. The next one does.
+func TestLateHeartbeatsReviveNoBackendServer(t *testing.T) {
 	is := is.New(t)
-	c := startRouted(t, nil)
+	c := startWithRoutes(t, nil)
 	a := c.Add("a", testnode.Echo)
 	a.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), "store")
 	beat := func(instance string, sequence uint64, leaving bool) {
@@ -150,14 +149,14 @@
 	serves := func() bool { return forward(a, "a", "r", "").Verdict == verdict.Ran }
 
 	beat("one", 5, false)
-	testnode.Await(t, "it serves", serves)
+	testnode.Await(t, "the first backend incarnation serves", serves)
 	beat("one", 6, true)
 	is.True(!serves())
 	beat("one", 4, false)
 	beat("one", 7, false)
 	is.True(!serves())
 	beat("two", 1, false)
-	testnode.Await(t, "the next start serves", serves)
+	testnode.Await(t, "the next backend incarnation serves", serves)
 	beat("one", 9, false)
 	is.Equal(a.State().Backend.Boot, "two")
 	a.Node.BackendLeaves(node.Start{ID: "two"})
@@ -166,12 +165,11 @@
 	is.Equal(a.Counters.LateBeats.Value(), int64(4))
 }
 
-// The backend server crashes and starts again under its id; its sequence begins
-// anew. It is in use from its first heartbeat on. A heartbeat and the last word of
-// the start before, held up on their way, change nothing.
-func TestBackendServerStartsAgainUnderItsID(t *testing.T) {
+// A backend server that restarts with the same ID is in use from its first heartbeat.
+// Delayed messages of the previous backend incarnation change nothing.
+func TestBackendServerRestartsWithSameID(t *testing.T) {
 	is := is.New(t)
-	c := startRouted(t, nil)
+	c := startWithRoutes(t, nil)
 	a := c.Add("a", testnode.Echo)
 	a.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), "store")
 	start := func(born int64) node.Start { return node.Start{ID: "x", Born: born} }
@@ -181,9 +179,9 @@
 	serves := func() bool { return forward(a, "a", "r", "").Verdict == verdict.Ran }
 
 	beat(1000, 5)
-	testnode.Await(t, "it serves", serves)
+	testnode.Await(t, "the first backend incarnation serves", serves)
 	beat(2000, 1)
-	testnode.Await(t, "the next start serves", serves)
+	testnode.Await(t, "the next backend incarnation serves", serves)
 	beat(1000, 6)
 	a.Node.BackendLeaves(start(1000))
 	is.True(serves())
@@ -193,30 +191,28 @@
 	is.True(!serves())
 }
 
-// A node that is leaving takes requests for a while, since their callers have
-// not heard that it is not ready; what comes later is refused with a promise.
-func TestLeavingNodeTakesRequestsForAWhile(t *testing.T) {
+// A draining node accepts requests for EnterGrace, since callers may not know yet that
+// it is not ready. Later requests are refused as not run.
+func TestDrainingNodeAcceptsRequestsDuringEnterGrace(t *testing.T) {
 	is := is.New(t)
-	c := startRouted(t, func(cfg *node.Config) { cfg.EnterGrace = 200 * time.Millisecond })
+	c := startWithRoutes(t, func(cfg *node.Config) { cfg.EnterGrace = 200 * time.Millisecond })
 	a, b := c.Add("a", testnode.Echo), c.Add("b", testnode.Echo)
 	c.AwaitWhole()
 	a.Node.Publish(routesText{Version: 1, Services: []string{"b"}}.encode(t), "store")
 	a.Node.Drain()
 	is.Equal(forward(a, "b", "r1", "").Verdict, verdict.Ran)
-	testnode.Await(t, "it is closed", func() bool {
+	testnode.Await(t, "the node refuses requests", func() bool {
 		out := forward(a, "b", "r2", "")
 		return out.Verdict == verdict.NotRun && out.Reason == verdict.Draining
 	})
 	is.True(b.Backend != nil)
 }
 
-// The answers of one backend server are lost: it runs what it gets and nothing
-// comes back. An idempotent request is asked of the other one as well after a
-// few times the usual wait, and its caller gets that answer long before the
-// deadline. A request that is not idempotent is never run twice.
+// An idempotent request whose backend server does not answer is hedged: another
+// backend server runs it as well, and the caller gets that answer before the deadline.
 func TestSilentBackendServerIsHedged(t *testing.T) {
 	is := is.New(t)
-	c := startRouted(t, func(cfg *node.Config) { cfg.Dispatch.Hedge = true })
+	c := startWithRoutes(t, func(cfg *node.Config) { cfg.Dispatch.Hedge = true })
 	release := make(chan struct{})
 	defer close(release)
 	lossy := func(ctx context.Context, w *testnode.Work) testnode.Answer {
@@ -242,12 +238,11 @@
 	is.True(entering.State().Dispatch.Counts.Hedges > 0)
 }
 
-// A node is restarted alone; its backend server runs all the while and beats
-// only every second or so. Asked at the start, it is in use at once. What it said
-// is not taken once a heartbeat has come, nor for a start that has said it leaves.
-func TestBackendServerIsFoundBeforeItsHeartbeat(t *testing.T) {
+// A node that restarts uses a running backend server before its first heartbeat. A state
+// found that way does not replace a heartbeat or revive a backend incarnation that left.
+func TestBackendServerIsInUseBeforeItsFirstHeartbeat(t *testing.T) {
 	is := is.New(t)
-	c := startRouted(t, nil)
+	c := startWithRoutes(t, nil)
 	a := c.Add("a", nil)
 	url := c.Add("b", testnode.Echo).Backend.URL
 	a.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), "store")
@@ -258,21 +253,20 @@
 	found("gone")
 	is.True(forward(a, "a", "r", "").Verdict == verdict.NotRun)
 	found("one")
-	testnode.Await(t, "it serves", func() bool { return forward(a, "a", "r", "").Verdict == verdict.Ran })
+	testnode.Await(t, "the backend server is in use", func() bool { return forward(a, "a", "r", "").Verdict == verdict.Ran })
 	a.Node.Beat(time.Now(), node.Heartbeat{Start: node.Start{ID: "one"}, URL: url, Slots: 4}) // the first, with sequence 0
 	is.Equal(a.Counters.LateBeats.Value(), int64(0))
 	found("two")
 	is.Equal(a.State().Backend.Boot, "one")
 }
 
-// The one backend server of a service changes hands while a request under way
-// needs it. The call waits for the next one; a request that enters does not,
-// and hears when to come back.
+// A call of a running request waits for a backend server of the called service. A
+// caller's request is refused with a Retry-After instead.
 func TestCallUnderWayWaitsForABackendServer(t *testing.T) {
 	is := is.New(t)
-	c := startRouted(t, nil)
+	c := startWithRoutes(t, nil)
 	var top *testnode.Instance
-	top = c.Add("top", onward(&top, "deep"))
+	top = c.Add("top", proxyCall(&top, "deep"))
 	top.Node.Publish(routesText{Version: 1, Services: []string{"top", "deep"}}.encode(t), "store")
 	testnode.Await(t, "the top is in use", func() bool { return forward(top, "top", "r", "").Verdict == verdict.Ran || top.State().Backend.Ready })
 
@@ -286,12 +280,11 @@
 	is.Equal((<-out).Status, 200)
 }
 
-// A planned stop leads the callers away first: the node is not ready, but its
-// backend server goes on working for the other nodes until shortly before the
-// end, so that its capacity is missing for a moment only.
+// During DrainAfter of a planned stop the node is not ready for callers, but its
+// backend server still runs requests of other nodes.
 func TestPlannedStopKeepsTheBackendServerInUse(t *testing.T) {
 	is := is.New(t)
-	c := startRouted(t, func(cfg *node.Config) { cfg.DrainAfter = 300 * time.Millisecond })
+	c := startWithRoutes(t, func(cfg *node.Config) { cfg.DrainAfter = 300 * time.Millisecond })
 	a, b := c.Add("a", testnode.Echo), c.Add("b", testnode.Echo)
 	c.AwaitWhole()
 	a.Node.Publish(routesText{Version: 1, Services: []string{"b"}}.encode(t), "store")
@@ -299,16 +292,15 @@
 	ready, _ := b.Node.Ready()
 	is.True(!ready)
 	is.Equal(forward(a, "b", "r1", "").Verdict, verdict.Ran)
-	testnode.Await(t, "the others know", func() bool { return forward(a, "b", "r2", "").Reason == verdict.NoBackend })
+	testnode.Await(t, "the other node knows of the drain", func() bool { return forward(a, "b", "r2", "").Reason == verdict.NoBackend })
 	is.NoErr(b.Node.Wait(t.Context()))
 }
 
-// A request is cancelled while its backend server waits for a call. The node
-// does not answer the call in the callee's place: the backend server may go on
-// without its caller, and gets the answer.
+// The cancellation of a request does not end a call that its backend server has made:
+// a backend server that continues gets the callee's answer.
 func TestCallOutlivesItsCancelledRequest(t *testing.T) {
 	is := is.New(t)
-	c := startRouted(t, nil)
+	c := startWithRoutes(t, nil)
 	var top *testnode.Instance
 	got := make(chan call.Outcome, 1)
 	top = c.Add("top", func(_ context.Context, w *testnode.Work) testnode.Answer {
@@ -324,27 +316,26 @@
 	top.Node.Publish(routesText{Version: 1, Services: []string{"top", "deep"}}.encode(t), "store")
 
 	ctx, cancel := context.WithCancel(t.Context())
-	gone := make(chan call.Outcome, 1)
+	cancelled := make(chan call.Outcome, 1)
 	go func() {
-		gone <- top.Node.Forward(ctx, entry.Incoming{
+		cancelled <- top.Node.Forward(ctx, entry.Incoming{
 			RequestID: "r", Received: time.Now(),
 			HTTP: call.HTTP{Method: "GET", Host: testHost, Target: "/top/x"},
 		}, "/top/x")
 	}()
 	testnode.Await(t, "the call runs", func() bool { return deep.State().Serve.Running == 1 })
 	cancel()
-	is.Equal((<-gone).Reason, verdict.Canceled)
-	testnode.Await(t, "the backend server was told", func() bool { return top.State().Serve.Running == 0 })
+	is.Equal((<-cancelled).Reason, verdict.Canceled)
+	testnode.Await(t, "the request is cancelled", func() bool { return top.State().Serve.Running == 0 })
 	close(release)
 	is.Equal(string((<-got).Body), "whole")
 }
 
-// Of six nodes of the only data centre five read the store often. What one of them
-// reads is in force at all, without a request between them; the sixth keeps what
-// it reads to itself, since the readers have it, too.
-func TestReadersTellTheOthers(t *testing.T) {
+// Five of six nodes of the only data centre are readers. Routes that one of them reads
+// from the store come into force at all nodes without any request between them.
+func TestReadersPublishToOtherNodes(t *testing.T) {
 	is := is.New(t)
-	c := startRouted(t, nil)
+	c := startWithRoutes(t, nil)
 	var nodes []*testnode.Instance
 	for range 6 {
 		nodes = append(nodes, c.Add("a", testnode.Echo))
--- a/node/scripts_test.go
+++ b/node/scripts_test.go
@@ -10,23 +10,23 @@
 	"github.com/cassialoom/cassialoom/internal/testnode"
 )
 
-// named answers with its name before the body.
-func named(name string) testnode.Script {
+// prefixBody responds with the request's body after a name and a colon.
+func prefixBody(name string) testnode.Script {
 	return func(_ context.Context, w *testnode.Work) testnode.Answer {
 		return testnode.OK(append([]byte(name+":"), w.Body...))
 	}
 }
 
-// timed notes the time that the request has left.
-func timed(budget *time.Duration, next testnode.Script) testnode.Script {
+// recordBudget stores the remaining time of the request in budget before it calls next.
+func recordBudget(budget *time.Duration, next testnode.Script) testnode.Script {
 	return func(ctx context.Context, w *testnode.Work) testnode.Answer {
 		*budget = w.Budget
 		return next(ctx, w)
 	}
 }
 
-// through answers with the answer of another service.
-func through(service, operation string) testnode.Script {
+// proxyTo responds with the answer of another service.
+func proxyTo(service, operation string) testnode.Script {
 	return func(ctx context.Context, w *testnode.Work) testnode.Answer {
 		a, err := w.Call(ctx, service, operation, w.Body)
 		if err != nil {
@@ -36,9 +36,9 @@
 	}
 }
 
-// both answers with the answers of its two calls, which run beside each other.
-func both(ctx context.Context, w *testnode.Work) testnode.Answer {
-	calls := []testnode.Script{through("plumecast", "forecast"), through("fieldlog", "file")}
+// fanOut makes two calls concurrently and responds with both answers.
+func fanOut(ctx context.Context, w *testnode.Work) testnode.Answer {
+	calls := []testnode.Script{proxyTo("plumecast", "forecast"), proxyTo("fieldlog", "file")}
 	answers := make([]chan testnode.Answer, len(calls))
 	for i, call := range calls {
 		answers[i] = make(chan testnode.Answer, 1)
@@ -51,33 +51,33 @@
 	return testnode.OK(bytes.Join(bodies, []byte(" ")))
 }
 
-// wait works until nobody waits for the answer.
-func wait(ctx context.Context, _ *testnode.Work) testnode.Answer {
+// waitForCancel blocks until the request is cancelled.
+func waitForCancel(ctx context.Context, _ *testnode.Work) testnode.Answer {
 	<-ctx.Done()
 	return testnode.OK(nil)
 }
 
-// then does one thing after the other and gives the second one's answer.
-func then(first, second testnode.Script) testnode.Script {
+// inSequence runs two scripts in sequence and returns the second one's answer.
+func inSequence(first, second testnode.Script) testnode.Script {
 	return func(ctx context.Context, w *testnode.Work) testnode.Answer {
 		first(ctx, w)
 		return second(ctx, w)
 	}
 }
 
-// branches is the number of backend servers that one request runs at.
+// branches is the number of backend servers at which one request of issue runs.
 const branches = 4
 
-// cluster has an instance of every service and an entry node of its own.
+// cluster is a testnode.Cluster with the nodes that startHolding adds.
 type cluster struct {
 	*testnode.Cluster
 	entry *testnode.Instance
 	nodes []*testnode.Instance
 }
 
-// hold adds instances that work on a request until nobody waits for it. The
-// number of backend servers at work is returned.
-func (c *cluster) hold(t *testing.T) (running func() int64) {
+// startHolding adds an entry node and an instance of every service, which run a request
+// until it is cancelled. running returns the number of backend servers at work.
+func (c *cluster) startHolding(t *testing.T) (running func() int64) {
 	var n atomic.Int64
 	counted := func(next testnode.Script) testnode.Script {
 		return func(ctx context.Context, w *testnode.Work) testnode.Answer {
@@ -89,16 +89,16 @@
 	c.entry = c.Add("alertdesk", nil)
 	c.nodes = []*testnode.Instance{
 		c.entry,
-		c.Add("alertdesk", counted(then(both, wait))),
-		c.Add("plumecast", counted(through("stationlog", "history"))),
-		c.Add("fieldlog", counted(wait)),
-		c.Add("stationlog", counted(wait)),
+		c.Add("alertdesk", counted(inSequence(fanOut, waitForCancel))),
+		c.Add("plumecast", counted(proxyTo("stationlog", "history"))),
+		c.Add("fieldlog", counted(waitForCancel)),
+		c.Add("stationlog", counted(waitForCancel)),
 	}
 	c.AwaitWhole()
 	return n.Load
 }
 
-// idle reports whether no node holds anything of a request.
+// idle reports whether no node holds any state of a request.
 func (c *cluster) idle() bool {
 	for _, i := range c.nodes {
 		s := i.State()
--- a/node/server.go
+++ b/node/server.go
@@ -67,9 +67,9 @@
 func (s *server) do(f func(*serve.Server) serve.Effects) (serve.Effects, []*run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	waited := s.serve.Waiting()
+	hadWaiting := s.serve.Waiting()
 	e := f(s.serve)
-	if !waited && s.serve.Waiting() {
+	if !hadWaiting && s.serve.Waiting() {
 		select {
 		case s.taskWaiting <- struct{}{}:
 		default: // already signalled
