--- a/node/calls_test.go
+++ b/node/calls_test.go
@@ -40,7 +40,7 @@
 }
 
 // Each caller gets its own answer when the backend server answers concurrent
-// requests on one connection in reverse order.
+// requests between the same two nodes in reverse order.
 func TestAnswersOutOfOrderReachTheirCallers(t *testing.T) {
 	is := is.New(t)
 	const requests = 48
--- a/node/entry.go
+++ b/node/entry.go
@@ -29,6 +29,7 @@
 	return out
 }
 
+// enter makes the call for a caller's request.
 func (n *Node) enter(ctx context.Context, in entry.Incoming) call.Outcome {
 	if n.draining.Load() {
 		return call.Failed(verdict.Refuse(verdict.Draining, "this node is leaving; use another").After(refuseRetryAfter))
@@ -51,6 +52,7 @@
 	return n.dispatch.Call(ctx, p)
 }
 
+// lookup returns an operation of the graph in force.
 func (n *Node) lookup(service, operation string) (*graph.Operation, *verdict.Error) {
 	g := n.graph.graph()
 	if g == nil {
--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -264,7 +264,7 @@
 }
 
 // A reply uses the connection of its call even if the peer has a later one: the
-// calling node would not notice the end of another connection and wait in vain.
+// calling node would not notice the end of another connection and wait for nothing.
 func TestReplyUsesConnectionOfItsCall(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, nil)
--- a/node/forward.go
+++ b/node/forward.go
@@ -51,6 +51,7 @@
 	n.counts.Latencies.Observe(p.Operation.Name, ops.HopAdded, whole-out.RanFor)
 }
 
+// forward finds the route of a request and makes the call along it.
 func (n *Node) forward(ctx context.Context, in entry.Incoming, path string) call.Outcome {
 	if n.closedToCallers(time.Now()) {
 		return call.Failed(verdict.Refuse(verdict.Draining, "this node is leaving").After(refuseRetryAfter))
--- a/node/hostile_test.go
+++ b/node/hostile_test.go
@@ -102,8 +102,8 @@
 	file := c.Add("fieldlog", testnode.Echo)
 	c.AwaitWhole()
 	raw := func(kind wire.Kind, body ...byte) []byte { return append([]byte{0x82, byte(kind)}, body...) }
-	unknown := func(value []byte) []byte { return append([]byte{0xa1, 0x18, 99}, value...) } // in a field of a later release
-	deep := bytes.Repeat([]byte{0x81}, 1000)                                                 // arrays of one
+	unknown := func(value []byte) []byte { return append([]byte{0xa1, 0x18, 99}, value...) } // in an unknown field
+	deep := bytes.Repeat([]byte{0x81}, 1000)                                                 // nested one-element arrays
 	deep = append(deep, 0x01)
 	huge := append([]byte{0x9a, 0x00, 0x02, 0x00, 0x00}, make([]byte, 1<<17)...) // an array of 2^17
 	oversized, err := wire.Encode(wire.KindReply, call.Reply{Body: make([]byte, wire.MaxMessageBytes)})
--- a/node/loops.go
+++ b/node/loops.go
@@ -53,12 +53,15 @@
 	}
 }
 
+// tickServer expires waiting tasks and checks that the backend server still sends
+// heartbeats.
 func (n *Node) tickServer(now time.Time) {
 	n.serve(func(now time.Time, s *serve.Server) serve.Effects { return s.Tick(now) })
 	n.checkSilence(now)
 	n.tickPressure(now)
 }
 
+// tickMembers runs the periodic work of the membership and passes the member list on.
 func (n *Node) tickMembers(now time.Time) {
 	n.sendMembership(n.members.send(func(m *membership.Members) []membership.Send { return m.Tick(now) }))
 	if !n.cfg.Directory {
@@ -92,6 +95,8 @@
 	}
 }
 
+// tickMemberLog reads the membership stream of the log and announces this node there,
+// when either is due.
 func (n *Node) tickMemberLog(now time.Time) {
 	n.members.with(func(m *membership.Members) {
 		if from, limit, ok := m.WantLog(now); ok {
@@ -116,6 +121,7 @@
 	n.members.with(func(m *membership.Members) { m.LogPage(now, page) })
 }
 
+// announce appends this node's record to the membership stream.
 func (n *Node) announce(data []byte) {
 	if n.append(membership.Stream, data) != nil {
 		now := time.Now()
@@ -123,6 +129,7 @@
 	}
 }
 
+// append appends an entry to a stream of the log and counts failures.
 func (n *Node) append(stream string, data []byte) error {
 	ctx, cancel := n.logContext()
 	defer cancel()
@@ -134,6 +141,7 @@
 	return err
 }
 
+// logContext returns a context for one operation of the log.
 func (n *Node) logContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(n.ctx, n.cfg.LogTimeout)
 }
@@ -153,6 +161,7 @@
 	}
 }
 
+// tickConfig runs the periodic work of the configuration spread.
 func (n *Node) tickConfig(now time.Time) {
 	version := n.members.version()
 	peers := n.members.configPeers()
@@ -212,6 +221,7 @@
 // that callers chose themselves, for the service of this node.
 func (n *Node) bindStream() string { return "bind." + n.cfg.Service }
 
+// tickBindings writes and reads bindings in the log, when either is due.
 func (n *Node) tickBindings(now time.Time) {
 	n.server.mu.Lock()
 	data, write := n.server.serve.WantBindings(now)
@@ -264,6 +274,7 @@
 	}
 }
 
+// handleNotice receives another node's notice about suspects.
 func (n *Node) handleNotice(notice poison.Notice) {
 	n.server.mu.Lock()
 	toForward := n.server.serve.Hear(time.Now(), notice)
--- a/node/node.go
+++ b/node/node.go
@@ -48,7 +48,7 @@
 	CallerAddr string
 	// Seeds are peer addresses to try in addition to those in the log.
 	Seeds []string
-	// DrainAfter is the time between the begin of a planned stop, when the node
+	// DrainAfter is the time between the start of a planned stop, when the node
 	// reports to its callers that it is not ready, and the notification of the
 	// other nodes. The backend server stays in use until then, so that its
 	// capacity is not lost while the callers move to other nodes.
@@ -56,7 +56,7 @@
 	// DrainGrace is how long a draining node still accepts work after it has
 	// notified its peers, for those that have not received the message yet.
 	DrainGrace time.Duration
-	// EnterGrace is how long after the begin of a planned stop the node still
+	// EnterGrace is how long after the start of a planned stop the node still
 	// accepts requests by host and path: their callers use no other node until
 	// they see that this one is not ready. A later request might not finish
 	// before the process ends.
@@ -159,7 +159,7 @@
 	startedAt      time.Time
 	inForce        atomic.Uint64 // version of the configuration in force
 	draining       atomic.Bool
-	drainBegan     atomic.Int64 // begin of the planned stop in Unix nanoseconds, zero before it
+	drainBegan     atomic.Int64 // start of the planned stop in Unix nanoseconds, zero before it
 	callerRequests atomic.Int64 // callers' requests in flight
 	replying       atomic.Int64 // calls of serve that still carry out effects
 	stop           context.CancelFunc
@@ -173,7 +173,7 @@
 	id := wire.NewNodeID()
 	var secret [once.SecretLen]byte
 	if _, err := crand.Read(secret[:]); err != nil {
-		return nil, fmt.Errorf("draw the secret of the keys: %w", err)
+		return nil, fmt.Errorf("generate the secret for idempotency keys: %w", err)
 	}
 	seed := binary.LittleEndian.Uint64(id[:8])
 	now := time.Now()
@@ -217,6 +217,7 @@
 	return n, nil
 }
 
+// record returns the membership record of this node.
 func record(cfg Config, id wire.NodeID) membership.Record {
 	return membership.Record{
 		ID:         id,
--- a/node/ops.go
+++ b/node/ops.go
@@ -165,6 +165,7 @@
 	return g
 }
 
+// boolGauge returns 1 for true and 0 for false.
 func boolGauge(b bool) float64 {
 	if b {
 		return 1
--- a/node/peers.go
+++ b/node/peers.go
@@ -70,6 +70,7 @@
 	}
 }
 
+// handle dispatches a message by its kind; an error means that it cannot be decoded.
 func (n *Node) handle(c *transport.Conn, f wire.Frame) error {
 	from := c.Peer().ID
 	n.countPeerBytes(c.Peer().DataCentre, f)
@@ -109,6 +110,7 @@
 	n.counts.PeerBytes.Add(name, int64(len(f.Body)))
 }
 
+// handleControl dispatches a control message by its kind.
 func (n *Node) handleControl(from wire.NodeID, f wire.Frame) error {
 	switch f.Kind {
 	case wire.KindMembership:
--- a/node/post.go
+++ b/node/post.go
@@ -44,6 +44,7 @@
 	return o
 }
 
+// close waits for the workers, which end with the context of the node.
 func (o *peerOutbox) close() { o.wg.Wait() }
 
 // sendToMember sends a message to a member, and drops it if the member is unknown.
@@ -85,6 +86,7 @@
 	}
 }
 
+// work sends the queued messages until the node stops.
 func (o *peerOutbox) work() {
 	defer o.wg.Done()
 	for {
@@ -97,6 +99,7 @@
 	}
 }
 
+// connectAndWrite opens a connection to the peer and sends the message.
 func (o *peerOutbox) connectAndWrite(m controlMessage) {
 	c, err := o.n.peers.Connect(o.n.ctx, m.to, m.addr)
 	if err != nil {
@@ -106,6 +109,7 @@
 	o.write(c, m)
 }
 
+// write sends a message on a connection.
 func (o *peerOutbox) write(c *transport.Conn, m controlMessage) {
 	data, err := wire.Encode(m.kind, m.msg)
 	if err != nil {
--- a/node/run.go
+++ b/node/run.go
@@ -37,6 +37,7 @@
 	}
 }
 
+// arrive passes an incoming call to the callee's state.
 func (n *Node) arrive(req call.Request) {
 	op, configured := n.operation(req)
 	n.serve(func(now time.Time, s *serve.Server) serve.Effects {
@@ -44,6 +45,7 @@
 	})
 }
 
+// cancel passes the cancellation of a call to the callee's state.
 func (n *Node) cancel(c call.Cancel) {
 	n.serve(func(now time.Time, s *serve.Server) serve.Effects { return s.Cancel(now, c) })
 }
@@ -82,6 +84,8 @@
 	n.serve(func(now time.Time, s *serve.Server) serve.Effects { return s.Done(now, r.task.ID, result) })
 }
 
+// result combines the answer of the backend server with what the calls made by the
+// run have used.
 func (n *Node) result(r *run, res backend.Result, callMayHaveRun bool) serve.Result {
 	callUse, callsFailed := n.server.callUse(r)
 	result := serve.Result{
--- a/node/server.go
+++ b/node/server.go
@@ -87,6 +87,7 @@
 	return e, started
 }
 
+// register creates the run of a task. The caller holds the lock.
 func (s *server) register(t *serve.Task) *run {
 	ctx, stop := context.WithDeadline(context.Background(), t.Deadline)
 	r := &run{task: t, token: newToken(), ctx: ctx, stop: stop, ledger: retry.New(t.Request.Grant)}
@@ -161,7 +162,7 @@
 	return r, ok
 }
 
-// countCall records the begin (change 1) or end (change -1) of a call made by a run.
+// countCall records the start (change 1) or end (change -1) of a call made by a run.
 func (s *server) countCall(now time.Time, r *run, change int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/stop.go
+++ b/node/stop.go
@@ -56,7 +56,7 @@
 // Draining reports whether the planned stop has begun.
 func (n *Node) Draining() bool { return n.draining.Load() }
 
-// closedToCallers reports whether EnterGrace has passed since the begin of the
+// closedToCallers reports whether EnterGrace has passed since the start of the
 // planned stop, so that requests by host and path are refused.
 func (n *Node) closedToCallers(now time.Time) bool {
 	since := n.drainBegan.Load()
