--- a/node/behind_test.go
+++ b/node/behind_test.go
@@ -37,7 +37,7 @@
 func TestNodeWithoutProofReadsTheStoreItself(t *testing.T) {
 	is := is.New(t)
 	clock := &manualClock{now: time.Unix(1000, 0)}
-	c := startRouted(t, func(cfg *node.Config) { cfg.Clock = clock.read })
+	c := startWithRoutes(t, func(cfg *node.Config) { cfg.Clock = clock.read })
 	reader, idle := c.Add("a", testnode.Echo), c.Add("a", testnode.Echo)
 	for _, i := range []*testnode.Instance{reader, idle} {
 		i.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), node.SourceStore)
@@ -61,7 +61,7 @@
 func TestStartingNodeReceivesTheAgeOfTheEra(t *testing.T) {
 	is := is.New(t)
 	clock := &manualClock{now: time.Unix(1000, 0)}
-	c := startRouted(t, func(cfg *node.Config) { cfg.Clock = clock.read })
+	c := startWithRoutes(t, func(cfg *node.Config) { cfg.Clock = clock.read })
 	first := c.Add("a", testnode.Echo)
 	first.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), node.SourceStore)
 	began := first.Node.EraSeen(3)
--- a/node/drain_test.go
+++ b/node/drain_test.go
@@ -19,7 +19,7 @@
 // before the running request has its answer.
 func TestDrain(t *testing.T) {
 	is := is.New(t)
-	c := start(t, nil)
+	c := startCluster(t, nil)
 	release := make(chan struct{})
 	held := func(ctx context.Context, w *testnode.Work) testnode.Answer {
 		if string(w.Body) == "held" {
@@ -68,7 +68,7 @@
 // with such a key would be answered "may have run".
 func TestDrainingNodeMintsNoKeys(t *testing.T) {
 	is := is.New(t)
-	c := start(t, func(cfg *node.Config) { cfg.DrainGrace = time.Minute })
+	c := startCluster(t, func(cfg *node.Config) { cfg.DrainGrace = time.Minute })
 	leaving := c.Add("fieldlog", testnode.Echo)
 	c.AwaitWhole()
 	unaware := leaving.Dial(t, wire.NewNodeID())
--- a/node/late.go
+++ b/node/late.go
@@ -32,5 +32,5 @@
 // clockMillis returns the monotonic time of this process in milliseconds, for
 // Request.SentMillis. It is never zero.
 func (n *Node) clockMillis() uint32 {
-	return max(1, uint32(time.Since(n.started).Milliseconds()))
+	return max(1, uint32(time.Since(n.startedAt).Milliseconds()))
 }
--- a/node/late_test.go
+++ b/node/late_test.go
@@ -17,7 +17,7 @@
 // network partition a connection delivers its backlog at once.
 func TestLateCallWaitsForItsCancel(t *testing.T) {
 	is := is.New(t)
-	c := start(t, func(cfg *node.Config) { cfg.LateCallWait = 2 * time.Second })
+	c := startCluster(t, func(cfg *node.Config) { cfg.LateCallWait = 2 * time.Second })
 	n := c.Add("fieldlog", testnode.Echo)
 	c.AwaitWhole()
 	p := n.Dial(t, wire.NewNodeID())
--- a/node/levels_test.go
+++ b/node/levels_test.go
@@ -21,7 +21,7 @@
 // call, or forwards it with too small an age.
 func TestLevelsArePassedOn(t *testing.T) {
 	is := is.New(t)
-	c := start(t, func(cfg *node.Config) { cfg.Dispatch.News = admission.DefaultNewsConfig() })
+	c := startCluster(t, func(cfg *node.Config) { cfg.Dispatch.News = admission.DefaultNewsConfig() })
 	n := c.Add("fieldlog", testnode.Echo)
 	c.AwaitWhole()
 	from, to := n.Dial(t, wire.NewNodeID()), n.Dial(t, wire.NewNodeID())
--- a/node/quota_asks.go
+++ b/node/quota_asks.go
@@ -100,7 +100,7 @@
 		n.handleQuotaAnswer(n.id, n.makeQuotaAnswer(n.id, out.msg))
 		return
 	}
-	n.posts.post(out.to, wire.KindQuotaAsk, out.msg)
+	n.outbox.sendToMember(out.to, wire.KindQuotaAsk, out.msg)
 }
 
 // missingInfo is what a node has to ask peers other than the owners for.
@@ -208,7 +208,7 @@
 
 // handleQuotaRequest answers the quota request of a peer.
 func (n *Node) handleQuotaRequest(from wire.NodeID, m quotaRequest) {
-	n.posts.answer(from, wire.KindQuotaAnswer, n.makeQuotaAnswer(from, m))
+	n.outbox.sendIfConnected(from, wire.KindQuotaAnswer, n.makeQuotaAnswer(from, m))
 }
 
 // makeQuotaAnswer grants tokens of the workspaces that this node owns, and adds ownership
--- a/node/quota_owner.go
+++ b/node/quota_owner.go
@@ -23,7 +23,7 @@
 		switch {
 		case reachable < 2 && listed.others:
 			return false // isolated since its start: no peer could request tokens from it
-		case time.Since(n.started) < maxSettleTime:
+		case time.Since(n.startedAt) < maxSettleTime:
 			return listed.self
 		}
 	}
@@ -74,10 +74,10 @@
 // publishClaim sends a claim to all members, and to connected nodes that are not known as
 // members yet.
 func (n *Node) publishClaim(claim quota.Claim) {
-	n.postAll(wire.KindQuotaClaim, claim)
+	n.sendToMembers(wire.KindQuotaClaim, claim)
 	for _, id := range n.peers.Connected() {
 		if _, known := n.members.lookup(id); !known {
-			n.posts.answer(id, wire.KindQuotaClaim, claim)
+			n.outbox.sendIfConnected(id, wire.KindQuotaClaim, claim)
 		}
 	}
 }
--- a/node/spread_levels.go
+++ b/node/spread_levels.go
@@ -45,7 +45,7 @@
 	select {
 	case <-n.ctx.Done():
 		return false
-	case <-n.levelsHeard:
+	case <-n.levelsReceived:
 		return true
 	}
 }
@@ -53,7 +53,7 @@
 // wakeLevelGossip wakes gossipLevels.
 func (n *Node) wakeLevelGossip() {
 	select {
-	case n.levelsHeard <- struct{}{}:
+	case n.levelsReceived <- struct{}{}:
 	default:
 	}
 }
@@ -82,7 +82,7 @@
 	localCount := min(NewsFanOut-remoteCount, len(local))
 	remoteCount = min(NewsFanOut-localCount, len(remote))
 	for _, id := range append(local[:localCount], remote[:remoteCount]...) {
-		n.posts.answer(id, wire.KindLevels, m)
+		n.outbox.sendIfConnected(id, wire.KindLevels, m)
 	}
 }
 
--- a/node/spread_routes.go
+++ b/node/spread_routes.go
@@ -29,10 +29,10 @@
 func (r *routing) mayRequestRoutes(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.askedAt) < routesRequestInterval {
+	if now.Sub(r.lastAskedAt) < routesRequestInterval {
 		return false
 	}
-	r.askedAt = now
+	r.lastAskedAt = now
 	return true
 }
 
@@ -48,14 +48,14 @@
 	}
 	before := n.routing.version()
 	now := time.Now()
-	if !n.routing.take(now, table, text) {
+	if !n.routing.install(now, table, text) {
 		return table.Version == n.routing.version()
 	}
 	n.inForce.Store(table.Version)
 	n.quotas.inForce(table.Version)
 	n.counts.ConfigChanges.Add(1)
 	n.log.Info().Uint64("version", table.Version).Uint64("before", before).Int("routes", table.Len()).
-		Str("source", source).Dur("behind_ms", n.routing.caughtUp(now)).Msg("routes in force")
+		Str("source", source).Dur("behind_ms", n.routing.resetLag(now)).Msg("routes in force")
 	if source == SourceStore && n.Reader() {
 		n.offerRoutes(table.Version)
 	}
@@ -126,7 +126,7 @@
 
 // offerRoutes announces a version to all other nodes; those that lack it request it.
 func (n *Node) offerRoutes(version uint64) {
-	n.postAll(wire.KindRoutes, routesMessage{Version: version})
+	n.sendToMembers(wire.KindRoutes, routesMessage{Version: version})
 }
 
 // Routes returns the routes in force, nil if none are known yet.
@@ -140,11 +140,11 @@
 		return
 	}
 	now := time.Now()
-	n.routing.heard(now)
+	n.routing.noteNewerVersion(now)
 	if !n.routing.mayRequestRoutes(now) {
 		return
 	}
-	n.posts.answer(from, wire.KindRoutes, routesMessage{Version: own, Want: true})
+	n.outbox.sendIfConnected(from, wire.KindRoutes, routesMessage{Version: own, Want: true})
 }
 
 // handleRoutes handles a request, a delivery or an offer of routes.
@@ -165,11 +165,11 @@
 
 // sendRoutes sends the routes in force to a peer that has an older version.
 func (n *Node) sendRoutes(to wire.NodeID, have uint64) {
-	p := n.routing.force.Load()
+	p := n.routing.current.Load()
 	if p == nil || p.table.Version <= have {
 		return
 	}
-	n.posts.answer(to, wire.KindRoutes, routesMessage{Version: p.table.Version, Text: p.text})
+	n.outbox.sendIfConnected(to, wire.KindRoutes, routesMessage{Version: p.table.Version, Text: p.text})
 }
 
 // configVersion returns the version of the configuration in force, as replies report it.
