--- a/explain/recorder.go
+++ b/explain/recorder.go
@@ -1,5 +1,5 @@
-// Package explain keeps the latest decisions of one node, so that operators
-// can ask why one request was shed, retried, refused or lost.
+// Package explain records the latest decisions of a node about requests, so
+// that operators can look up why a request was shed, retried, refused or lost.
 package explain
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// Step names what was decided about a request.
+// Step is a kind of decision about a request.
 type Step string
 
-// The steps. Those that changed what the caller gets are notable.
+// The steps of a request.
 const (
 	Entered   Step = "entered"
 	Admitted  Step = "admitted"
@@ -32,11 +32,12 @@
 	Cancelled Step = "cancelled"
 	Replayed  Step = "replayed"
 	Suspected Step = "suspected"
-	// Declined: this node refused an attempt that another one sent.
+	// Declined means that this node refused an attempt of another node.
 	Declined Step = "declined"
 )
 
-var notable = []Step{Shed, Refused, Retried, Lost, Expired, Cancelled, Replayed, Suspected, Declined}
+// notableSteps lists the steps that changed the caller's result.
+var notableSteps = []Step{Shed, Refused, Retried, Lost, Expired, Cancelled, Replayed, Suspected, Declined}
 
 // Event is one decision about one request.
 type Event struct {
@@ -47,64 +48,65 @@
 	Step      Step           `json:"step"`
 	Reason    verdict.Reason `json:"reason,omitempty"`
 	Detail    string         `json:"detail,omitempty"`
-	// Verdict is what was concluded about the request.
+	// Verdict says whether the request has run, as the caller is told.
 	Verdict string `json:"verdict,omitempty"`
-	// Status is that of the backend server's own answer, zero if it gave none.
+	// Status is the HTTP status of the backend server's answer, zero if it
+	// gave none.
 	Status int `json:"status,omitempty"`
-	// Root is the request that a call was made for, as it entered.
+	// Root is the id of the request on whose behalf a call was made, as it
+	// entered the first node.
 	Root string `json:"root,omitempty"`
-	// Target is who was asked: a node, or a start of a backend server.
+	// Target is the node or backend incarnation that the request was sent to.
 	Target string `json:"target,omitempty"`
-	// Attempt counts the sends of the call up to this decision.
+	// Attempt is the number of attempts of the call up to this decision.
 	Attempt int `json:"attempt,omitempty"`
-	// Version is that of the routes or the graph that decided.
+	// Version is the version of the routes or graph used for the decision.
 	Version uint64 `json:"version,omitempty"`
-	// Waited is the time in the queue, Took that from the start of what the
-	// step ends, Left that until the deadline.
+	// Waited is the time spent in the queue, Took the duration of the phase
+	// that the step ends, and Left the time until the deadline; Left is
+	// negative after it.
 	Waited time.Duration `json:"waited_ns,omitempty"`
 	Took   time.Duration `json:"took_ns,omitempty"`
 	Left   time.Duration `json:"left_ns,omitempty"`
-	// RetryAfter is what the caller was told.
+	// RetryAfter is the delay that the caller was asked to wait.
 	RetryAfter time.Duration `json:"retry_after_ns,omitempty"`
 }
 
-// Sink is told of every event, besides the rings. It must not block.
+// Sink receives every event in addition to the rings. Write must not block.
 type Sink interface {
 	Write(e Event)
 }
 
-// Notable reports whether the event goes into the ring of notable events: its
-// step says so, it carries a reason, or the backend server has failed.
+// Notable reports whether the event is kept in the ring of notable events: its
+// step is notable, it has a reason, or the backend server failed.
 func (e Event) Notable() bool {
-	return e.Reason != verdict.None || e.Failed() || slices.Contains(notable, e.Step)
+	return e.Reason != verdict.None || e.Failed() || slices.Contains(notableSteps, e.Step)
 }
 
-// Failed reports whether the backend server answered that it has failed.
+// Failed reports whether the backend server answered with a 5xx status.
 func (e Event) Failed() bool { return e.Status >= http.StatusInternalServerError }
 
-// Config bounds the memory of a Recorder.
+// Config limits the memory of a Recorder.
 type Config struct {
-	// Notable is the number of notable events kept. 4096 hold about a
-	// minute of a node that sheds 70 calls a second.
+	// Notable is the number of notable events kept.
 	Notable int
-	// Ordinary is the number of ordinary events kept. 8192 hold about ten
-	// seconds at 400 calls a second with two events each.
+	// Ordinary is the number of ordinary events kept.
 	Ordinary int
-	// MaxText is the longest text kept of one field, in bytes: callers
-	// choose the request id, and a detail may quote them.
+	// MaxText is the maximum length of a text field in bytes. Longer texts
+	// are truncated, since callers choose the request id and a detail may
+	// quote them.
 	MaxText int
-	// Sink may be nil.
+	// Sink receives every event; nil means none.
 	Sink Sink
 }
 
-// DefaultConfig returns the defaults explained at Config.
+// DefaultConfig returns the configuration of a node, without a Sink.
 func DefaultConfig() Config {
 	return Config{Notable: 4096, Ordinary: 8192, MaxText: 256}
 }
 
-// Recorder keeps the latest events in two rings, so that a flood of ordinary
-// events does not push out the few that explain a refusal. It is safe for
-// concurrent use.
+// Recorder keeps the latest events in two rings, so that many ordinary events
+// don't evict the notable ones. It is safe for concurrent use.
 type Recorder struct {
 	maxText int
 	sink    Sink
@@ -114,8 +116,8 @@
 	ordinary ring
 }
 
-// New returns an empty Recorder. Both rings are allocated at once: the memory
-// is the same on the first day and under a surge.
+// New returns an empty Recorder. It allocates both rings in full, so that memory
+// use doesn't grow under load.
 func New(cfg Config) *Recorder {
 	return &Recorder{
 		maxText:  cfg.MaxText,
@@ -125,10 +127,10 @@
 	}
 }
 
-// Note records the event as of now.
+// Note records e with now as its time and passes it to the Sink.
 func (r *Recorder) Note(now time.Time, e Event) {
 	e.Time = now
-	r.trim(&e)
+	r.truncateTexts(&e)
 	if r.sink != nil {
 		r.sink.Write(e)
 	}
@@ -141,9 +143,9 @@
 	r.ordinary.add(e)
 }
 
-// Find returns what is still known about a request, oldest first.
+// Find returns the kept events of a request, oldest first.
 func (r *Recorder) Find(requestID string) []Event {
-	requestID = r.cut(requestID)
+	requestID = r.truncate(requestID)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var found []Event
@@ -160,16 +162,16 @@
 	return r.notable.last(max)
 }
 
-func (r *Recorder) trim(e *Event) {
-	e.RequestID = r.cut(e.RequestID)
-	e.Service = r.cut(e.Service)
-	e.Operation = r.cut(e.Operation)
-	e.Detail = r.cut(e.Detail)
+func (r *Recorder) truncateTexts(e *Event) {
+	e.RequestID = r.truncate(e.RequestID)
+	e.Service = r.truncate(e.Service)
+	e.Operation = r.truncate(e.Operation)
+	e.Detail = r.truncate(e.Detail)
 }
 
-// cut shortens a text. The copy is needed: a slice of a long text would keep
-// all of it in memory for as long as the event stays in the ring.
-func (r *Recorder) cut(s string) string {
+// truncate limits s to maxText bytes of valid UTF-8. It clones the result: a
+// substring would keep the whole text in memory while the event is in the ring.
+func (r *Recorder) truncate(s string) string {
 	if len(s) <= r.maxText {
 		return s
 	}
--- a/explain/recorder_test.go
+++ b/explain/recorder_test.go
@@ -15,10 +15,9 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// An operator asks about a request that was shed a while ago. Since then a
-// flood of ordinary events went by. With one ring they would have pushed the
-// refusal out and the answer would be empty; with two it is still there.
-func TestRefusalOutlivesOrdinaryFlood(t *testing.T) {
+// Guards against losing the event of a refusal because many ordinary events
+// followed it.
+func TestNotableEventSurvivesOrdinaryEvents(t *testing.T) {
 	is := is.New(t)
 	r := New(Config{Notable: 4, Ordinary: 8, MaxText: 64})
 	r.Note(start, Event{RequestID: "a", Step: Shed, Reason: verdict.Shed})
@@ -32,7 +31,9 @@
 	is.Equal(string(text), `{"time":"2026-01-01T00:00:00Z","request_id":"a","step":"shed","reason":"shed"}`)
 }
 
-func TestLongTextIsCutAndStillFound(t *testing.T) {
+// Guards against unbounded memory for long request ids, and against a request
+// that can't be found by its long id.
+func TestLongTextIsTruncatedAndFound(t *testing.T) {
 	is := is.New(t)
 	r := New(Config{Notable: 4, Ordinary: 4, MaxText: 7})
 	long := strings.Repeat("ä", 1000)
@@ -42,9 +43,9 @@
 	is.Equal(found[0].Detail, "äää")
 }
 
-// The oracle keeps every event in one list: Find must return the latest ones
-// of each kind, in order of time.
-func TestPropRecorderAgainstList(t *testing.T) {
+// Compares Find with a model that keeps every event in one list: Find must return
+// the latest events of each kind in order of time.
+func TestPropRecorderMatchesList(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		cfg := Config{Notable: rapid.IntRange(1, 5).Draw(t, "notable"), Ordinary: rapid.IntRange(1, 5).Draw(t, "ordinary"), MaxText: 64}
 		r := New(cfg)
@@ -56,11 +57,11 @@
 			e.Time = now
 			all = append(all, e)
 		}
-		left := map[Step]int{Shed: cfg.Notable, Ran: cfg.Ordinary}
+		remaining := map[Step]int{Shed: cfg.Notable, Ran: cfg.Ordinary}
 		var want []Event
 		for i := len(all) - 1; i >= 0; i-- {
-			left[all[i].Step]--
-			if left[all[i].Step] >= 0 && all[i].RequestID == "a" {
+			remaining[all[i].Step]--
+			if remaining[all[i].Step] >= 0 && all[i].RequestID == "a" {
 				want = append([]Event{all[i]}, want...)
 			}
 		}
