--- a/applog/http.go
+++ b/applog/http.go
@@ -16,32 +16,33 @@
 )
 
 const (
-	// requestTimeout bounds one request. A log that is slower than this is
-	// treated as down; nothing in a call's path waits for it.
+	// requestTimeout limits one request. A slower log service counts as
+	// unavailable; no call waits for it.
 	requestTimeout = 5 * time.Second
 	dialTimeout    = 2 * time.Second
-	// maxIdleConns suits one process, which has few requests open at once.
+	// maxIdleConns is small since a process has few requests open at once.
 	maxIdleConns = 4
-	// maxPageBytes bounds what one read may take in memory. The server cuts
-	// its pages far below that; a single record is bounded by it too.
+	// maxPageBytes limits the memory of one read, and so the size of a record.
+	// The service's own limit of a page is far smaller.
 	maxPageBytes = 16 << 20
-	// maxErrorBytes of an error's text are reported.
+	// maxErrorBytes limits the part of an error answer that an error quotes.
 	maxErrorBytes = 512
 )
 
+// httpLog implements Log over HTTP.
 type httpLog struct {
 	base   string
 	client *http.Client
 }
 
-// NewHTTP returns the client of a log service at baseURL. A nil client stands
-// for one with timeouts that suit a single process.
+// NewHTTP returns a client of the log service at baseURL. It copies client; if
+// client is nil, it uses one with its own timeouts.
 func NewHTTP(baseURL string, client *http.Client) Log {
 	own := http.Client{Timeout: requestTimeout, Transport: defaultTransport()}
 	if client != nil {
 		own = *client
 	}
-	// A redirect of an append could send the record twice.
+	// Following the redirect of an append could write the record twice.
 	own.CheckRedirect = func(*http.Request, []*http.Request) error {
 		return http.ErrUseLastResponse
 	}
@@ -57,24 +58,25 @@
 	}
 }
 
-func (l *httpLog) records(stream string) string {
+// recordsURL returns the URL of the records of a stream.
+func (l *httpLog) recordsURL(stream string) string {
 	return l.base + "/streams/" + url.PathEscape(stream) + "/records"
 }
 
 // Append implements Log.
 func (l *httpLog) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, l.records(stream), bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, l.recordsURL(stream), bytes.NewReader(data))
 	if err != nil {
 		return 0, fmt.Errorf("append to %s: %w: %w", stream, ErrNotWritten, err)
 	}
 	req.Header.Set("Content-Type", "application/octet-stream")
 	resp, err := l.client.Do(req)
 	if err != nil {
-		return 0, fmt.Errorf("append to %s: %w: %w", stream, appendFailure(err), err)
+		return 0, fmt.Errorf("append to %s: %w: %w", stream, classifyAppendError(err), err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("append to %s: %w: %w", stream, appendRefusal(resp.StatusCode), statusError(resp))
+		return 0, fmt.Errorf("append to %s: %w: %w", stream, classifyAppendStatus(resp.StatusCode), statusError(resp))
 	}
 	var answer struct {
 		Offset *uint64 `json:"offset"`
@@ -88,9 +90,9 @@
 	return *answer.Offset, nil
 }
 
-// appendFailure tells a connection that was never made, over which nothing
-// can have been written, from one that was lost later.
-func appendFailure(err error) error {
+// classifyAppendError classifies a transport error: if no connection was made, the
+// record was certainly not written, otherwise the outcome is unknown.
+func classifyAppendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return ErrNotWritten
@@ -98,9 +100,9 @@
 	return ErrUnknownOutcome
 }
 
-// appendRefusal says what a status claims. Statuses of 500 and more may come
-// from a place behind which the record was written.
-func appendRefusal(status int) error {
+// classifyAppendStatus classifies the status of a failed append. A 5xx status may come
+// from a proxy after the service wrote the record, so its outcome is unknown.
+func classifyAppendStatus(status int) error {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusRequestEntityTooLarge,
 		http.StatusBadRequest, http.StatusNotFound, http.StatusMethodNotAllowed:
@@ -116,7 +118,7 @@
 		"from": {strconv.FormatUint(from, 10)},
 		"max":  {strconv.Itoa(max)},
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, l.records(stream)+"?"+query.Encode(), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, l.recordsURL(stream)+"?"+query.Encode(), nil)
 	if err != nil {
 		return Page{}, fmt.Errorf("read %s: %w", stream, err)
 	}
@@ -135,22 +137,23 @@
 	return page, page.check(from)
 }
 
-// check refuses a page with a gap or out of order: folding it would give a
-// state that no other reader has.
+// check returns an error if the records of a page have a gap or are out of
+// order: applying them would give a state that differs from other readers.
 func (p Page) check(from uint64) error {
 	want := max(from, p.Oldest)
 	for _, r := range p.Records {
 		if r.Offset != want {
-			return fmt.Errorf("%w: record %d where %d was due", ErrUnavailable, r.Offset, want)
+			return fmt.Errorf("%w: got record %d, want record %d", ErrUnavailable, r.Offset, want)
 		}
 		want++
 	}
 	if len(p.Records) > 0 && want > p.Next {
-		return fmt.Errorf("%w: record %d behind the end %d", ErrUnavailable, want-1, p.Next)
+		return fmt.Errorf("%w: record %d is past the end %d of the stream", ErrUnavailable, want-1, p.Next)
 	}
 	return nil
 }
 
+// statusError returns an error with the status and the beginning of the body.
 func statusError(resp *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	return fmt.Errorf("%s: %s", resp.Status, strings.TrimSpace(string(text)))
--- a/logs/close_test.go
+++ b/logs/close_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// A process stops: its last lines are written and it ends. If the end of the log waits
-// for good, the platform ends the process by force instead.
-func TestLogEndsEachTime(t *testing.T) {
+// Guards against a Close that sometimes blocks forever: the platform would then
+// kill the stopping process.
+func TestCloseNeverHangs(t *testing.T) {
 	for n := range 20000 {
-		log, end := Open(DefaultConfig(), io.Discard)
+		log, closer := Open(DefaultConfig(), io.Discard)
 		log.Info().Msg("stopped")
 		closed := make(chan error, 1)
-		go func() { closed <- end.Close() }()
+		go func() { closed <- closer.Close() }()
 		select {
 		case err := <-closed:
 			if err != nil {
 				t.Fatal(err)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("the log does not end (try %d)", n+1)
+			t.Fatalf("Close did not return (attempt %d)", n+1)
 		}
 	}
 }
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -1,6 +1,6 @@
-// Package logs writes a node's log so that it can never hold up the work: lines
-// go through a ring with a writer of its own, and the lines of each kind of
-// decision are bounded by a rate.
+// Package logs writes the log of a node without blocking its work: lines go
+// through a ring buffer that one goroutine writes out, and the lines of each kind
+// of decision are rate limited.
 package logs
 
 import (
@@ -17,35 +17,37 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// Config bounds the log.
+// Config limits the memory and the rate of the log.
 type Config struct {
-	// Ring is the number of lines that wait for a reader that stalls. What
-	// comes beyond is lost and counted.
+	// Ring is the capacity of the ring buffer in lines. While the log's reader
+	// stalls, lines beyond it are lost and counted.
 	Ring int
-	// NotablePerSecond bounds the lines of each kind of refusal and failure,
-	// OrdinaryPerSecond those of each kind of success, and Burst is how many
-	// may come at once.
+	// NotablePerSecond limits the lines of each kind of notable event,
+	// OrdinaryPerSecond those of each kind of ordinary event, both in lines per
+	// second. Burst is the number of lines of a kind that may come at once.
 	NotablePerSecond, OrdinaryPerSecond float64
 	Burst                               int
-	// Kinds bounds the kinds told apart; the rest share one rate.
+	// Kinds is the number of kinds with a rate limit of their own; the others
+	// share one.
 	Kinds int
 }
 
-// DefaultConfig returns the settings that the daemon starts from.
+// DefaultConfig returns the configuration of the daemon.
 func DefaultConfig() Config {
 	return Config{
-		Ring:              4096, // 20 s at the bound of 200 lines a second
-		NotablePerSecond:  15,   // with up to eight kinds at once, 120 lines a second
-		OrdinaryPerSecond: 5,    // enough to see what is usual
-		Burst:             15,   // eight kinds that begin at once stay below 200 lines with it
+		Ring:              4096,
+		NotablePerSecond:  15,
+		OrdinaryPerSecond: 5,
+		Burst:             15,
 		Kinds:             64,
 	}
 }
 
-// Open returns a logger that writes to out through a ring, and what ends it.
+// Open returns a logger that writes to out through a ring buffer, and a closer
+// that writes the remaining lines and stops the writer.
 //
-// It sets zerolog's time format for the whole process: the steps of a request
-// are closer than the seconds of its default.
+// It sets zerolog's time format for the whole process, since the default has a
+// resolution of a second, which doesn't order the steps of a request.
 func Open(cfg Config, out io.Writer) (zerolog.Logger, io.Closer) {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	lost := &lostLines{}
@@ -54,7 +56,7 @@
 	return lost.log, ring
 }
 
-// lostLines says how many lines the ring had no room for.
+// lostLines counts the lines that the ring buffer dropped.
 type lostLines struct {
 	log   zerolog.Logger
 	total atomic.Int64
@@ -62,12 +64,12 @@
 
 func (l *lostLines) add(missed int) {
 	total := l.total.Add(int64(missed))
-	// The ring's own goroutine calls this: a line from here must not wait
-	// for it.
+	// The ring's writer goroutine calls this: logging from it could block on
+	// itself.
 	go l.log.Warn().Int("lost", missed).Int64("lost_in_all", total).Msg("the log's reader is too slow")
 }
 
-// Decisions writes one line for each decision about a request. It is safe for
+// Decisions logs decisions about requests, rate limited by kind. It is safe for
 // concurrent use.
 type Decisions struct {
 	cfg Config
@@ -77,18 +79,19 @@
 	kinds map[string]*kind
 }
 
-// kind is one step with one reason, or with an answer that says failure.
+// kind is the rate limit of the events with the same step, reason and outcome.
 type kind struct {
-	limit   *rate.Limiter
+	limit *rate.Limiter
+	// dropped counts the lines dropped since the last one written.
 	dropped int64
 }
 
-// NewDecisions returns a writer of decisions to a logger.
+// NewDecisions returns Decisions that write to log.
 func NewDecisions(cfg Config, log zerolog.Logger) *Decisions {
 	return &Decisions{cfg: cfg, log: log, kinds: make(map[string]*kind)}
 }
 
-// Write implements explain.Sink.
+// Write implements explain.Sink. It drops e if its kind exceeds its rate.
 func (d *Decisions) Write(e explain.Event) {
 	dropped, ok := d.allow(e)
 	if !ok {
@@ -104,6 +107,7 @@
 	fields(line, e).Msg("request")
 }
 
+// fields adds the fields of e to line, leaving out those that are not set.
 func fields(line *zerolog.Event, e explain.Event) *zerolog.Event {
 	line.Str("request", e.RequestID).Str("step", string(e.Step)).Str("route", e.Operation).Str("to_service", e.Service)
 	optional(line, "reason", string(e.Reason))
@@ -141,8 +145,8 @@
 	}
 }
 
-// allow reports whether the line is within its kind's rate, and how many were
-// dropped since the last one that was.
+// allow reports whether the rate of e's kind permits a line, and how many lines
+// of the kind were dropped since the previous one.
 func (d *Decisions) allow(e explain.Event) (dropped int64, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,22 +159,23 @@
 	return dropped, true
 }
 
-// failed tells the kinds of answers with which backend servers failed from the others.
-const failed = " failed"
+// failedSuffix ends the names of the kinds whose backend server answered with a failure.
+const failedSuffix = " failed"
 
-// others is the kind of what exceeds the bound.
-const others = "others"
+// otherKinds names the kind that events share once Config.Kinds kinds exist.
+const otherKinds = "others"
 
+// kind returns the kind of e and creates it if needed.
 func (d *Decisions) kind(e explain.Event) *kind {
 	name := string(e.Step) + " " + string(e.Reason)
 	if e.Failed() {
-		name += failed
+		name += failedSuffix
 	}
 	if k, ok := d.kinds[name]; ok {
 		return k
 	}
 	if len(d.kinds) >= d.cfg.Kinds {
-		name = others
+		name = otherKinds
 		if k, ok := d.kinds[name]; ok {
 			return k
 		}
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -15,10 +15,9 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// A node sheds a thousand requests a second for ten seconds, and serves as many.
-// The log stays within its rates, refusals get more lines than successes, and
-// what was left out is told.
-func TestLinesAreBoundedUnderLoad(t *testing.T) {
+// Guards against a log that grows with the load: lines stay within their rates,
+// and the number of dropped lines is logged.
+func TestLogRateIsLimitedUnderLoad(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	cfg := DefaultConfig()
@@ -47,58 +46,57 @@
 	is.True(dropped > 19_000)
 }
 
-// stalled is a reader that takes nothing until it is let go.
+// stalled is an output whose writes block until release is closed.
 type stalled struct {
-	go_  chan struct{}
-	mu   sync.Mutex
-	text bytes.Buffer
+	release chan struct{}
+	mu      sync.Mutex
+	text    bytes.Buffer
 }
 
 func (s *stalled) Write(p []byte) (int, error) {
-	<-s.go_
+	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.Write(p)
 }
 
-// The reader of the log stalls. Whoever writes a line goes on at once; lines are
-// lost, and when the reader is back the log says how many.
-func TestStalledReaderHoldsUpNobody(t *testing.T) {
+// Guards against a stalled reader of the log that blocks the node: lines are
+// lost instead, and the log says so once the reader continues.
+func TestStalledReaderDoesNotBlockWriters(t *testing.T) {
 	is := is.New(t)
-	out := &stalled{go_: make(chan struct{})}
-	log, end := Open(Config{Ring: 16}, out)
+	out := &stalled{release: make(chan struct{})}
+	log, closer := Open(Config{Ring: 16}, out)
 	for range 1000 {
 		log.Info().Msg("line")
 	}
-	close(out.go_)
+	close(out.release)
 	for i := 0; i < 2000; i++ {
 		log.Info().Msg("after")
 		out.mu.Lock()
-		told := strings.Contains(out.text.String(), "too slow")
+		reported := strings.Contains(out.text.String(), "too slow")
 		out.mu.Unlock()
-		if told {
-			is.NoErr(end.Close())
+		if reported {
+			is.NoErr(closer.Close())
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("the log does not say what was lost")
+	t.Fatal("the log does not report the lost lines")
 }
 
+// Guards against unbounded memory for kinds of decisions.
 func TestKindsAreBounded(t *testing.T) {
 	is := is.New(t)
 	d := NewDecisions(Config{Kinds: 2, NotablePerSecond: 1, OrdinaryPerSecond: 1, Burst: 1}, zerolog.Nop())
 	for _, reason := range []verdict.Reason{"a", "b", "c", "d"} {
 		d.Write(explain.Event{Time: time.Unix(1, 0), Step: explain.Refused, Reason: reason})
 	}
-	is.Equal(len(d.kinds), 3) // two of their own and the rest
+	is.Equal(len(d.kinds), 3) // two kinds and the shared one
 }
 
-// A caller gets the backend server's own 504, and thousands of requests are served
-// in that second. The on-call engineer looks for the failed one and finds no line
-// about it, since an answer counts as a success whatever it says. Failures of backend
-// servers have a rate of their own, and their lines say the status.
-func TestFailuresOfBackendServersAreNotDroppedWithSuccesses(t *testing.T) {
+// Guards against losing the line of a failure of the backend server among the
+// successes of the same second: failures have a rate of their own.
+func TestBackendFailuresAreNotDroppedWithSuccesses(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	d := NewDecisions(DefaultConfig(), zerolog.New(&out))
