--- a/ops/counters.go
+++ b/ops/counters.go
@@ -9,70 +9,78 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// Counters of one node. The zero value is ready; all are safe for concurrent
-// use and only grow, but for the gauges.
+// Counters are the counters of one node. They only grow. The zero value is ready
+// to use and safe for concurrent use.
 type Counters struct {
-	// Requests came from callers; each ends with one of the verdicts.
+	// Requests counts the callers' requests; Ran, NotRun and MayHaveRun count
+	// them by verdict.
 	Requests, Ran, NotRun, MayHaveRun expvar.Int
-	// LocalCalls came from the node's own backend server.
+	// LocalCalls counts calls of the node's own backend server.
 	LocalCalls expvar.Int
-	// Attempts were sent to backend servers; ExtraAttempts are those beyond
-	// the first of a call, ExtraRefused those that a bound forbade.
+	// Attempts counts attempts sent to backend servers, ExtraAttempts those
+	// beyond the first of a call, and ExtraRefused the extra attempts that the
+	// retry budget did not permit.
 	Attempts, ExtraAttempts, ExtraRefused expvar.Int
-	// Runs were handed to the node's own backend server.
+	// Runs counts requests passed to the node's own backend server.
 	Runs expvar.Int
-	// BackendBroken counts connections that broke in flight, BackendCrashes
-	// the ends of the process.
+	// BackendBroken counts connections to the backend server that broke during
+	// a request, BackendCrashes the ends of its process.
 	BackendBroken, BackendCrashes expvar.Int
-	// KeysMinted by this node.
+	// KeysMinted counts idempotency keys minted by this node.
 	KeysMinted expvar.Int
-	// Late replies matched no waiting attempt and were dropped.
+	// LateReplies counts replies dropped because no attempt waited for them.
 	LateReplies expvar.Int
-	// LateCalls came from other nodes long after they were sent.
+	// LateCalls counts calls that arrived from other nodes long after they
+	// were sent.
 	LateCalls expvar.Int
-	// PeerConnects and PeerLosses of connections to other nodes.
+	// PeerConnects counts connections made to other nodes, PeerLosses those
+	// that broke.
 	PeerConnects, PeerLosses expvar.Int
-	// PeerStalls are connections set aside because calls did not come through.
+	// PeerStalls counts connections quarantined because calls over them did not
+	// arrive.
 	PeerStalls expvar.Int
-	// BadMessages from peers could not be decoded or broke a limit.
+	// BadMessages counts messages of peers that could not be decoded or
+	// exceeded a limit.
 	BadMessages expvar.Int
-	// ControlBytesIn and ControlBytesOut are all messages but calls and
-	// their replies.
+	// ControlBytesIn and ControlBytesOut count the bytes of all messages except
+	// calls and their replies.
 	ControlBytesIn, ControlBytesOut expvar.Int
-	// PeerBytes are the bodies of messages from other nodes, by kind; those from
-	// another data centre are counted apart.
+	// PeerBytes counts the bytes of the bodies of messages from other nodes by
+	// kind, with keys of their own for other data centres.
 	PeerBytes expvar.Map
-	// LogReads, LogAppends and LogFailures of the platform's log.
+	// LogReads, LogAppends and LogFailures count operations of the platform's
+	// log.
 	LogReads, LogAppends, LogFailures expvar.Int
-	// StoreCalls to the platform's store, by cause.
+	// StoreCalls counts calls of the platform's store by cause.
 	StoreCalls expvar.Map
-	// ConfigChanges put in force.
+	// ConfigChanges counts configurations put in force.
 	ConfigChanges expvar.Int
-	// RoutesRefused counts published routes that could not be taken.
+	// RoutesRefused counts published routes that were not valid.
 	RoutesRefused expvar.Int
-	// QuotaAsks are questions of other nodes for tokens or proofs that were answered.
+	// QuotaAsks counts answered requests of other nodes for tokens or freshness
+	// proofs.
 	QuotaAsks expvar.Int
-	// LateBeats counts heartbeats of the backend server that came after newer
+	// LateBeats counts heartbeats of the backend server that arrived after newer
 	// ones.
 	LateBeats expvar.Int
-	// Hedges counts second attempts beside a first one that stayed silent,
-	// Strays answers of the backend server that came to no request of theirs.
+	// Hedges counts second attempts made while the first had no answer yet,
+	// Strays answers of the backend server that belong to no request.
 	Hedges, Strays expvar.Int
-	// Deferred counts callers' requests that were asked to come back since
-	// those of their route fail.
+	// Deferred counts requests whose callers were asked to retry later because
+	// requests of the route fail.
 	Deferred expvar.Int
-	// Latencies of requests by route and hop.
+	// Latencies holds the latencies of requests by route and hop.
 	Latencies Latencies
 
 	reasons    expvar.Map
 	reasonKeys atomic.Int32
 }
 
-// maxReasons bounds the reasons counted apart: they also come from peers, and
-// a faulty one must not fill the memory with names of its own.
+// maxReasons limits the number of reasons with a counter of their own: reasons
+// also come from peers, and a faulty peer must not exhaust the memory.
 const maxReasons = 64
 
-// Reason counts why a request was refused or failed.
+// Reason counts the reason for which a request was refused or failed.
 func (c *Counters) Reason(r verdict.Reason) {
 	key := string(r)
 	if c.reasons.Get(key) == nil && c.reasonKeys.Add(1) > maxReasons {
@@ -81,7 +89,7 @@
 	c.reasons.Add(key, 1)
 }
 
-// Outcome counts the end of a caller's request.
+// Outcome counts a finished request of a caller by its verdict and reason.
 func (c *Counters) Outcome(v verdict.Verdict, r verdict.Reason) {
 	c.Requests.Add(1)
 	switch v {
@@ -97,13 +105,15 @@
 	}
 }
 
+// namedVar is a counter, or a map of counters, with its metric name.
 type namedVar struct {
 	name  string
 	value expvar.Var
-	// label names what the keys of a map are.
+	// label is the metric label that holds the keys of a map.
 	label string
 }
 
+// list returns all counters in the order of the output.
 func (c *Counters) list() []namedVar {
 	return []namedVar{
 		{name: "requests", value: &c.Requests},
@@ -142,7 +152,7 @@
 	}
 }
 
-// String implements expvar.Var: the counters as one JSON object.
+// String implements expvar.Var. It returns the counters as a JSON object.
 func (c *Counters) String() string {
 	var b strings.Builder
 	b.WriteByte('{')
--- a/ops/latency.go
+++ b/ops/latency.go
@@ -9,39 +9,40 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Hop is the part of a request's way that a latency belongs to.
+// Hop is the part of a request's path that a latency covers.
 type Hop string
 
-// The hops.
+// The hops of a request.
 const (
-	// HopWhole is from the arrival of a request at its entry to its answer.
+	// HopWhole is the time from the arrival of a request at its first node to
+	// its answer.
 	HopWhole Hop = "whole"
-	// HopAdded is the part of that which no backend server worked.
+	// HopAdded is the part of HopWhole that was not spent in backend servers.
 	HopAdded Hop = "added"
-	// HopWaiting is the time in the queue beside the backend server.
+	// HopWaiting is the time in the queue of the backend server's node.
 	HopWaiting Hop = "waiting"
-	// HopBackend is from handing a request to the backend server to its
-	// answer.
+	// HopBackend is the time from passing a request to the backend server to
+	// its answer.
 	HopBackend Hop = "backend"
 )
 
 const (
-	// Latencies are kept from a microsecond to a minute with one significant
-	// digit: 6 KB for each histogram.
-	leastLatency    = 1
-	greatestLatency = int64(time.Minute / time.Microsecond)
-	latencyDigits   = 1
-	// maxLatencies bounds the histograms: 64 routes with four hops. The rest
-	// share one a hop.
-	maxLatencies = 256
-	otherRoutes  = "other"
+	// The range of the histograms in microseconds, and their significant
+	// digits.
+	minLatencyMicros = 1
+	maxLatencyMicros = int64(time.Minute / time.Microsecond)
+	latencyDigits    = 1
+	// maxHistograms limits the number of histograms. Further routes share one
+	// histogram for each hop, under the name otherRoutes.
+	maxHistograms = 256
+	otherRoutes   = "other"
 )
 
-// Latencies are histograms by route and hop. The zero value is ready; it is safe
-// for concurrent use.
+// Latencies holds histograms of latencies by route and hop. The zero value is
+// ready to use and safe for concurrent use.
 type Latencies struct {
-	mu sync.Mutex
-	of map[latencyKey]*hdrhistogram.Histogram
+	mu         sync.Mutex
+	histograms map[latencyKey]*hdrhistogram.Histogram
 }
 
 type latencyKey struct {
@@ -49,31 +50,34 @@
 	hop   Hop
 }
 
-// Observe adds one latency.
+// Observe records a latency. Values outside the range of the histograms are
+// clamped to it.
 func (l *Latencies) Observe(route string, hop Hop, d time.Duration) {
-	us := min(max(d.Microseconds(), leastLatency), greatestLatency)
+	us := min(max(d.Microseconds(), minLatencyMicros), maxLatencyMicros)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// The value is within the range, which is all that could fail.
+	// RecordValue fails only outside the histogram's range.
 	_ = l.histogram(latencyKey{route, hop}).RecordValue(us)
 }
 
+// histogram returns the histogram of key, or the shared one of its hop once there
+// are maxHistograms. The caller holds l.mu.
 func (l *Latencies) histogram(key latencyKey) *hdrhistogram.Histogram {
-	if h, ok := l.of[key]; ok {
+	if h, ok := l.histograms[key]; ok {
 		return h
 	}
-	if l.of == nil {
-		l.of = make(map[latencyKey]*hdrhistogram.Histogram)
+	if l.histograms == nil {
+		l.histograms = make(map[latencyKey]*hdrhistogram.Histogram)
 	}
-	if len(l.of) >= maxLatencies && key.route != otherRoutes {
+	if len(l.histograms) >= maxHistograms && key.route != otherRoutes {
 		return l.histogram(latencyKey{otherRoutes, key.hop})
 	}
-	h := hdrhistogram.New(leastLatency, greatestLatency, latencyDigits)
-	l.of[key] = h
+	h := hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
+	l.histograms[key] = h
 	return h
 }
 
-// LatencySummary is one histogram in figures.
+// LatencySummary summarizes the histogram of a route and hop.
 type LatencySummary struct {
 	Route         string
 	Hop           Hop
@@ -81,12 +85,12 @@
 	P50, P99, Max time.Duration
 }
 
-// Summaries returns all histograms, by route and hop.
+// Summaries returns the summaries of all histograms, sorted by route and hop.
 func (l *Latencies) Summaries() []LatencySummary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make([]LatencySummary, 0, len(l.of))
-	for key, h := range l.of {
+	out := make([]LatencySummary, 0, len(l.histograms))
+	for key, h := range l.histograms {
 		out = append(out, LatencySummary{
 			Route: key.route, Hop: key.hop, Count: h.TotalCount(),
 			P50: time.Duration(h.ValueAtQuantile(50)) * time.Microsecond,
--- a/ops/metrics.go
+++ b/ops/metrics.go
@@ -7,17 +7,17 @@
 	"net/http"
 )
 
-// Gauge is a value that goes up and down.
+// Gauge is a metric whose value goes up and down.
 type Gauge struct {
 	Name  string
 	Value float64
 }
 
-// metricPrefix begins the names of all metrics.
+// metricPrefix is the prefix of all metric names.
 const metricPrefix = "cassialoom_"
 
-// metrics serves all counters, gauges and latencies as text, a line each:
-// NAME{LABELS} VALUE.
+// metrics returns a handler that serves all counters, gauges and latencies as
+// text, one NAME{LABELS} VALUE for each line.
 func metrics(n Node, c *Counters) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		n.Sync()
@@ -30,7 +30,8 @@
 	}
 }
 
-// Errors of writing are left out: whoever asked has gone, and asks again.
+// writeCounters writes all counters. It ignores write errors, which mean that the
+// client has disconnected.
 func writeCounters(w io.Writer, c *Counters) {
 	for _, v := range c.list() {
 		if m, ok := v.value.(*expvar.Map); ok {
@@ -39,7 +40,7 @@
 				fmt.Fprintf(w, "%s%s{%s=%q} %s\n", metricPrefix, v.name, v.label, kv.Key, kv.Value)
 				empty = false
 			})
-			if empty { // nothing counted yet, which is not the same as no such metric
+			if empty { // distinguishes a count of zero from a metric that doesn't exist
 				fmt.Fprintf(w, "%s%s 0\n", metricPrefix, v.name)
 			}
 			continue
@@ -48,6 +49,7 @@
 	}
 }
 
+// writeLatencies writes the count and the quantiles of all latencies in seconds.
 func writeLatencies(w io.Writer, l *Latencies) {
 	for _, s := range l.Summaries() {
 		labels := fmt.Sprintf("route=%q,hop=%q", s.Route, string(s.Hop))
--- a/ops/ops.go
+++ b/ops/ops.go
@@ -1,6 +1,6 @@
 // Package ops is the operators' HTTP interface of a node: health, readiness,
-// the dump of its state, its counters, and the planned stop. It has an address
-// of its own, so that callers can be kept away from it.
+// state, counters, metrics and the planned stop. It has its own address, so that
+// a firewall can keep callers away from it.
 package ops
 
 import (
@@ -16,25 +16,27 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Node is what the interface asks of the node. It must be safe for concurrent
-// use.
+// Node is the node that the interface serves. It must be safe for concurrent use.
 type Node interface {
-	// Ready reports whether the node serves its callers, and why not.
+	// Ready reports whether the node serves callers, and if not, why.
 	Ready() (ok bool, why string)
-	// State is the dump: a typed struct with the state of every slice.
+	// State returns the state of all components as a struct to encode as JSON.
 	State() any
+	// Version returns the configuration in force.
 	Version() Version
+	// Members returns the known nodes.
 	Members() []membership.Record
+	// Explain returns the recorded decisions about a request, oldest first.
 	Explain(requestID string) []explain.Event
-	// Sync brings the counters up to date that the node's slices keep.
+	// Sync updates the counters that the node's components keep themselves.
 	Sync()
-	// Gauges are the sizes and ages of the moment.
+	// Gauges returns the current values of all gauges.
 	Gauges() []Gauge
 	// Drain starts the planned stop and returns at once.
 	Drain()
 }
 
-// Version says which configuration is in force at one node.
+// Version describes the configuration in force at a node.
 type Version struct {
 	Node       wire.NodeID `json:"node"`
 	Service    string      `json:"service"`
@@ -42,16 +44,18 @@
 	// Version is the offset of the newest accepted publication; zero before
 	// the first.
 	Version uint64 `json:"version"`
-	// AsOf is the offset in the log up to which the node knows.
+	// AsOf is the log offset up to which the node has read.
 	AsOf uint64 `json:"as_of"`
-	// AgeMs is the time since the node last heard that this is the newest.
+	// AgeMs is the time in milliseconds since the node last learned that this
+	// configuration is the newest.
 	AgeMs int64 `json:"age_ms"`
 }
 
 // Readiness is the answer of /readyz.
 type Readiness struct {
-	Ready bool   `json:"ready"`
-	Why   string `json:"why,omitempty"`
+	Ready bool `json:"ready"`
+	// Why is the reason why the node is not ready.
+	Why string `json:"why,omitempty"`
 }
 
 // Draining is the answer of /drain.
@@ -59,32 +63,32 @@
 	Draining bool `json:"draining"`
 }
 
-// failure is the answer to a request that is wrong.
+// failure is the answer to a request that is not valid.
 type failure struct {
 	Error string `json:"error"`
 }
 
-// Config bounds the operators' connections.
+// Config holds the timeouts of operators' connections.
 type Config struct {
-	// HeaderTimeout is how long the head of a request may take to arrive.
+	// HeaderTimeout limits reading a request.
 	HeaderTimeout time.Duration
-	// WriteTimeout is how long an answer may take, its making included.
+	// WriteTimeout limits producing and writing an answer.
 	WriteTimeout time.Duration
-	// IdleTimeout is how long a connection without a request is kept.
+	// IdleTimeout limits how long an idle connection stays open.
 	IdleTimeout time.Duration
 }
 
 // DefaultConfig returns the timeouts of a node.
 func DefaultConfig() Config {
 	return Config{
-		HeaderTimeout: 5 * time.Second,  // one packet in practice
-		WriteTimeout:  30 * time.Second, // a dump over a slow line
-		IdleTimeout:   time.Minute,      // operators come rarely
+		HeaderTimeout: 5 * time.Second,
+		WriteTimeout:  30 * time.Second, // the whole state over a slow connection
+		IdleTimeout:   time.Minute,
 	}
 }
 
-// NewServer returns a server with the timeouts of cfg. No request has a body,
-// so the whole of it may be bound by the head's timeout.
+// NewServer returns a server with the timeouts of cfg. HeaderTimeout limits whole
+// requests, since none has a body.
 func NewServer(cfg Config, h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
@@ -95,7 +99,7 @@
 	}
 }
 
-// New returns the interface:
+// New returns a handler for these paths:
 //
 //	GET  /healthz /readyz /version /members /state /explain/{id} /debug/vars /metrics
 //	POST /drain
@@ -121,12 +125,13 @@
 		n.Drain()
 		return http.StatusAccepted, Draining{Draining: true}
 	})).Methods(http.MethodPost)
-	r.NotFoundHandler = serve(fail(http.StatusNotFound, "no such path"))
-	r.MethodNotAllowedHandler = serve(fail(http.StatusMethodNotAllowed, "this method is not allowed here"))
+	r.NotFoundHandler = serve(errorAnswer(http.StatusNotFound, "no such path"))
+	r.MethodNotAllowedHandler = serve(errorAnswer(http.StatusMethodNotAllowed, "this method is not allowed here"))
 	return r
 }
 
-func fail(status int, text string) func(*http.Request) (int, any) {
+// errorAnswer returns a handler function that answers with an error.
+func errorAnswer(status int, text string) func(*http.Request) (int, any) {
 	return func(*http.Request) (int, any) { return status, failure{Error: text} }
 }
 
@@ -138,7 +143,7 @@
 	return http.StatusOK, Readiness{Ready: true}
 }
 
-// notNil makes an empty list appear as [] and not as null.
+// notNil makes a nil list encode as [] instead of null.
 func notNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
@@ -146,6 +151,7 @@
 	return list
 }
 
+// serve returns a handler that writes the status and the JSON value of answer.
 func serve(answer func(*http.Request) (int, any)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		status, v := answer(r)
@@ -155,13 +161,13 @@
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(status)
-		w.Write(append(body, '\n')) // an operator who went away needs no answer
+		w.Write(append(body, '\n')) // an error means that the client has disconnected
 	}
 }
 
-// vars gathers what expvar publishes for the process and this node's counters.
-// The counters are not published in expvar's global table: it refuses a second
-// node in one process.
+// vars returns the process's expvar variables and the node's counters. The
+// counters are not published by expvar, whose names are global, because a process
+// may run several nodes.
 func vars(c *Counters) map[string]json.RawMessage {
 	all := make(map[string]json.RawMessage)
 	expvar.Do(func(kv expvar.KeyValue) { all[kv.Key] = json.RawMessage(kv.Value.String()) })
--- a/ops/ops_test.go
+++ b/ops/ops_test.go
@@ -45,7 +45,9 @@
 	return w.Code
 }
 
-func TestAnswers(t *testing.T) {
+// Guards against a wrong status or body of the operators' paths, and against a
+// planned stop started by a GET.
+func TestHandlerAnswers(t *testing.T) {
 	is := is.New(t)
 	n := &fakeNode{}
 	h := New(n, &Counters{})
@@ -56,7 +58,7 @@
 	n.why = "no configuration"
 	is.Equal(ask(h, "GET", "/readyz", &ready), 503)
 	is.Equal(ready, Readiness{Why: "no configuration"})
-	is.Equal(ask(h, "GET", "/healthz", &ready), 200) // alive all the same
+	is.Equal(ask(h, "GET", "/healthz", &ready), 200) // a node that is not ready is still alive
 
 	var v Version
 	is.Equal(ask(h, "GET", "/version", &v), 200)
@@ -72,10 +74,10 @@
 
 	var all map[string]any
 	is.Equal(ask(h, "GET", "/debug/vars", &all), 200)
-	is.Equal(n.synced, 1) // what the slices count is shown as of now
+	is.Equal(n.synced, 1) // the counters are current
 
 	var wrong failure
-	is.Equal(ask(h, "GET", "/drain", &wrong), 405) // a look must not stop a node
+	is.Equal(ask(h, "GET", "/drain", &wrong), 405) // a GET must not stop a node
 	is.Equal(n.drained, 0)
 	var d Draining
 	is.Equal(ask(h, "POST", "/drain", &d), 202)
@@ -83,7 +85,7 @@
 	is.Equal(ask(h, "GET", "/other", &wrong), 404)
 }
 
-// Two nodes of one process count apart, and both serve their counters.
+// Guards against nodes of one process that share counters.
 func TestCountersOfTwoNodes(t *testing.T) {
 	is := is.New(t)
 	var a, b Counters
@@ -110,17 +112,17 @@
 
 	got = counted{}
 	is.Equal(ask(New(&fakeNode{}, &b), "GET", "/debug/vars", &got), 200)
-	is.Equal(got.Cassialoom.MayHaveRun, int64(1)) // an unknown verdict claims nothing
+	is.Equal(got.Cassialoom.MayHaveRun, int64(1)) // an unknown verdict counts as may have run
 }
 
-// A faulty peer sends ever new reasons: they must not fill the memory.
+// Guards against unbounded memory for the reasons that a faulty peer makes up.
 func TestReasonsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var c Counters
 	for i := range 10 * maxReasons {
 		c.Reason(verdict.Reason("made-up-" + strconv.Itoa(i)))
 	}
-	c.Reason("made-up-0") // known ones go on counting
+	c.Reason("made-up-0") // known reasons keep their counters
 	var got struct{ Reasons map[string]int64 }
 	is.NoErr(json.Unmarshal([]byte(c.String()), &got))
 	is.Equal(len(got.Reasons), maxReasons+1)
@@ -128,12 +130,13 @@
 	is.Equal(got.Reasons["made-up-0"], int64(2))
 }
 
-func TestMetricsAreOneLineEach(t *testing.T) {
+// Guards against a wrong text format of the metrics, and against negative latencies.
+func TestMetricsFormat(t *testing.T) {
 	is := is.New(t)
 	c := &Counters{}
 	c.Outcome(verdict.NotRun, verdict.Shed)
 	c.Latencies.Observe("r", HopWhole, 20*time.Millisecond)
-	c.Latencies.Observe("r", HopWhole, -time.Second) // a clock that stood still
+	c.Latencies.Observe("r", HopWhole, -time.Second) // clamped to the smallest value
 	w := httptest.NewRecorder()
 	New(&fakeNode{}, c).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	for _, want := range []string{
@@ -145,8 +148,8 @@
 	}
 }
 
-// Routes come and go: the memory for their latencies stays bounded, and those
-// beyond the bound are counted together.
+// Guards against unbounded memory for the latencies of many routes: further routes
+// share a histogram.
 func TestLatenciesAreBounded(t *testing.T) {
 	is := is.New(t)
 	var l Latencies
@@ -154,7 +157,7 @@
 		l.Observe(fmt.Sprint("r", i), HopBackend, time.Millisecond)
 	}
 	all := l.Summaries()
-	is.Equal(len(all), maxLatencies+1)
+	is.Equal(len(all), maxHistograms+1)
 	is.Equal(all[0].Route, otherRoutes)
-	is.Equal(all[0].Count, int64(1000-maxLatencies))
+	is.Equal(all[0].Count, int64(1000-maxHistograms))
 }
