--- a/settings/platform.go
+++ b/settings/platform.go
@@ -8,25 +8,25 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// PlatformFile names the variable that holds the path of the users' platform's
-// settings file. Where it is set, that file and Platform are all the settings that
-// there are.
+// PlatformFile is the name of the environment variable with the path of the
+// settings file of the users' platform. If it is set, all settings come from that
+// file and from Platform.
 const PlatformFile = envPrefix + "CONFIG"
 
-// Platform holds the node's own settings on the users' platform: what its settings
-// file does not say.
+// Platform holds the settings of a node on the users' platform that the platform's
+// settings file doesn't contain.
 type Platform struct {
 	PeerAdvertise string `long:"peer-advertise" env:"CASSIALOOM_PEER_ADVERTISE" value-name:"IP:PORT" description:"address by which other nodes reach this one, where that is not the one it listens at (default: the listen address of the settings file)"`
 }
 
-// ParsePlatform reads the flags, and the environment for what no flag sets. The error
-// of --help, which IsHelp tells apart, holds the help text.
+// ParsePlatform reads the settings from flags and from environment variables; a flag
+// takes precedence. For --help it returns an error with the help text; see IsHelp.
 func ParsePlatform(args, env []string) (Platform, error) {
 	var s Platform
 	p := flags.NewParser(&s, flags.HelpFlag|flags.PassDoubleDash)
 	p.Name = "cassialoomd"
 	p.ShortDescription = "node of the overload control layer, on the users' platform"
-	p.LongDescription = "With " + PlatformFile + " set, everything comes from the settings file that it names, but for these."
+	p.LongDescription = "With " + PlatformFile + " set, all settings come from the file that it names, except for these."
 	var own []string
 	for _, entry := range env {
 		if !strings.HasPrefix(entry, PlatformFile+"=") {
--- a/settings/platform_test.go
+++ b/settings/platform_test.go
@@ -7,6 +7,7 @@
 	"github.com/matryer/is"
 )
 
+// Guards against a flag or variable that is ignored, or the wrong precedence.
 func TestPlatformSettings(t *testing.T) {
 	is := is.New(t)
 	s, err := ParsePlatform(nil, []string{"PATH=/bin", "CASSIALOOM_CONFIG=x.yaml"})
@@ -17,14 +18,13 @@
 	is.Equal(s.PeerAdvertise, "10.0.0.1:7000")
 	s, err = ParsePlatform([]string{"--peer-advertise", "10.0.0.2:7000"}, []string{"CASSIALOOM_PEER_ADVERTISE=10.0.0.1:7000"})
 	is.NoErr(err)
-	is.Equal(s.PeerAdvertise, "10.0.0.2:7000") // the flag wins
+	is.Equal(s.PeerAdvertise, "10.0.0.2:7000") // the flag takes precedence
 	_, err = ParsePlatform([]string{"--help"}, nil)
 	is.True(IsHelp(err))
 }
 
-// A setting that is misspelt, meant for a node elsewhere, or not an address is named
-// in the error: left alone it would leave a default in force.
-func TestWrongPlatformSettings(t *testing.T) {
+// Guards against wrong settings that leave a default in force without an error.
+func TestInvalidPlatformSettings(t *testing.T) {
 	for name, c := range map[string]struct {
 		args, env []string
 		names     string
--- a/settings/rules.go
+++ b/settings/rules.go
@@ -9,31 +9,34 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Bounds of the settings.
+// Limits of the settings.
 const (
-	maxName = 64
-	// MaxPayload leaves room for the fields of a call in one message.
+	maxNameLength = 64
+	// MaxPayload is the maximum size of a body in bytes. It leaves space for the
+	// other fields of a call in one message.
 	MaxPayload = wire.MaxMessageBytes - 512<<10
 	maxSlots   = 100_000
-	// maxDrainGrace keeps the promise that a leaving backend server gets no
-	// new work after a few seconds.
+	// maxDrainGrace guarantees that a draining backend server gets no new
+	// requests after a few seconds.
 	maxDrainGrace = 3 * time.Second
-	minKeyHeld    = time.Second
-	maxKeyHeld    = 24 * time.Hour
-	// maxHeldPercent of the log's retention leaves room for clocks of
-	// different rates: a binding must end before the log drops its record.
-	maxHeldPercent = 95
-	minRetention   = time.Second
-	maxRetention   = 365 * 24 * time.Hour
-	maxStop        = time.Hour
+	minKeyHeldFor = time.Second
+	maxKeyHeldFor = 24 * time.Hour
+	// maxKeyHeldPercent of the log's retention is the maximum time for which a key
+	// is held. The margin allows for clocks of different rates: a key binding
+	// must expire before the log drops its record.
+	maxKeyHeldPercent = 95
+	minLogRetention   = time.Second
+	maxLogRetention   = 365 * 24 * time.Hour
+	maxStopTimeout    = time.Hour
 )
 
-// rule says what is allowed for one setting.
+// rule defines the valid values of a setting. name is that of the flag, and want
+// describes the valid values in errors.
 type rule struct {
 	name  string
 	want  string
 	value func(Settings) any
-	ok    func(Settings) bool
+	valid func(Settings) bool
 }
 
 const (
@@ -58,14 +61,13 @@
 		func(s Settings) any { return s.Advertise }, func(s Settings) bool { return isReachable(s.Advertise) }},
 	{"log-url", wantLogURL, func(s Settings) any { return s.LogURL }, func(s Settings) bool { return isLogURL(s.LogURL) }},
 	{"log-retention", "a duration from 1s to 8760h", func(s Settings) any { return s.LogRetention },
-		func(s Settings) bool { return within(s.LogRetention, minRetention, maxRetention) }},
+		func(s Settings) bool { return within(s.LogRetention, minLogRetention, maxLogRetention) }},
 	{"seed", wantAddr, func(s Settings) any { return s.Seeds }, func(s Settings) bool { return allAddrs(s.Seeds) }},
-	// A binding of a caller's own key lives in the log: one that was promised
-	// for longer than the log keeps it would be forgotten, and a resend would
-	// run a second time.
+	// The binding of a caller's own key is a record of the log. If the log drops
+	// it before the key expires, a resend runs a second time.
 	{"key-held-for", "a duration from 1s to 24h, at most 95% of --log-retention", func(s Settings) any { return s.KeyHeldFor },
 		func(s Settings) bool {
-			return within(s.KeyHeldFor, minKeyHeld, min(maxKeyHeld, s.LogRetention/100*maxHeldPercent))
+			return within(s.KeyHeldFor, minKeyHeldFor, min(maxKeyHeldFor, s.LogRetention/100*maxKeyHeldPercent))
 		}},
 	{"max-body", wantPayload, func(s Settings) any { return s.MaxBody }, func(s Settings) bool { return within(s.MaxBody, 1, MaxPayload) }},
 	{"max-answer", wantPayload, func(s Settings) any { return s.MaxAnswer }, func(s Settings) bool { return within(s.MaxAnswer, 1, MaxPayload) }},
@@ -76,7 +78,7 @@
 	{"drain-grace", "a duration from 0s to 3s", func(s Settings) any { return s.DrainGrace },
 		func(s Settings) bool { return within(s.DrainGrace, 0, maxDrainGrace) }},
 	{"stop-timeout", "a duration from the value of --drain-grace to 1h", func(s Settings) any { return s.StopTimeout },
-		func(s Settings) bool { return within(s.StopTimeout, s.DrainGrace, maxStop) }},
+		func(s Settings) bool { return within(s.StopTimeout, s.DrainGrace, maxStopTimeout) }},
 	{"log-level", "debug, info, warn or error", func(s Settings) any { return s.LogLevel },
 		func(s Settings) bool { return oneOf(s.LogLevel, "debug", "info", "warn", "error") }},
 	{"policy", "full, fixed or none", func(s Settings) any { return s.Policy },
@@ -85,9 +87,11 @@
 
 func within[T int | int64 | time.Duration](v, low, high T) bool { return low <= v && v <= high }
 
+// isName reports whether s is a valid name of a service, data centre, region or
+// cluster.
 func isName(s string) bool {
 	const allowed = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-"
-	return s != "" && len(s) <= maxName && strings.Trim(s, allowed) == ""
+	return s != "" && len(s) <= maxNameLength && strings.Trim(s, allowed) == ""
 }
 
 func isAddr(s string) bool {
@@ -109,6 +113,7 @@
 	return err == nil && ap.Addr().IsLoopback()
 }
 
+// isReachable reports whether s is an IP number that other nodes can connect to.
 func isReachable(s string) bool {
 	ip, err := netip.ParseAddr(s)
 	return err == nil && !ip.IsUnspecified() && !ip.IsMulticast()
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of cassialoomd from flags and from the
-// environment, and checks them before anything starts.
+// Package settings reads the settings of cassialoomd from flags and environment
+// variables and validates them.
 package settings
 
 import (
@@ -15,10 +15,11 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// envPrefix marks the variables that are read: others under it are refused.
+// envPrefix is the prefix of all environment variables of the settings. Unknown
+// variables with this prefix are errors.
 const envPrefix = "CASSIALOOM_"
 
-// Settings of one node.
+// Settings holds the settings of a node.
 type Settings struct {
 	Service    string `long:"service" env:"CASSIALOOM_SERVICE" value-name:"NAME" description:"service that the backend server beside this node belongs to, as in the graph text"`
 	DataCentre string `long:"data-centre" env:"CASSIALOOM_DATA_CENTRE" value-name:"NAME" description:"data centre of this instance"`
@@ -47,13 +48,14 @@
 	StopTimeout time.Duration `long:"stop-timeout" env:"CASSIALOOM_STOP_TIMEOUT" value-name:"DURATION" default:"60s" description:"how long a planned stop waits for requests in flight"`
 	LogLevel    string        `long:"log-level" env:"CASSIALOOM_LOG_LEVEL" value-name:"LEVEL" default:"info" description:"least level of the lines written"`
 
-	// Policy is for experiments alone: fixed and none take the place of the
-	// adaptive limit and of shedding.
+	// Policy is for experiments only: fixed and none replace the adaptive limit
+	// and load shedding.
 	Policy string `long:"policy" env:"CASSIALOOM_POLICY" value-name:"NAME" default:"full" hidden:"true" description:"overload policy, for experiments"`
 }
 
-// Parse reads the flags, and the environment for what no flag sets. The error
-// of --help, which IsHelp tells apart, holds the help text.
+// Parse reads and validates the settings from flags and from environment variables;
+// a flag takes precedence. For --help it returns an error with the help text; see
+// IsHelp.
 func Parse(args, env []string) (Settings, error) {
 	var s Settings
 	p := flags.NewParser(&s, flags.HelpFlag|flags.PassDoubleDash)
@@ -65,7 +67,7 @@
 	}
 	rest, err := p.ParseArgs(args)
 	if err != nil {
-		return Settings{}, explainError(err)
+		return Settings{}, addValidValues(err)
 	}
 	if len(rest) > 0 {
 		return Settings{}, fmt.Errorf("argument %q: only flags are allowed", rest[0])
@@ -80,12 +82,12 @@
 	`callers' requests and makes its calls to other services. Every setting is a flag and an ` +
 	`environment variable; the flag wins. SIGTERM is the planned stop.`
 
-// IsHelp reports whether err is the help that was asked for.
+// IsHelp reports whether err holds the help text of --help.
 func IsHelp(err error) bool { return flags.WroteHelp(err) }
 
-// readEnv hands the given environment to the parser as defaults. A variable
-// under the prefix that names no setting is a mistake that would otherwise
-// leave a default in force unnoticed.
+// readEnv sets the defaults of p from the environment env. It returns an error for
+// an unknown variable with the prefix, since a misspelt name would otherwise leave a
+// default in force.
 func readEnv(p *flags.Parser, env []string) error {
 	options := make(map[string]*flags.Option)
 	for _, o := range p.Group.Groups()[0].Options() {
@@ -108,9 +110,9 @@
 	return nil
 }
 
-// explainError adds what is allowed to an error of the parser, which names the
-// setting and the value.
-func explainError(err error) error {
+// addValidValues adds the valid values to an error of the parser, which names only
+// the setting and its value.
+func addValidValues(err error) error {
 	var e *flags.Error
 	if !errors.As(err, &e) || e.Type != flags.ErrMarshal {
 		return err
@@ -123,11 +125,12 @@
 	return err
 }
 
-// AdvertisedAddr is the address by which other nodes reach a port.
+// AdvertisedAddr returns the address by which other nodes reach a port.
 func (s Settings) AdvertisedAddr(port int) string {
 	return net.JoinHostPort(s.Advertise, strconv.Itoa(port))
 }
 
+// host returns the IP number of addr, or "" if addr is not valid.
 func host(addr string) string {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -136,10 +139,11 @@
 	return ap.Addr().String()
 }
 
-// Check returns an error for the first setting that is not allowed.
+// Check returns an error that names the first invalid setting, its value and the
+// valid values.
 func (s Settings) Check() error {
 	for _, r := range rules {
-		if !r.ok(s) {
+		if !r.valid(s) {
 			return fmt.Errorf("setting --%s: %q: want %s", r.name, fmt.Sprint(r.value(s)), r.want)
 		}
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,17 +8,18 @@
 	"github.com/matryer/is"
 )
 
-// least are the settings that have no default.
-var least = []string{
+// requiredFlags are flags for the settings without a default.
+var requiredFlags = []string{
 	"--service=plumecast", "--data-centre=kuopio-hall", "--region=fi-east",
 	"--log-url=http://127.0.0.1:7500", "--advertise=127.0.0.1",
 }
 
-func parse(env []string, more ...string) (Settings, error) {
-	return Parse(append(append([]string{}, least...), more...), env)
+func parseRequiredAnd(env []string, more ...string) (Settings, error) {
+	return Parse(append(append([]string{}, requiredFlags...), more...), env)
 }
 
-func TestFlagWinsOverVariable(t *testing.T) {
+// Guards against the wrong precedence of flags and environment variables.
+func TestFlagOverridesVariable(t *testing.T) {
 	is := is.New(t)
 	env := []string{
 		"HOME=/x",
@@ -26,31 +27,33 @@
 		"CASSIALOOM_KEY_HELD_FOR=3m",
 		"CASSIALOOM_SEED=127.0.0.1:1,127.0.0.1:2",
 	}
-	s, err := parse(env, "--queue=9")
+	s, err := parseRequiredAnd(env, "--queue=9")
 	is.NoErr(err)
 	is.Equal(s.Queue, 9)
 	is.Equal(s.KeyHeldFor, 3*time.Minute)
 	is.Equal(s.Seeds, []string{"127.0.0.1:1", "127.0.0.1:2"})
 
-	s, err = parse(env, "--seed=127.0.0.1:3")
+	s, err = parseRequiredAnd(env, "--seed=127.0.0.1:3")
 	is.NoErr(err)
 	is.Equal(s.Queue, 7)
-	is.Equal(s.Seeds, []string{"127.0.0.1:3"}) // the flag takes the variable's place
+	is.Equal(s.Seeds, []string{"127.0.0.1:3"}) // the flag replaces the whole list
 }
 
-func TestAdvertiseFollowsPeerListen(t *testing.T) {
+// Guards against advertising an address that peers can't connect to.
+func TestAdvertiseDefaultsToPeerListen(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse(append(least[:4:4], "--peer-listen=10.0.0.7:7402"), nil)
+	s, err := Parse(append(requiredFlags[:4:4], "--peer-listen=10.0.0.7:7402"), nil)
 	is.NoErr(err)
 	is.Equal(s.AdvertisedAddr(7402), "10.0.0.7:7402")
 
-	_, err = Parse(least[:4:4], nil) // listens on all: no peer could dial that
+	_, err = Parse(requiredFlags[:4:4], nil) // the default listens on all interfaces, and peers can't dial 0.0.0.0
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "--advertise"))
 }
 
-// Each wrong value is refused with the setting, the value and what is allowed.
-func TestWrongValues(t *testing.T) {
+// Guards against an error for an invalid value that lacks the setting, the value or
+// the valid values.
+func TestInvalidValues(t *testing.T) {
 	for flag, value := range map[string]string{
 		"service":       "a b",
 		"data-centre":   "",
@@ -79,30 +82,31 @@
 				is := is.New(t)
 				var err error
 				if source == "flag" {
-					_, err = parse(nil, "--"+flag+"="+value)
+					_, err = parseRequiredAnd(nil, "--"+flag+"="+value)
 				} else {
 					name := "CASSIALOOM_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
-					_, err = Parse(without(least, flag), []string{name + "=" + value})
+					_, err = Parse(without(requiredFlags, flag), []string{name + "=" + value})
 				}
 				is.True(err != nil)
 				is.True(!IsHelp(err))
 				is.True(strings.Contains(err.Error(), "--"+flag)) // the setting
 				is.True(strings.Contains(err.Error(), value))     // its value
-				is.True(strings.Contains(err.Error(), "want "))   // what is allowed
+				is.True(strings.Contains(err.Error(), "want "))   // the valid values
 			})
 		}
 	}
 }
 
-// A key must not be promised for longer than the log keeps its binding.
-func TestKeysNeverOutliveTheLog(t *testing.T) {
+// Guards against keys that are held for longer than the log keeps their bindings.
+func TestKeyHeldForIsLimitedByLogRetention(t *testing.T) {
 	is := is.New(t)
-	_, err := parse(nil, "--log-retention=5m", "--key-held-for=4m50s")
+	_, err := parseRequiredAnd(nil, "--log-retention=5m", "--key-held-for=4m50s")
 	is.True(err != nil && strings.Contains(err.Error(), "--key-held-for"))
-	_, err = parse(nil, "--log-retention=5m", "--key-held-for=4m45s")
+	_, err = parseRequiredAnd(nil, "--log-retention=5m", "--key-held-for=4m45s")
 	is.NoErr(err)
 }
 
+// without returns args without the given flag.
 func without(args []string, flag string) []string {
 	var rest []string
 	for _, a := range args {
@@ -113,17 +117,19 @@
 	return rest
 }
 
+// Guards against ignoring a misspelt variable, flag or argument.
 func TestUnknownSettings(t *testing.T) {
 	is := is.New(t)
-	_, err := parse([]string{"CASSIALOOM_QUEU=7"})
+	_, err := parseRequiredAnd([]string{"CASSIALOOM_QUEU=7"})
 	is.True(err != nil && strings.Contains(err.Error(), "CASSIALOOM_QUEU"))
-	_, err = parse(nil, "--queu=7")
+	_, err = parseRequiredAnd(nil, "--queu=7")
 	is.True(err != nil && strings.Contains(err.Error(), "queu"))
-	_, err = parse(nil, "start")
+	_, err = parseRequiredAnd(nil, "start")
 	is.True(err != nil && strings.Contains(err.Error(), "start"))
 }
 
-func TestHelpNamesEverySettingAndVariable(t *testing.T) {
+// Guards against a setting that is missing from the help.
+func TestHelpListsEverySettingAndVariable(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse([]string{"--help"}, nil)
 	is.True(IsHelp(err))
