--- a/caller/client.go
+++ b/caller/client.go
@@ -20,7 +20,8 @@
 	idleConnTimeout  = 60 * time.Second
 )
 
-// Client sends requests. It is safe for concurrent use; Close it at the end.
+// Client sends requests to nodes. It is safe for concurrent use. Close releases its
+// resources.
 type Client struct {
 	cfg  Config
 	http *http.Client
@@ -29,11 +30,13 @@
 	mu     sync.Mutex
 	rng    *mathrand.Rand
 	budget *retry.Budget
-	turn   int
-	avoid  map[string]time.Time
+	// nodeIndex is the index of the next node in cfg.Nodes.
+	nodeIndex int
+	// avoidUntil holds the end of the time for which each node is avoided.
+	avoidUntil map[string]time.Time
 }
 
-// New returns a client, or an error that names the wrong setting.
+// New returns a client, or an error that names the first invalid setting.
 func New(cfg Config) (*Client, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -46,59 +49,60 @@
 		transport = &http.Transport{MaxIdleConnsPerHost: idleConnsPerNode, IdleConnTimeout: idleConnTimeout}
 	}
 	c := &Client{
-		cfg:    cfg,
-		http:   &http.Client{Transport: transport, CheckRedirect: noRedirect},
-		rng:    mathrand.New(mathrand.NewPCG(cfg.Seed, 0)),
-		budget: retry.NewBudget(cfg.Retry, time.Now()),
-		avoid:  make(map[string]time.Time),
+		cfg:        cfg,
+		http:       &http.Client{Transport: transport, CheckRedirect: noRedirect},
+		rng:        mathrand.New(mathrand.NewPCG(cfg.Seed, 0)),
+		budget:     retry.NewBudget(cfg.Retry, time.Now()),
+		avoidUntil: make(map[string]time.Time),
 	}
-	c.turn = c.rng.IntN(len(cfg.Nodes))
+	c.nodeIndex = c.rng.IntN(len(cfg.Nodes))
 	c.keys = newKeyPool(cfg, c.mint)
 	return c, nil
 }
 
-// Close ends what runs in the background and frees idle connections.
-// Requests under way are not affected.
+// Close stops fetching keys and closes idle connections. It doesn't affect requests in
+// progress.
 func (c *Client) Close() {
 	c.keys.close()
 	c.http.CloseIdleConnections()
 }
 
-// noRedirect hands a backend server's redirect to the program: following it
-// would leave the node and its promises.
+// noRedirect returns redirects of backend servers to the program. Following one would
+// bypass the node and its guarantees.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Do sends a request and, where it is safe and worthwhile, sends it again. An
-// error is always a *verdict.Error.
+// Do sends a request and retries it where that is safe and may succeed. An error is
+// always a *verdict.Error, whose verdict covers all attempts.
 func (c *Client) Do(ctx context.Context, req Request) (*Response, error) {
 	if req.RequestID == "" {
 		req.RequestID = rand.Text()
 	}
-	_, given := ctx.Deadline()
-	req.announceDeadline = given || req.Deadline > 0
+	_, hasDeadline := ctx.Deadline()
+	req.announceDeadline = hasDeadline || req.Deadline > 0
 	if req.Deadline <= 0 {
 		req.Deadline = c.cfg.Deadline
 	}
 	ctx, cancel := context.WithTimeout(ctx, req.Deadline)
 	defer cancel()
 	c.countRequest()
-	course := &course{cfg: c.cfg, safe: req.Idempotent || req.Key != "" || req.MintKey}
+	retries := &retries{cfg: c.cfg, safe: req.Idempotent || req.Key != "" || req.MintKey}
 	for {
 		res, err := c.tryOnce(ctx, &req)
 		if err == nil {
-			return c.complete(res, &req, course), nil
+			return c.complete(res, &req, retries), nil
 		}
 		e := verdict.From(err)
-		step := course.failed(e, timeLeft(ctx), c.random(), c.allowResend)
-		if !step.Again || !pause.For(ctx, step.Wait) {
-			return nil, course.conclude(e)
+		next := retries.afterFailure(e, remaining(ctx), c.random(), c.allowResend)
+		if !next.Retry || !pause.For(ctx, next.Wait) {
+			return nil, retries.finalError(e)
 		}
-		c.renewKey(&req, e, course)
+		c.renewKey(&req, e, retries)
 	}
 }
 
-func (c *Client) complete(res *Response, req *Request, course *course) *Response {
-	res.Attempts = course.attempts + 1
+// complete adds what the client knows about the request to its answer.
+func (c *Client) complete(res *Response, req *Request, retries *retries) *Response {
+	res.Attempts = retries.attempts + 1
 	res.Key = req.Key
 	if res.RequestID == "" {
 		res.RequestID = req.RequestID
@@ -106,8 +110,8 @@
 	return res
 }
 
-// tryOnce makes one attempt. A failure to get a key is one too: the request
-// was not sent, so it did not run.
+// tryOnce makes one attempt. If it can't get a key, the attempt fails as "not run",
+// since the request was not sent.
 func (c *Client) tryOnce(ctx context.Context, req *Request) (*Response, error) {
 	if req.MintKey && req.Key == "" {
 		key, err := c.Mint(ctx, req.Service, req.Operation)
@@ -118,27 +122,29 @@
 	}
 	node := c.pickNode()
 	res, reached, err := c.attempt(ctx, node, req)
-	if (!reached || leaving(err)) && ctx.Err() == nil {
+	if (!reached || isDraining(err)) && ctx.Err() == nil {
 		c.avoidNode(node)
 	}
 	return res, err
 }
 
-func leaving(err error) bool {
+// isDraining reports whether the node refused the request because it is draining.
+func isDraining(err error) bool {
 	return err != nil && verdict.From(err).Reason == verdict.Draining
 }
 
-// renewKey drops a minted key, so that the next attempt takes another.
-func (c *Client) renewKey(req *Request, e *verdict.Error, course *course) {
-	if !req.MintKey || req.Key == "" || !course.wantsNewKey(e) {
+// renewKey removes the minted key of req if the next attempt should use another.
+func (c *Client) renewKey(req *Request, e *verdict.Error, retries *retries) {
+	if !req.MintKey || req.Key == "" || !retries.wantsNewKey(e) {
 		return
 	}
-	if holderUnfit(e.Reason) {
-		c.keys.forget(req.Key)
+	if holderUnavailable(e.Reason) {
+		c.keys.dropKeysOfHolder(req.Key)
 	}
 	req.Key = ""
 }
 
+// asNotRun returns err with the verdict "not run".
 func asNotRun(err error) error {
 	e := *verdict.From(err)
 	e.Verdict = verdict.NotRun
@@ -154,7 +160,7 @@
 func (c *Client) allowResend() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.budget.Allow(time.Now(), math.MaxUint16) // all resends of one caller count alike
+	return c.budget.Allow(time.Now(), math.MaxUint16) // resends of a caller have no order
 }
 
 func (c *Client) random() float64 {
@@ -163,34 +169,36 @@
 	return c.rng.Float64()
 }
 
-// pickNode takes the nodes in turn and passes over those that could not be
-// reached or were leaving lately, unless that leaves none.
+// pickNode returns the next node in round-robin order that is not avoided, or the next
+// one if all are avoided.
 func (c *Client) pickNode() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	for range c.cfg.Nodes {
 		node := c.nextNode()
-		if now.After(c.avoid[node]) {
+		if now.After(c.avoidUntil[node]) {
 			return node
 		}
 	}
 	return c.nextNode()
 }
 
+// nextNode returns the next node in round-robin order. The caller holds c.mu.
 func (c *Client) nextNode() string {
-	node := c.cfg.Nodes[c.turn]
-	c.turn = (c.turn + 1) % len(c.cfg.Nodes)
+	node := c.cfg.Nodes[c.nodeIndex]
+	c.nodeIndex = (c.nodeIndex + 1) % len(c.cfg.Nodes)
 	return node
 }
 
 func (c *Client) avoidNode(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.avoid[node] = time.Now().Add(c.cfg.AvoidFor)
+	c.avoidUntil[node] = time.Now().Add(c.cfg.AvoidFor)
 }
 
-func timeLeft(ctx context.Context) time.Duration {
+// remaining returns the time until the deadline of ctx, zero if it has none.
+func remaining(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return 0
--- a/caller/client_test.go
+++ b/caller/client_test.go
@@ -26,33 +26,36 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fate is what befalls one attempt.
-type fate int
+// outcome is the simulated outcome of an attempt.
+type outcome int
 
 const (
-	answered    fate = iota // runs, the answer arrives
-	unreachable             // no connection
-	lostBefore              // sent, never runs, no answer
-	lostAfter               // sent, runs, no answer
-	refused                 // "not run", come back later
-	leaves                  // "not run", the node is leaving
-	invalid                 // "not run", and no resend can help
-	cut                     // runs, the answer ends early
-	fates
+	answered    outcome = iota // runs, the answer arrives
+	unreachable                // no connection
+	lostBefore                 // sent, never runs, no answer
+	lostAfter                  // sent, runs, no answer
+	refused                    // "not run", with a Retry-After
+	draining                   // "not run", the node is draining
+	invalid                    // "not run", a retry can't succeed
+	truncated                  // runs, the answer ends early
+	outcomes                   // the number of outcomes
 )
 
-// fakeNode runs requests like a node that holds every key it minted.
+// fakeNode simulates a node that holds every key that it minted.
 type fakeNode struct {
-	mu     sync.Mutex
-	script []fate
+	mu sync.Mutex
+	// script holds the outcomes of the next attempts; then all are answered.
+	script []outcome
 	runs   int
 	byKey  map[string]bool
 	minted int
-	seen   []time.Time
-	hosts  []string
-	ids    map[string]bool
-	mint   *once.Mint
-	dead   wire.NodeID
+	// attempts and hosts hold the time and the address of each attempt.
+	attempts []time.Time
+	hosts    []string
+	ids      map[string]bool
+	mint     *once.Mint
+	// dead is the holder of keys that has lost its backend server.
+	dead wire.NodeID
 }
 
 var errBroken = errors.New("connection reset")
@@ -68,7 +71,7 @@
 		}
 		return reply(http.StatusOK, fmt.Sprintf(`{"key":"cl1.%d","held_ms":60000}`, f.minted), ""), nil
 	}
-	f.seen = append(f.seen, time.Now())
+	f.attempts = append(f.attempts, time.Now())
 	f.hosts = append(f.hosts, r.URL.Host)
 	if info, err := once.ParseKey(keyOf(r)); err == nil && info.Minted && info.Holder == f.dead {
 		return reply(http.StatusServiceUnavailable, "no backend", verdict.NoBackend), nil
@@ -82,10 +85,10 @@
 		return nil, &net.OpError{Op: "dial", Err: errBroken}
 	}
 	httptrace.ContextClientTrace(r.Context()).WroteHeaders()
-	return f.meet(next, keyOf(r))
+	return f.respond(next, keyOf(r))
 }
 
-// keyOf reads the header as a server would: in whatever case it was sent.
+// keyOf returns the idempotency key, ignoring the case of the header like a server.
 func keyOf(r *http.Request) string {
 	for name, values := range r.Header {
 		if http.CanonicalHeaderKey(name) == headerKey {
@@ -95,7 +98,8 @@
 	return ""
 }
 
-func (f *fakeNode) meet(next fate, key string) (*http.Response, error) {
+// respond runs the request, if the outcome includes that, and returns its answer.
+func (f *fakeNode) respond(next outcome, key string) (*http.Response, error) {
 	switch next {
 	case lostBefore:
 		return nil, errBroken
@@ -103,7 +107,7 @@
 		res := reply(http.StatusServiceUnavailable, "busy", verdict.Shed)
 		res.Header.Set(headerRetryAfterMs, "200")
 		return res, nil
-	case leaves:
+	case draining:
 		res := reply(http.StatusServiceUnavailable, "draining", verdict.Draining)
 		res.Header.Set(headerRetryAfter, "1")
 		return res, nil
@@ -118,16 +122,18 @@
 		return nil, errBroken
 	}
 	res := reply(http.StatusOK, "done", "")
-	if next == cut {
+	if next == truncated {
 		res.Body = io.NopCloser(io.MultiReader(strings.NewReader("do"), brokenReader{}))
 	}
 	return res, nil
 }
 
+// brokenReader fails as a connection that breaks within a body.
 type brokenReader struct{}
 
 func (brokenReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
+// reply returns an answer; it is a refusal if reason is not empty.
 func reply(status int, body string, reason verdict.Reason) *http.Response {
 	w := httptest.NewRecorder()
 	w.Header().Set(headerVerdict, "ran")
@@ -140,7 +146,7 @@
 	return w.Result()
 }
 
-func newFake(script ...fate) *fakeNode {
+func newFakeNode(script ...outcome) *fakeNode {
 	return &fakeNode{script: script, byKey: make(map[string]bool), ids: make(map[string]bool)}
 }
 
@@ -156,7 +162,8 @@
 	return c
 }
 
-func one(t *testing.T, f *fakeNode, req Request) (res *Response, err error) {
+// doOnce sends one request with a new client and a fake clock.
+func doOnce(t *testing.T, f *fakeNode, req Request) (res *Response, err error) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClient(t, f)
 		defer c.Close()
@@ -165,14 +172,13 @@
 	return res, err
 }
 
-// Whatever befalls the attempts, the verdict is true of all of them together,
-// an action that must not run twice does not, and attempts are bounded. The
-// oracle counts what ran.
-func TestPropVerdictIsTrueOfAllAttempts(t *testing.T) {
+// Guards against a verdict that is wrong for the attempts together, against a second
+// run of a request that isn't idempotent, and against too many attempts.
+func TestPropVerdictCoversAllAttempts(t *testing.T) {
 	proptest.Check(t, func(rt *rapid.T) {
-		var script []fate
+		var script []outcome
 		for range DefaultConfig().Attempts + 1 {
-			script = append(script, fate(rapid.IntRange(0, int(fates)-1).Draw(rt, "fate")))
+			script = append(script, outcome(rapid.IntRange(0, int(outcomes)-1).Draw(rt, "fate")))
 		}
 		req := Request{Service: "alertdesk", Operation: "issue", Body: []byte("notice")}
 		switch rapid.SampledFrom([]string{"plain", "minted", "own", "idempotent"}).Draw(rt, "kind") {
@@ -183,49 +189,47 @@
 		case "idempotent":
 			req.Idempotent = true
 		}
-		f := newFake(script...)
-		res, err := one(t, f, req)
+		f := newFakeNode(script...)
+		res, err := doOnce(t, f, req)
 		if f.runs > 1 && !req.Idempotent {
 			rt.Fatalf("ran %d times: %v", f.runs, script)
 		}
-		if len(f.seen) > DefaultConfig().Attempts || len(f.ids) != 1 {
-			rt.Fatalf("%d attempts, ids %v", len(f.seen), f.ids)
+		if len(f.attempts) > DefaultConfig().Attempts || len(f.ids) != 1 {
+			rt.Fatalf("%d attempts, ids %v", len(f.attempts), f.ids)
 		}
 		if err == nil {
-			if string(res.Body) != "done" || f.runs == 0 || res.Attempts != len(f.seen) {
+			if string(res.Body) != "done" || f.runs == 0 || res.Attempts != len(f.attempts) {
 				rt.Fatalf("answer %+v after %d runs", res, f.runs)
 			}
 			return
 		}
 		e := verdict.From(err)
 		if e.Verdict == verdict.NotRun && f.runs > 0 {
-			rt.Fatalf("said not run, ran %d times: %v", f.runs, script)
+			rt.Fatalf("verdict not run, ran %d times: %v", f.runs, script)
 		}
 		if e.Verdict == verdict.Ran && f.runs == 0 {
-			rt.Fatalf("said ran: %v", script)
+			rt.Fatalf("verdict ran without a run: %v", script)
 		}
 	})
 }
 
-// The caller gets its answer after a refusal, and not before the node asked
-// it to come back.
-func TestRetryAfterIsHeeded(t *testing.T) {
+// Guards against a retry before the Retry-After of the node.
+func TestRetryWaitsForRetryAfter(t *testing.T) {
 	is := is.New(t)
-	f := newFake(refused)
-	res, err := one(t, f, Request{Service: "plumecast", Operation: "forecast"})
+	f := newFakeNode(refused)
+	res, err := doOnce(t, f, Request{Service: "plumecast", Operation: "forecast"})
 	is.NoErr(err)
 	is.Equal(res.Attempts, 2)
-	waited := f.seen[1].Sub(f.seen[0])
+	waited := f.attempts[1].Sub(f.attempts[0])
 	is.True(waited >= 200*time.Millisecond && waited <= 300*time.Millisecond)
 }
 
-// The node that all keys fetched ahead name loses its backend server and
-// refuses them. One refusal is enough to send the request under a key of
-// another node; the other keys must not cost an attempt each.
-func TestKeysOfADeadHolderAreDropped(t *testing.T) {
+// Guards against an attempt for each held key of a node that has lost its backend
+// server: the first refusal must drop them all.
+func TestKeysOfUnavailableHolderAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFake()
+		f := newFakeNode()
 		c := newClient(t, f)
 		defer c.Close()
 		mintOf := func(id wire.NodeID) *once.Mint {
@@ -244,12 +248,11 @@
 	})
 }
 
-// The node that the caller knows is leaving: the request goes on to another at
-// once, and so do the next ones.
-func TestLeavingNodeIsLeft(t *testing.T) {
+// Guards against waiting for a draining node, and against sending more requests to it.
+func TestDrainingNodeIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFake(leaves)
+		f := newFakeNode(draining)
 		c := newClient(t, f)
 		defer c.Close()
 		for range 4 {
@@ -257,31 +260,31 @@
 			is.NoErr(err)
 		}
 		is.Equal(len(f.hosts), 5)
-		is.True(f.seen[4].Sub(f.seen[0]) <= 75*time.Millisecond)
+		is.True(f.attempts[4].Sub(f.attempts[0]) <= 75*time.Millisecond)
 		for _, host := range f.hosts[1:] {
 			is.True(host != f.hosts[0])
 		}
 	})
 }
 
-// The time proposed lies past the deadline: the error comes at once, with
-// that time in it, and not when the deadline has passed.
-func TestHopelessWaitIsNotBegun(t *testing.T) {
+// Guards against waiting for a Retry-After that exceeds the deadline: the error must
+// be returned at once.
+func TestRetryAfterPastDeadlineFailsAtOnce(t *testing.T) {
 	is := is.New(t)
-	f := newFake(refused, refused)
-	_, err := one(t, f, Request{Service: "plumecast", Operation: "forecast", Deadline: 150 * time.Millisecond})
+	f := newFakeNode(refused, refused)
+	_, err := doOnce(t, f, Request{Service: "plumecast", Operation: "forecast", Deadline: 150 * time.Millisecond})
 	e := verdict.From(err)
 	is.Equal(e.Verdict, verdict.NotRun)
 	is.Equal(e.RetryAfter, 200*time.Millisecond)
-	is.Equal(len(f.seen), 1)
+	is.Equal(len(f.attempts), 1)
 }
 
-// Many requests fail in a row: resends stay a small share of them, so that
-// callers do not keep an overload going.
-func TestResendsAreAShareOfRequests(t *testing.T) {
+// Guards against retries that sustain an overload: they must stay a small share of the
+// requests.
+func TestRetriesAreLimitedToShareOfRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFake()
+		f := newFakeNode()
 		for range 2000 {
 			f.script = append(f.script, refused)
 		}
@@ -292,18 +295,18 @@
 			is.True(err != nil)
 		}
 		cfg := DefaultConfig().Retry
-		elapsed := f.seen[len(f.seen)-1].Sub(f.seen[0]).Seconds()
+		elapsed := f.attempts[len(f.attempts)-1].Sub(f.attempts[0]).Seconds()
 		bound := 1000*cfg.Ratio + cfg.Burst + elapsed*cfg.MinPerSecond + 1
-		is.True(len(f.seen)-1000 <= int(bound))
+		is.True(len(f.attempts)-1000 <= int(bound))
 	})
 }
 
-// Keys are there before they are needed, and one that is about to expire is
-// not used: its resend would be refused.
-func TestKeysAreFetchedAheadAndExpire(t *testing.T) {
+// Guards against a round trip for each key, and against using a key that expires before
+// a resend.
+func TestKeysArePrefetchedAndExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFake()
+		f := newFakeNode()
 		c := newClient(t, f)
 		defer c.Close()
 		first, err := c.Mint(t.Context(), "alertdesk", "issue")
@@ -327,18 +330,17 @@
 	})
 }
 
-// A node takes a request with a key and breaks the connection, which was used
-// before. net/http would send such a request again by itself, past the bound
-// on attempts; the client makes the one attempt that it counts.
-func TestTransportMakesNoAttemptsOfItsOwn(t *testing.T) {
+// Guards against resends by http.Transport, which the limit on attempts doesn't cover,
+// when a reused connection breaks.
+func TestTransportDoesNotResend(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
-	taken := 0
+	received := 0
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		taken++
-		if taken > 1 {
+		received++
+		if received > 1 {
 			panic(http.ErrAbortHandler)
 		}
 	}))
@@ -356,5 +358,5 @@
 	is.Equal(verdict.From(err).Verdict, verdict.MayHaveRun)
 	mu.Lock()
 	defer mu.Unlock()
-	is.Equal(taken, 2)
+	is.Equal(received, 2)
 }
--- a/caller/config.go
+++ b/caller/config.go
@@ -8,42 +8,42 @@
 	"github.com/cassialoom/cassialoom/retry"
 )
 
-// Config of a Client.
+// Config configures a Client.
 type Config struct {
-	// Nodes are the callers' addresses (host:port) of one or more nodes.
-	// Give several: the client goes to the next when one does not answer.
+	// Nodes holds the callers' addresses (host:port) of one or more nodes. With
+	// several, the client fails over to another node.
 	Nodes []string
-	// Attempts is the most attempts for one request, the first included.
-	// Three: a fourth rarely succeeds where three have failed.
+	// Attempts is the maximum number of attempts for a request, including the
+	// first.
 	Attempts int
-	// Retry bounds the extra attempts of all requests to a share of them.
+	// Retry limits the retries of all requests to a share of the requests.
 	Retry retry.Config
-	// Backoff is the least wait before the second attempt when the node
-	// proposes no time; it doubles with each attempt.
+	// Backoff is the minimum wait before the second attempt. It doubles with
+	// each attempt; a longer Retry-After replaces it.
 	Backoff time.Duration
-	// Jitter is the share of a wait that is added at random, so that callers
-	// refused in the same moment do not come back in the same moment.
+	// Jitter is the maximum random addition to a wait, as a share of it, so that
+	// callers refused at the same time don't retry at the same time.
 	Jitter float64
-	// Deadline is used for requests that give none.
+	// Deadline is the default of Request.Deadline.
 	Deadline time.Duration
-	// Keys is the number of minted keys kept ahead for each operation. Eight
-	// cover a burst; more would expire unused.
+	// Keys is the number of minted keys fetched in advance for each operation.
 	Keys int
-	// KeyMargin is the least life that a key must have left when it is used:
-	// it must outlast the resends of its request.
+	// KeyMargin is the minimum remaining lifetime of a minted key at its first
+	// use. The key must outlive the resends of its request.
 	KeyMargin time.Duration
-	// AvoidFor is how long a node that could not be reached, or is leaving, is
-	// passed over.
+	// AvoidFor is the time for which the client avoids a node that was
+	// unreachable or draining.
 	AvoidFor time.Duration
-	// MaxAnswer is the largest body of an answer, in bytes.
+	// MaxAnswer is the maximum size of the body of an answer in bytes.
 	MaxAnswer int64
-	// Seed of the jitter and of the order of nodes; zero draws one.
+	// Seed is the random seed of the jitter and of the first node; zero means a
+	// random one.
 	Seed uint64
-	// Transport is replaced in tests; nil for one of the client's own.
+	// Transport sends the HTTP requests; nil means a new http.Transport.
 	Transport http.RoundTripper
 }
 
-// DefaultConfig lacks only Nodes.
+// DefaultConfig returns the defaults. Nodes must be set.
 func DefaultConfig() Config {
 	return Config{
 		Attempts:  3,
@@ -58,6 +58,7 @@
 	}
 }
 
+// check returns an error that names the first invalid setting.
 func (c Config) check() error {
 	switch {
 	case len(c.Nodes) == 0:
--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -16,7 +16,7 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// The headers of the callers' interface.
+// Headers of the callers' interface of a node.
 const (
 	headerDeadline     = "Cassialoom-Deadline-Ms"
 	headerImportance   = "Cassialoom-Importance"
@@ -29,24 +29,24 @@
 	headerKeyHeld      = "Cassialoom-Key-Held-Ms"
 )
 
-// headerKeyOnWire is headerKey in a form that only net/http tells apart. Its
-// transport resends a request with "Idempotency-Key" by itself when a used
-// connection breaks, and such attempts escape the bounds. It looks for the
-// canonical form alone; to the node the case of a header makes no difference.
-// headerXKey has the same effect and no meaning to a node: it is dropped.
+// headerKeyOnWire is headerKey in lower case. http.Transport itself resends a request
+// with an "Idempotency-Key" when a reused connection breaks, and such attempts are not
+// limited by the client. The transport looks only for the canonical form, while nodes
+// ignore the case. headerXKey has the same effect; nodes don't know it, so the client
+// removes it.
 const (
 	headerKeyOnWire = "idempotency-key"
 	headerXKey      = "X-Idempotency-Key"
 )
 
-// maxDetail bounds how much of a refusal's body goes into the error.
+// maxDetail limits the part of the body of a refusal that an error quotes, in bytes.
 const maxDetail = 512
 
-// errTooLarge says that an answer exceeds Config.MaxAnswer.
+// errTooLarge means that an answer exceeds its size limit.
 var errTooLarge = errors.New("answer exceeds the limit")
 
-// attempt makes one attempt at one node. reached is false if the node could
-// not be reached at all.
+// attempt makes one attempt at one node. reached is false if the node gave no HTTP
+// answer.
 func (c *Client) attempt(ctx context.Context, node string, req *Request) (res *Response, reached bool, err error) {
 	h, err := c.newRequest(ctx, node, req)
 	if err != nil {
@@ -58,32 +58,34 @@
 	}
 	defer answer.Body.Close()
 	body, err := readLimited(answer.Body, c.cfg.MaxAnswer)
-	said := verdict.Parse(answer.Header.Get(headerVerdict))
+	v := verdict.Parse(answer.Header.Get(headerVerdict))
 	if err != nil {
-		return nil, true, unreadable(ctx, node, said, err)
+		return nil, true, incompleteAnswer(ctx, node, v, err)
 	}
 	if reason := verdict.Reason(answer.Header.Get(headerReason)); reason != verdict.None {
 		return nil, true, &verdict.Error{
-			Verdict:    said,
+			Verdict:    v,
 			Reason:     reason,
 			RetryAfter: retryAfter(answer.Header),
 			Detail:     detail(body),
 		}
 	}
-	return newResponse(answer, body, said), true, nil
+	return newResponse(answer, body, v), true, nil
 }
 
-func newResponse(answer *http.Response, body []byte, said verdict.Verdict) *Response {
+// newResponse returns the response for a complete answer of a backend server.
+func newResponse(answer *http.Response, body []byte, v verdict.Verdict) *Response {
 	return &Response{
 		Status:    answer.StatusCode,
 		Header:    answer.Header,
 		Body:      body,
-		Verdict:   said,
+		Verdict:   v,
 		RequestID: answer.Header.Get(headerRequestID),
 		KeyHeld:   millis(answer.Header.Get(headerKeyHeld)),
 	}
 }
 
+// newRequest returns the HTTP request for one attempt at a node.
 func (c *Client) newRequest(ctx context.Context, node string, req *Request) (*http.Request, error) {
 	u := url.URL{Scheme: "http", Host: node, Path: "/call/" + req.Service + "/" + req.Operation, RawQuery: req.Query}
 	h, err := http.NewRequestWithContext(ctx, http.MethodPost, u.String(), bytes.NewReader(req.Body))
@@ -95,8 +97,8 @@
 	}
 	h.Header.Set(headerRequestID, req.RequestID)
 	if deadline, ok := ctx.Deadline(); ok && req.announceDeadline {
-		left := max(time.Until(deadline).Milliseconds(), 1)
-		h.Header.Set(headerDeadline, strconv.FormatInt(left, 10))
+		remainingMs := max(time.Until(deadline).Milliseconds(), 1)
+		h.Header.Set(headerDeadline, strconv.FormatInt(remainingMs, 10))
 	}
 	if req.Importance != nil {
 		h.Header.Set(headerImportance, req.Importance.String())
@@ -109,8 +111,8 @@
 	return h, nil
 }
 
-// roundTrip reports whether the request's headers were written: before that a
-// node cannot have taken it.
+// roundTrip sends a request and reports whether its headers were sent. If not, no node
+// can have received it.
 func (c *Client) roundTrip(h *http.Request) (*http.Response, bool, error) {
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{WroteHeaders: func() { sent.Store(true) }}
@@ -119,34 +121,41 @@
 	return res, sent.Load(), err
 }
 
+// transportError returns the error for an attempt without an answer. Its verdict is
+// "not run" if nothing was sent.
 func transportError(ctx context.Context, node string, sent bool, err error) *verdict.Error {
-	e := verdict.Refuse(failure(ctx, verdict.Lost), "node %s: %v", node, err)
+	e := verdict.Refuse(failureReason(ctx, verdict.Lost), "node %s: %v", node, err)
 	if sent {
 		e.Verdict = verdict.MayHaveRun
 	}
 	return e
 }
 
-func unreadable(ctx context.Context, node string, said verdict.Verdict, err error) *verdict.Error {
-	reason := failure(ctx, verdict.Incomplete)
+// incompleteAnswer returns the error for an answer whose body could not be read or is
+// too large.
+func incompleteAnswer(ctx context.Context, node string, v verdict.Verdict, err error) *verdict.Error {
+	reason := failureReason(ctx, verdict.Incomplete)
 	if errors.Is(err, errTooLarge) {
 		reason = verdict.TooLarge
 	}
-	return &verdict.Error{Verdict: said, Reason: reason, Detail: fmt.Sprintf("answer of node %s: %v", node, err)}
+	return &verdict.Error{Verdict: v, Reason: reason, Detail: fmt.Sprintf("answer of node %s: %v", node, err)}
 }
 
-// failure returns the reason, which is the caller's own if its context ended.
-func failure(ctx context.Context, otherwise verdict.Reason) verdict.Reason {
+// failureReason returns fallback unless ctx is done: then the deadline or the caller's
+// cancellation is the reason.
+func failureReason(ctx context.Context, fallback verdict.Reason) verdict.Reason {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return verdict.Deadline
 	case ctx.Err() != nil:
 		return verdict.Canceled
 	default:
-		return otherwise
+		return fallback
 	}
 }
 
+// readLimited reads all of r. It returns an error that wraps errTooLarge if that is
+// more than limit bytes.
 func readLimited(r io.Reader, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
@@ -158,6 +167,7 @@
 	return body, nil
 }
 
+// retryAfter returns the delay that a node asks for, zero if it asks for none.
 func retryAfter(h http.Header) time.Duration {
 	if d := millis(h.Get(headerRetryAfterMs)); d > 0 {
 		return d
@@ -169,6 +179,7 @@
 	return time.Duration(seconds) * time.Second
 }
 
+// millis parses a number of milliseconds and returns zero if it is not valid.
 func millis(text string) time.Duration {
 	ms, err := strconv.ParseUint(text, 10, 40)
 	if err != nil {
@@ -177,6 +188,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
+// detail returns the beginning of a body for an error.
 func detail(body []byte) string {
 	if len(body) > maxDetail {
 		body = body[:maxDetail]
--- a/caller/keys.go
+++ b/caller/keys.go
@@ -14,34 +14,36 @@
 )
 
 const (
-	// mintTimeout bounds one request for a key made ahead of need.
+	// mintTimeout limits a request for a key that is fetched in advance.
 	mintTimeout = 2 * time.Second
-	// maxKeyAnswer bounds the answer that carries a key, in bytes.
+	// maxKeyAnswer limits the size of the answer with a key in bytes.
 	maxKeyAnswer = 4096
 )
 
-// heldKey is a minted key and the time, on this machine's own clock, until
-// which it may be used.
+// heldKey is a minted key and the end of the time in which it may be used first, on
+// this machine's clock.
 type heldKey struct {
 	key   string
 	useBy time.Time
 }
 
-// mintedKey is a node's answer to a request for a key.
+// mintedKey is the answer of a node to a request for a key.
 type mintedKey struct {
 	Key    string `json:"key"`
 	HeldMs int64  `json:"held_ms"`
 }
 
-// operation names what a key is good for.
+// operation is the operation of a service that a key is valid for.
 type operation struct {
 	service string
 	name    string
 }
 
+// mintFunc asks a node for a key.
 type mintFunc func(ctx context.Context, op operation) (heldKey, error)
 
-// keyPool keeps minted keys ahead for each operation that needed one.
+// keyPool holds minted keys that were fetched in advance, for each operation that has
+// needed one. It is safe for concurrent use.
 type keyPool struct {
 	cfg  Config
 	mint mintFunc
@@ -49,9 +51,10 @@
 	stop context.CancelFunc
 	work sync.WaitGroup
 
-	mu      sync.Mutex
-	closed  bool
-	held    map[operation][]heldKey
+	mu     sync.Mutex
+	closed bool
+	held   map[operation][]heldKey
+	// filling holds the operations whose keys a goroutine is fetching.
 	filling map[operation]bool
 }
 
@@ -67,6 +70,7 @@
 	}
 }
 
+// close stops fetching keys and waits until no goroutine does.
 func (p *keyPool) close() {
 	p.mu.Lock()
 	p.closed = true
@@ -75,8 +79,8 @@
 	p.work.Wait()
 }
 
-// take returns a key held for the operation, or asks for one, and starts to
-// replace what was taken.
+// take returns a held key for the operation, or requests one from a node, and starts to
+// refill the pool.
 func (p *keyPool) take(ctx context.Context, op operation) (string, error) {
 	key, ok := p.takeHeld(time.Now(), op)
 	p.refill(op)
@@ -87,8 +91,8 @@
 	return k.key, err
 }
 
-// takeHeld drops the keys that would expire before their request's resends
-// are through: their holder would refuse the resend.
+// takeHeld returns a held key, if there is one. It drops keys that could expire before
+// the last resend of their request.
 func (p *keyPool) takeHeld(now time.Time, op operation) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,12 +108,11 @@
 	return "", false
 }
 
-// forget drops the keys held of the node that named the given one. Without it
-// each of them would cost a request an attempt before a key of another node
-// is minted.
-func (p *keyPool) forget(key string) {
-	gone, err := once.ParseKey(key)
-	if err != nil || !gone.Minted {
+// dropKeysOfHolder drops all keys whose holder is that of the given key. Otherwise each
+// of them would cost a request a failed attempt.
+func (p *keyPool) dropKeysOfHolder(key string) {
+	unusable, err := once.ParseKey(key)
+	if err != nil || !unusable.Minted {
 		return
 	}
 	p.mu.Lock()
@@ -117,12 +120,13 @@
 	for op, keys := range p.held {
 		p.held[op] = slices.DeleteFunc(keys, func(k heldKey) bool {
 			info, err := once.ParseKey(k.key)
-			return err == nil && info.Holder == gone.Holder
+			return err == nil && info.Holder == unusable.Holder
 		})
 	}
 }
 
-// refill runs at most once at a time for an operation.
+// refill starts fetching keys of an operation, unless a goroutine already does or the
+// pool has enough.
 func (p *keyPool) refill(op operation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,6 +137,7 @@
 	p.work.Go(func() { p.fill(op) })
 }
 
+// fill fetches keys until the pool has enough or a request fails.
 func (p *keyPool) fill(op operation) {
 	for p.fillOne(op) {
 	}
@@ -141,8 +146,8 @@
 	p.filling[op] = false
 }
 
-// fillOne reports whether more keys are wanted. A failure ends the filling;
-// the next request that needs a key starts it again.
+// fillOne fetches one key and reports whether to fetch more. After a failure it returns
+// false; the next request that needs a key starts again.
 func (p *keyPool) fillOne(op operation) bool {
 	ctx, cancel := context.WithTimeout(p.ctx, mintTimeout)
 	defer cancel()
@@ -156,8 +161,8 @@
 	return len(p.held[op]) < p.cfg.Keys
 }
 
-// Mint returns a key for one request to the operation, for Request.Key. It
-// may be kept and used by another process of the caller.
+// Mint returns a minted key for one request to the operation, for use as Request.Key,
+// also in another process. An error is a *verdict.Error.
 func (c *Client) Mint(ctx context.Context, service, name string) (string, error) {
 	return c.keys.take(ctx, operation{service: service, name: name})
 }
@@ -170,22 +175,23 @@
 	if err != nil {
 		return heldKey{}, verdict.Refuse(verdict.BadRequest, "%v", err)
 	}
-	asked := time.Now()
+	requested := time.Now()
 	res, err := c.http.Do(req)
 	if err != nil {
 		if ctx.Err() == nil {
 			c.avoidNode(node)
 		}
-		return heldKey{}, verdict.Refuse(failure(ctx, verdict.Lost), "key from node %s: %v", node, err)
+		return heldKey{}, verdict.Refuse(failureReason(ctx, verdict.Lost), "key from node %s: %v", node, err)
 	}
 	defer res.Body.Close()
-	return c.readKey(ctx, asked, res)
+	return c.readKey(ctx, requested, res)
 }
 
-func (c *Client) readKey(ctx context.Context, asked time.Time, res *http.Response) (heldKey, error) {
+// readKey reads the key from an answer to a request that was sent at requested.
+func (c *Client) readKey(ctx context.Context, requested time.Time, res *http.Response) (heldKey, error) {
 	raw, err := readLimited(res.Body, maxKeyAnswer)
 	if err != nil {
-		return heldKey{}, verdict.Refuse(failure(ctx, verdict.Incomplete), "key: %v", err)
+		return heldKey{}, verdict.Refuse(failureReason(ctx, verdict.Incomplete), "key: %v", err)
 	}
 	if res.StatusCode != http.StatusOK {
 		return heldKey{}, refusedKey(res, raw)
@@ -197,12 +203,13 @@
 	if m.Key == "" {
 		return heldKey{}, verdict.Refuse(verdict.Internal, "node gave an empty key")
 	}
-	// The key's life is counted from before it was asked for, and never
-	// compared with another machine's clock.
-	life := time.Duration(m.HeldMs) * time.Millisecond
-	return heldKey{key: m.Key, useBy: asked.Add(life - c.cfg.KeyMargin)}, nil
+	// The lifetime begins when the key was requested, on this machine's clock, so
+	// that clock differences between machines don't matter.
+	lifetime := time.Duration(m.HeldMs) * time.Millisecond
+	return heldKey{key: m.Key, useBy: requested.Add(lifetime - c.cfg.KeyMargin)}, nil
 }
 
+// refusedKey returns the error for a refused request for a key.
 func refusedKey(res *http.Response, raw []byte) error {
 	reason := verdict.Reason(res.Header.Get(headerReason))
 	if reason == verdict.None {
--- a/caller/request.go
+++ b/caller/request.go
@@ -8,32 +8,33 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// Request to one operation.
+// Request is a request to an operation of a service.
 type Request struct {
 	Service   string
 	Operation string
 	Query     string
 	Header    http.Header
 	Body      []byte
-	// Importance lowers what the graph declares for the operation; nil
-	// leaves it. It cannot raise it.
+	// Importance lowers the importance that the graph declares for the
+	// operation; it can't raise it. Nil means the declared importance.
 	Importance *importance.Importance
-	// Deadline is the time that the whole request may take, resends
-	// included. An earlier deadline of the context counts as well. Without
-	// either the graph's declaration holds for each attempt, and
-	// Config.Deadline for the whole.
+	// Deadline limits the duration of the whole request including resends. An
+	// earlier deadline of the context applies too. Without either, the deadline
+	// that the graph declares limits each attempt, and Config.Deadline the
+	// whole request.
 	Deadline time.Duration
-	// RequestID names the request in logs and for `cassialoom explain`;
-	// empty lets the client draw one. All attempts carry the same.
+	// RequestID identifies the request in logs and for `cassialoom explain`.
+	// All attempts have the same; empty means a random one.
 	RequestID string
-	// Idempotent says that running the operation twice does no harm.
+	// Idempotent means that the operation may run more than once.
 	Idempotent bool
-	// MintKey sends the request under a key minted by a node.
+	// MintKey sends the request with a key minted by a node.
 	MintKey bool
-	// Key is a key of the caller's own or one from Client.Mint.
+	// Key is the caller's own idempotency key or one from Client.Mint.
 	Key string
 
-	// announceDeadline is set if the caller gave a deadline.
+	// announceDeadline means that the caller set a deadline, which is sent to
+	// the node.
 	announceDeadline bool
 }
 
@@ -44,10 +45,10 @@
 	Body      []byte
 	Verdict   verdict.Verdict
 	RequestID string
-	// Key is the key that the request was sent under, if any.
+	// Key is the idempotency key of the request, if any.
 	Key string
-	// KeyHeld is how long a resend with the key stays safe.
+	// KeyHeld is the time for which a resend with the key remains safe.
 	KeyHeld time.Duration
-	// Attempts is the number of attempts made, this one included.
+	// Attempts is the number of attempts made, including the last one.
 	Attempts int
 }
--- a/caller/resend.go
+++ b/caller/resend.go
@@ -6,71 +6,73 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// course is the decision whether to send a request again. It is not safe for
-// concurrent use.
-type course struct {
+// retries holds the failed attempts of a request and decides about retries. It is
+// not safe for concurrent use.
+type retries struct {
 	cfg Config
-	// safe says that an attempt after a doubt does no harm.
+	// safe means that a retry is safe even if an earlier attempt may have run.
 	safe     bool
 	attempts int
-	// worst is the strongest claim that a failed attempt leaves.
-	worst verdict.Verdict
+	// overall is the verdict of all failed attempts together.
+	overall verdict.Verdict
 }
 
-// next is what to do after a failed attempt.
-type next struct {
-	Again bool
+// decision says whether to retry after a failed attempt, and after which time.
+type decision struct {
+	Retry bool
 	Wait  time.Duration
 }
 
-// failed takes the error of the latest attempt. left is the time until the
-// deadline, jitter a random number in [0, 1), allowed whether the bound over
-// all requests has room.
-func (c *course) failed(e *verdict.Error, left time.Duration, jitter float64, allowed func() bool) next {
-	c.attempts++
-	c.worst = stronger(c.worst, e.Verdict)
-	if c.attempts >= c.cfg.Attempts || !worthwhile(e.Reason) {
-		return next{}
+// afterFailure records the error of the latest attempt and decides whether to retry.
+// remaining is the time until the deadline, jitter a random number in [0, 1), and allowed
+// reports whether the retry budget over all requests permits a retry.
+func (s *retries) afterFailure(e *verdict.Error, remaining time.Duration, jitter float64, allowed func() bool) decision {
+	s.attempts++
+	s.overall = stronger(s.overall, e.Verdict)
+	if s.attempts >= s.cfg.Attempts || !retryMaySucceed(e.Reason) {
+		return decision{}
 	}
-	if c.worst != verdict.NotRun && !c.safe {
-		return next{}
+	if s.overall != verdict.NotRun && !s.safe {
+		return decision{}
 	}
-	wait := c.wait(proposed(e), jitter)
-	if wait >= left || !allowed() {
-		return next{}
+	wait := s.wait(requestedDelay(e), jitter)
+	if wait >= remaining || !allowed() {
+		return decision{}
 	}
-	return next{Again: true, Wait: wait}
+	return decision{Retry: true, Wait: wait}
 }
 
-// proposed is the time that the node asks the caller to wait. A node that is
-// leaving asks it for itself: waiting for it would only delay the request,
-// since the next attempt goes to another node.
-func proposed(e *verdict.Error) time.Duration {
+// requestedDelay returns the Retry-After of an error. It ignores that of a draining
+// node, since the next attempt goes to another node.
+func requestedDelay(e *verdict.Error) time.Duration {
 	if e.Reason == verdict.Draining {
 		return 0
 	}
 	return e.RetryAfter
 }
 
-func (c *course) wait(proposed time.Duration, jitter float64) time.Duration {
-	backoff := c.cfg.Backoff << (c.attempts - 1)
-	wait := max(proposed, backoff)
-	return wait + time.Duration(float64(wait)*c.cfg.Jitter*jitter)
+// wait returns the time before the next attempt: the longer of the requested delay and
+// the exponential backoff, with jitter.
+func (s *retries) wait(requested time.Duration, jitter float64) time.Duration {
+	backoff := s.cfg.Backoff << (s.attempts - 1)
+	wait := max(requested, backoff)
+	return wait + time.Duration(float64(wait)*s.cfg.Jitter*jitter)
 }
 
-// conclude returns the error for the whole request. Without it an attempt
-// that was lost on its way, followed by a refusal, would be reported as "not
-// run" while the first attempt still arrives and runs.
-func (c *course) conclude(e *verdict.Error) *verdict.Error {
-	if c.worst == e.Verdict {
+// finalError returns the last error with the verdict of all attempts. After a lost
+// attempt and a refused one the verdict must not be "not run", since the lost attempt
+// may still arrive and run.
+func (s *retries) finalError(e *verdict.Error) *verdict.Error {
+	if s.overall == e.Verdict {
 		return e
 	}
-	whole := *e
-	whole.Verdict = c.worst
-	return &whole
+	final := *e
+	final.Verdict = s.overall
+	return &final
 }
 
-// stronger orders the claims: "ran" outweighs a doubt, a doubt "not run".
+// stronger returns the verdict that covers both attempts: "ran" outweighs "may have
+// run", and that outweighs "not run". An unknown verdict counts as "may have run".
 func stronger(a, b verdict.Verdict) verdict.Verdict {
 	if b == verdict.Unknown {
 		b = verdict.MayHaveRun
@@ -78,19 +80,19 @@
 	return max(a, b)
 }
 
-// worthwhile reports whether another attempt can fare better.
-func worthwhile(r verdict.Reason) bool {
-	return r.Elsewhere() || r == verdict.KeyNotBound || keySpent(r)
+// retryMaySucceed reports whether another attempt may succeed after the reason.
+func retryMaySucceed(r verdict.Reason) bool {
+	return r.Elsewhere() || r == verdict.KeyNotBound || keyUnusable(r)
 }
 
-// keySpent reports whether a new key would do better.
-func keySpent(r verdict.Reason) bool {
+// keyUnusable reports whether the request needs a new key.
+func keyUnusable(r verdict.Reason) bool {
 	return r == verdict.KeyExpired || r == verdict.KeyHolderGone
 }
 
-// holderUnfit reports whether the node that a key names cannot run requests,
-// so that its other keys are of no use either.
-func holderUnfit(r verdict.Reason) bool {
+// holderUnavailable reports whether the node that a key names can't run requests, so
+// that its other keys are unusable too.
+func holderUnavailable(r verdict.Reason) bool {
 	switch r {
 	case verdict.KeyHolderGone, verdict.NoBackend, verdict.Draining, verdict.Lost:
 		return true
@@ -99,9 +101,9 @@
 	}
 }
 
-// wantsNewKey reports whether a minted key should be replaced before the next
-// attempt: another holder may fare better. Never while the old key may have
-// run: the new one would run the action again.
-func (c *course) wantsNewKey(e *verdict.Error) bool {
-	return c.worst == verdict.NotRun && (e.Reason.Elsewhere() || keySpent(e.Reason))
+// wantsNewKey reports whether the next attempt should use a new minted key, because
+// another node may be able to run the request. While an attempt may have run it keeps
+// the key: under a new one the request could run twice.
+func (s *retries) wantsNewKey(e *verdict.Error) bool {
+	return s.overall == verdict.NotRun && (e.Reason.Elsewhere() || keyUnusable(e.Reason))
 }
