--- a/operator/explain.go
+++ b/operator/explain.go
@@ -14,28 +14,28 @@
 	"github.com/cassialoom/cassialoom/explain"
 )
 
-// timeFormat has microseconds: the steps of a call are often closer than one
+// timeFormat includes microseconds, since steps of a call often happen within a
 // millisecond.
 const timeFormat = "15:04:05.000000"
 
-// decision is an event with the node that noted it.
+// decision is an event with the node that recorded it.
 type decision struct {
 	explain.Event
 	member member
 }
 
-// Explain asks every node what it decided about a request and prints the
-// decisions in the order of time. Each time is that of its node's own clock:
-// only those of one node are certain to be in order.
+// Explain asks every node for its decisions about a request and prints them in order
+// of time. Times are those of the nodes' clocks, so only the order of one node's
+// decisions is certain. If no node has any, the error wraps ErrRefused.
 func (o *Operator) Explain(ctx context.Context, requestID string) error {
 	members, err := o.members(ctx)
 	if err != nil {
 		return err
 	}
 	answers := askAll[[]explain.Event](ctx, o, members, pathExplain+url.PathEscape(requestID))
-	decisions := merge(answers)
-	o.decisionTable(decisions)
-	failed := notAsked(o, answers)
+	decisions := mergeDecisions(answers)
+	o.printDecisions(decisions)
+	failed := reportFailures(o, answers)
 	if failed > 0 {
 		o.printf("%d of %d nodes could not be asked: what they decided is missing here\n", failed, len(members))
 	}
@@ -48,7 +48,8 @@
 	return refused("none of the %d nodes that answered remembers request %q; each keeps only its latest decisions", len(members)-failed, requestID)
 }
 
-func merge(answers []answer[[]explain.Event]) []decision {
+// mergeDecisions returns the decisions of all nodes in order of time.
+func mergeDecisions(answers []answer[[]explain.Event]) []decision {
 	var all []decision
 	for _, a := range answers {
 		if a.err != nil {
@@ -64,7 +65,8 @@
 	return all
 }
 
-func (o *Operator) decisionTable(decisions []decision) {
+// printDecisions prints a table of decisions.
+func (o *Operator) printDecisions(decisions []decision) {
 	if len(decisions) == 0 {
 		return
 	}
@@ -73,12 +75,13 @@
 	for _, d := range decisions {
 		fmt.Fprintf(w, "%s\t%s\t%s/%s\t%s\t%s\t%s\t%s\n",
 			d.Time.UTC().Format(timeFormat), d.member.ID.Short(), d.member.DataCentre, d.member.Service,
-			about(d.Event), d.Step, cmp.Or(string(d.Reason), "-"), printable(d.Detail))
+			operationName(d.Event), d.Step, cmp.Or(string(d.Reason), "-"), printable(d.Detail))
 	}
 	w.Flush()
 }
 
-func about(e explain.Event) string {
+// operationName returns the service and operation of an event.
+func operationName(e explain.Event) string {
 	switch {
 	case e.Service == "":
 		return "-"
@@ -89,8 +92,8 @@
 	}
 }
 
-// printable quotes a text with control characters: parts of it come from
-// callers and must not steer the operator's terminal.
+// printable quotes s if it has control characters: callers choose parts of it, which
+// must not control the operator's terminal.
 func printable(s string) string {
 	for _, r := range s {
 		if r < ' ' || r == 0x7f || (r >= 0x80 && r < 0xa0) {
@@ -100,7 +103,7 @@
 	return s
 }
 
-// Dump prints the state of the node at an operators' address.
+// Dump prints the state of the node with the operators' address addr as JSON.
 func (o *Operator) Dump(ctx context.Context, addr string) error {
 	body, err := o.get(ctx, addr, pathState)
 	if err != nil {
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -17,7 +17,7 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Paths of the nodes' operators' interface.
+// Paths of the operators' interface of a node.
 const (
 	pathMembers = "/members"
 	pathVersion = "/version"
@@ -25,22 +25,24 @@
 	pathExplain = "/explain/"
 )
 
-const maxErrorBytes = 200 // of an error answer that are shown
+// maxErrorBytes limits the part of an error answer that an error quotes.
+const maxErrorBytes = 200
 
-// member is a membership record as /members gives it: the state has its name.
+// member is a membership record as /members encodes it, with the state as a name.
 type member struct {
 	membership.Record
 	State string `json:"state"`
 }
 
-// answer is what one member said.
+// answer is the decoded answer of a member, or the error of the request.
 type answer[T any] struct {
 	member member
 	value  T
 	err    error
 }
 
-// get asks one node for a path and returns the body.
+// get requests a path of a node and returns the body. The error wraps ErrUsage if addr
+// is not valid.
 func (o *Operator) get(ctx context.Context, addr, path string) ([]byte, error) {
 	if err := checkAddr(addr); err != nil {
 		return nil, err
@@ -69,7 +71,7 @@
 	return body, nil
 }
 
-// ask asks one node and decodes its answer.
+// ask requests a path of a node and decodes the answer.
 func ask[T any](ctx context.Context, o *Operator, addr, path string) (T, error) {
 	var v T
 	body, err := o.get(ctx, addr, path)
@@ -82,8 +84,8 @@
 	return v, nil
 }
 
-// askAll asks all members at once, within the bound, and keeps their order.
-// That some do not answer is part of the report, not an error.
+// askAll requests a path of all members concurrently. The answers have the order of
+// members and include the errors of failed requests.
 func askAll[T any](ctx context.Context, o *Operator, members []member, path string) []answer[T] {
 	answers := make([]answer[T], len(members))
 	var g errgroup.Group
@@ -99,9 +101,9 @@
 	return answers
 }
 
-// members asks the given nodes who is there and unites their answers: nodes on
-// two sides of a cut know different members. Of two records of one member the
-// one with the higher incarnation is newer.
+// members returns the union of the members that the given nodes know, since nodes on
+// the sides of a network partition know different ones. Of two records of a member it
+// keeps the one with the higher incarnation. It fails if no node answers.
 func (o *Operator) members(ctx context.Context) ([]member, error) {
 	if len(o.nodes) == 0 {
 		return nil, usage("--node is not set: give the operators' address of any node")
@@ -128,6 +130,7 @@
 	return sortedMembers(byID), nil
 }
 
+// askSeeds asks the given nodes for their members.
 func (o *Operator) askSeeds(ctx context.Context) []answer[[]member] {
 	seeds := make([]member, len(o.nodes))
 	for i, addr := range o.nodes {
@@ -136,6 +139,7 @@
 	return askAll[[]member](ctx, o, seeds, pathMembers)
 }
 
+// sortedMembers returns the members sorted by data centre, service and id.
 func sortedMembers(byID map[wire.NodeID]member) []member {
 	members := make([]member, 0, len(byID))
 	for _, m := range byID {
@@ -151,8 +155,9 @@
 	return members
 }
 
-// notAsked lists the members that gave no answer.
-func notAsked[T any](o *Operator, answers []answer[T]) int {
+// reportFailures prints the members that did not answer, up to MaxListed by name, and
+// returns their number.
+func reportFailures[T any](o *Operator, answers []answer[T]) int {
 	n := 0
 	for _, a := range answers {
 		if a.err == nil {
--- a/operator/fleet_test.go
+++ b/operator/fleet_test.go
@@ -18,9 +18,8 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// fakeNode stands behind the operators' interface that the daemon serves, so
-// that its paths and its JSON are the real ones. What it does not define is
-// not asked for by any command.
+// fakeNode is a node behind the real operators' interface. Commands don't use the
+// methods of ops.Node that it doesn't define.
 type fakeNode struct {
 	ops.Node
 	record  membership.Record
@@ -46,18 +45,20 @@
 	return found
 }
 
-// fleet is a few nodes that know each other.
+// fleet is a group of nodes that know each other.
 type fleet struct {
 	t       *testing.T
 	members []membership.Record
 }
 
+// add starts a node and returns its operators' address.
 func (f *fleet) add(service, dataCentre string, version uint64, events ...explain.Event) string {
 	n := &fakeNode{version: version, members: &f.members, events: events}
 	n.record = membership.Record{ID: wire.NodeID{byte(len(f.members) + 1)}, Service: service, DataCentre: dataCentre}
 	return f.serve(n.record, ops.New(n, &ops.Counters{}))
 }
 
+// serve starts a server for a member and returns its address.
 func (f *fleet) serve(r membership.Record, h http.Handler) string {
 	srv := httptest.NewServer(h)
 	f.t.Cleanup(srv.Close)
@@ -66,21 +67,21 @@
 	return r.OpsAddr
 }
 
-// addBroken adds members that cannot be asked: one that closes the connection,
-// one that answers nonsense and one that is not there.
+// addBroken adds members without a valid answer: one that closes the connection, one
+// that answers with HTML and one that does not listen.
 func (f *fleet) addBroken() {
 	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	f.serve(membership.Record{ID: wire.NodeID{0xa1}, Service: "fieldlog"}, http.HandlerFunc(abort))
-	nonsense := func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("<html>")) }
-	f.serve(membership.Record{ID: wire.NodeID{0xa2}, Service: "fieldlog"}, http.HandlerFunc(nonsense))
+	invalidJSON := func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("<html>")) }
+	f.serve(membership.Record{ID: wire.NodeID{0xa2}, Service: "fieldlog"}, http.HandlerFunc(invalidJSON))
 	gone := httptest.NewServer(nil)
 	gone.Close()
 	f.members = append(f.members, membership.Record{ID: wire.NodeID{0xa3}, Service: "fieldlog", State: membership.Suspect,
 		OpsAddr: strings.TrimPrefix(gone.URL, "http://")})
 }
 
-// A frozen node keeps its port open and never answers. Without a bound on each
-// answer the command would hang on the one node that the operator looks for.
+// Guards against a command that hangs on a node that accepts connections but never
+// answers.
 func TestFrozenNodeIsReported(t *testing.T) {
 	is := is.New(t)
 	f := &fleet{t: t}
@@ -93,7 +94,8 @@
 	is.True(errors.Is(err, context.DeadlineExceeded))
 }
 
-func TestStatusCountsVersionsAndSilentNodes(t *testing.T) {
+// Guards against wrong counts of versions and of nodes without an answer.
+func TestStatusCountsVersionsAndFailedNodes(t *testing.T) {
 	is := is.New(t)
 	f := &fleet{t: t}
 	addr := f.add("plumecast", "joensuu-hall", 7)
@@ -103,16 +105,15 @@
 	f.addBroken()
 	s := newSession(nil, addr)
 	is.NoErr(s.Status(context.Background()))
-	is.True(s.said("version 7, newest at any node that answered, is in force at 2 of 7 nodes\n"))
-	is.True(s.said("7        2      1.5s         joensuu-hall: 1, kuopio-hall: 1\n"))
-	is.True(s.said("5        1 "))
-	is.True(s.said("none     1 "))
-	is.True(s.said("3 of 7 nodes could not be asked"))
-	is.True(s.said("could not ask a3000000 (fieldlog, , suspect)"))
+	is.True(s.printed("version 7, newest at any node that answered, is in force at 2 of 7 nodes\n"))
+	is.True(s.printed("7        2      1.5s         joensuu-hall: 1, kuopio-hall: 1\n"))
+	is.True(s.printed("5        1 "))
+	is.True(s.printed("none     1 "))
+	is.True(s.printed("3 of 7 nodes could not be asked"))
+	is.True(s.printed("could not ask a3000000 (fieldlog, , suspect)"))
 }
 
-// The log has accepted a newer version than any node runs. An operator who
-// only hears of the nodes would take the old one for the newest.
+// Guards against showing an old version as the newest if no node runs the newest yet.
 func TestStatusComparesWithTheLog(t *testing.T) {
 	is := is.New(t)
 	log := newLog()
@@ -121,20 +122,19 @@
 	f := &fleet{t: t}
 	s := newSession(log, f.add("stationlog", "kuopio-hall", 1))
 	is.NoErr(s.Status(context.Background()))
-	is.True(s.said("version 2, accepted in the log, is in force at 0 of 1 nodes\n"))
+	is.True(s.printed("version 2, accepted in the log, is in force at 0 of 1 nodes\n"))
 }
 
-// Two nodes on both sides of a cut know different members. A command that
-// asked only one of them would leave half of the nodes out of the report and
-// call it complete.
-func TestMembersOfSeveralNodesAreUnited(t *testing.T) {
+// Guards against an incomplete report during a network partition, when nodes know
+// different members.
+func TestMembersOfSeveralNodesAreMerged(t *testing.T) {
 	is := is.New(t)
 	east, west := &fleet{t: t}, &fleet{t: t}
 	a := east.add("plumecast", "joensuu-hall", 7)
 	west.members = append(west.members, east.members[0])
 	west.members[0].State = membership.Suspect
 	b := west.add("plumecast", "kuopio-hall", 7)
-	east.members[0].Incarnation = 1 // newer than what the other side knows
+	east.members[0].Incarnation = 1 // newer than the record on the other side
 	s := newSession(nil, a, b)
 	members, err := s.members(context.Background())
 	is.NoErr(err)
@@ -142,6 +142,7 @@
 	is.Equal(members[0].State, "alive")
 }
 
+// Guards against a wrong exit code if no node answers or the address is not valid.
 func TestNoNodeAnswers(t *testing.T) {
 	is := is.New(t)
 	f := &fleet{t: t}
@@ -152,6 +153,7 @@
 	is.Equal(ExitCode(newSession(nil, "localhost:1").Status(context.Background())), ExitUsage)
 }
 
+// Guards against missing, misordered or unquoted decisions.
 func TestExplainMergesAllNodes(t *testing.T) {
 	is := is.New(t)
 	at := time.Date(2026, 7, 1, 12, 0, 0, 0, time.UTC)
@@ -167,14 +169,15 @@
 	lines := strings.Split(s.out.String(), "\n")
 	is.Equal(strings.Fields(lines[1]), strings.Fields("12:00:00.000000 01000000 joensuu-hall/plumecast stationlog.history sent -"))
 	is.Equal(strings.Fields(lines[2]), strings.Fields("12:00:00.005000 02000000 kuopio-hall/stationlog stationlog.history shed shed level 700"))
-	is.True(strings.HasSuffix(lines[3], `retried  shed    "\x1b[2J"`)) // not for the terminal
-	is.True(s.said("3 of 5 nodes could not be asked"))
+	is.True(strings.HasSuffix(lines[3], `retried  shed    "\x1b[2J"`)) // control characters are quoted
+	is.True(s.printed("3 of 5 nodes could not be asked"))
 
 	err := s.Explain(context.Background(), "r:3")
 	is.Equal(ExitCode(err), ExitRefused)
 	is.True(strings.Contains(err.Error(), "none of the 2 nodes that answered"))
 }
 
+// Guards against a state that is printed wrongly.
 func TestDump(t *testing.T) {
 	is := is.New(t)
 	f := &fleet{t: t}
@@ -183,18 +186,19 @@
 	is.Equal(s.out.String(), "{\n  \"queued\": 3\n}\n")
 }
 
+// Guards against accepting an invalid setting.
 func TestSettingsAreChecked(t *testing.T) {
 	is := is.New(t)
-	good := Settings{LogURL: "http://127.0.0.1:9/log", Nodes: []string{"127.0.0.1:7403", "[::1]:7403"}, Timeout: time.Second}
-	is.NoErr(good.Check())
+	valid := Settings{LogURL: "http://127.0.0.1:9/log", Nodes: []string{"127.0.0.1:7403", "[::1]:7403"}, Timeout: time.Second}
+	is.NoErr(valid.Check())
 	for setting, change := range map[string]func(*Settings){
 		"--log-url": func(s *Settings) { s.LogURL = "log.example:80" },
 		"--node":    func(s *Settings) { s.Nodes = []string{"127.0.0.1"} },
 		"--timeout": func(s *Settings) { s.Timeout = 0 },
 	} {
-		bad := good
-		change(&bad)
-		err := bad.Check()
+		invalid := valid
+		change(&invalid)
+		err := invalid.Check()
 		is.Equal(ExitCode(err), ExitUsage)
 		is.True(strings.Contains(err.Error(), setting))
 	}
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator holds what the operators' command does: it checks and
-// publishes the graph text, and asks the nodes what they run and why they did
-// what they did. The command itself only parses its arguments.
+// Package operator implements the operators' command: it checks and publishes the
+// graph text, and asks nodes for their configuration, state and decisions. The command
+// itself only parses its arguments.
 package operator
 
 import (
@@ -13,20 +13,19 @@
 	"github.com/cassialoom/cassialoom/applog"
 )
 
-// ErrRefused marks an answer that was given and is no: the text has problems,
-// the publication lost a race, nothing was found.
+// ErrRefused marks a negative result: the text has problems, the publication was
+// rejected, or nothing was found.
 var ErrRefused = errors.New("refused")
 
-// ErrUsage marks a command that cannot be meant as it was given.
+// ErrUsage marks missing, invalid or contradictory arguments.
 var ErrUsage = errors.New("usage")
 
-// The exit codes of the command.
+// Exit codes of the command.
 const (
 	ExitOK      = 0
 	ExitRefused = 1
 	ExitUsage   = 2
-	// ExitFailed means that the command could not be carried out, or that
-	// its outcome is not known.
+	// ExitFailed means that the command failed or that its outcome is unknown.
 	ExitFailed = 3
 )
 
@@ -44,30 +43,31 @@
 	}
 }
 
+// refused returns an error that wraps ErrRefused.
 func refused(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrRefused, fmt.Sprintf(format, args...))
 }
 
+// usage returns an error that wraps ErrUsage.
 func usage(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrUsage, fmt.Sprintf(format, args...))
 }
 
-// Config bounds what one command asks for.
+// Config limits the requests and the output of a command.
 type Config struct {
-	// AskTimeout is how long one node may take to answer. Operators' HTTP
-	// answers in milliseconds; a node that needs two seconds is reported.
+	// AskTimeout limits a request to a node. A node that does not answer in time
+	// is reported.
 	AskTimeout time.Duration
-	// Concurrency is the number of nodes asked at once. 64 ask 3,500
-	// healthy nodes in a few seconds and open few enough connections.
+	// Concurrency is the maximum number of concurrent requests.
 	Concurrency int
-	// MaxAnswerBytes bounds one answer. The dump of a node that knows 3,500
-	// members is a few MB.
+	// MaxAnswerBytes limits the size of an answer. The state of a node grows with
+	// the number of members.
 	MaxAnswerBytes int64
-	// MaxListed is the number of nodes that a report lists by name.
+	// MaxListed limits the number of unreachable nodes listed by name.
 	MaxListed int
 }
 
-// DefaultConfig returns the bounds of the command.
+// DefaultConfig returns the limits of the command.
 func DefaultConfig() Config {
 	return Config{
 		AskTimeout:     2 * time.Second,
@@ -77,7 +77,7 @@
 	}
 }
 
-// Operator carries out the commands. It is not safe for concurrent use.
+// Operator runs the commands. It is not safe for concurrent use.
 type Operator struct {
 	cfg   Config
 	out   io.Writer
@@ -86,20 +86,20 @@
 	http  *http.Client
 }
 
-// New returns an Operator that writes its reports to out. The log may be nil
-// and the nodes empty: a command that needs them then says so. The nodes are
-// operators' addresses, IP:PORT; any one node leads to all others.
+// New returns an Operator that writes its output to out. nodes holds operators'
+// addresses, IP:PORT, of one or more nodes, from which it learns all others. If log is
+// nil or nodes is empty, commands that need them return an error that wraps ErrUsage.
 func New(cfg Config, out io.Writer, log applog.Log, nodes []string) *Operator {
 	return &Operator{cfg: cfg, out: out, log: log, nodes: nodes, http: newClient()}
 }
 
-// newClient returns a client for many nodes that are each asked once or twice,
-// so idle connections are not kept.
+// newClient returns a client without idle connections, since a command sends each node
+// only one or two requests.
 func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// Report prints a line of a command that needs no more of the Operator.
+// Report prints formatted output of a command.
 func (o *Operator) Report(format string, args ...any) { o.printf(format, args...) }
 
 func (o *Operator) printf(format string, args ...any) {
--- a/operator/publish.go
+++ b/operator/publish.go
@@ -10,30 +10,30 @@
 	"github.com/cassialoom/cassialoom/graph"
 )
 
-// Publication says what to publish.
+// Publication is a request to publish a text.
 type Publication struct {
 	Text Text
-	// Operator is the name that others are shown.
+	// Operator is the name of the operator as shown to others.
 	Operator string
-	// Delete names services to take out. A service that is in force and
-	// not in the file is kept otherwise: a file of one service must not
-	// remove all others.
+	// Delete lists services to remove. Other services in force that are not in
+	// the text are kept, so that a file of one service doesn't remove all others.
 	Delete []string
-	// ID of an earlier run whose outcome is not known; empty for a new one.
+	// ID is the id of an earlier publication whose outcome is unknown; empty for
+	// a new publication.
 	ID string
-	// Whole replaces everything that is in force.
+	// Whole replaces the whole configuration in force.
 	Whole bool
 }
 
-// plan is what a publication would change.
+// plan holds the changes of a publication.
 type plan struct {
 	state   *config.State
 	changes []graph.Change
-	// kept are the services in force that the file does not have.
+	// kept lists the services in force that are not in the file and stay.
 	kept []string
 }
 
-// Diff reports what publishing the text would change.
+// Diff prints the changes that publishing the text would make.
 func (o *Operator) Diff(ctx context.Context, t Text, deleted []string) error {
 	p, err := o.plan(ctx, t, deleted)
 	if err != nil {
@@ -53,6 +53,7 @@
 	return nil
 }
 
+// describe returns a line about a change of a service.
 func (o *Operator) describe(state *config.State, c graph.Change) string {
 	s, ok := state.Section(c.Service)
 	if !ok {
@@ -61,15 +62,16 @@
 	return fmt.Sprintf("service %s: %s; in force since version %d, by %s", c.Service, c.Kind, s.Version, printable(s.Operator))
 }
 
+// reportKept prints the services that are kept although the file lacks them.
 func (o *Operator) reportKept(kept []string) {
 	for _, service := range kept {
 		o.printf("service %s: in force but not in the file, kept (--delete %s takes it out)\n", service, service)
 	}
 }
 
-// plan reads what is in force and checks what would come out.
+// plan reads the configuration in force and checks the resulting one.
 func (o *Operator) plan(ctx context.Context, t Text, deleted []string) (plan, error) {
-	sections, err := o.split(t, deleted)
+	sections, err := o.splitText(t, deleted)
 	if err != nil {
 		return plan{}, err
 	}
@@ -77,14 +79,14 @@
 	if err != nil {
 		return plan{}, err
 	}
-	current := textsOf(state)
+	current := sectionsOf(state)
 	for _, service := range deleted {
 		if !hasSection(current, service) {
 			return plan{}, refused("--delete %s: no such service in force", service)
 		}
 	}
 	merged := overlay(current, sections, deleted)
-	if err := o.assemble(t, merged); err != nil {
+	if err := o.checkSections(t, merged); err != nil {
 		return plan{}, err
 	}
 	p := plan{state: state, changes: graph.Diff(current, merged)}
@@ -96,7 +98,8 @@
 	return p, nil
 }
 
-func (o *Operator) split(t Text, deleted []string) ([]graph.Section, error) {
+// splitText returns the sections of a text. The deleted services must not be in it.
+func (o *Operator) splitText(t Text, deleted []string) ([]graph.Section, error) {
 	sections, problems := graph.Split(t.Name, t.Data)
 	if len(problems) > 0 {
 		return nil, o.problems(problems)
@@ -109,14 +112,16 @@
 	return sections, nil
 }
 
-func textsOf(state *config.State) []graph.Section {
-	var texts []graph.Section
+// sectionsOf returns the sections of a configuration.
+func sectionsOf(state *config.State) []graph.Section {
+	var sections []graph.Section
 	for _, s := range state.Sections() {
-		texts = append(texts, graph.Section{Service: s.Service, Text: s.Text})
+		sections = append(sections, graph.Section{Service: s.Service, Text: s.Text})
 	}
-	return texts
+	return sections
 }
 
+// readState reads the configuration in force from the log.
 func (o *Operator) readState(ctx context.Context) (*config.State, error) {
 	if o.log == nil {
 		return nil, usage("--log-url is not set: give the address of the platform's log service")
@@ -129,24 +134,26 @@
 	return state, nil
 }
 
-// Publish publishes the sections that differ from what is in force, as one
-// publication that is accepted or rejected as a whole.
+// Publish publishes the sections that differ from those in force as one publication,
+// which is accepted or rejected as a whole. The error wraps ErrRefused if it is
+// rejected, and config.ErrUnsettled if the outcome is unknown.
 func (o *Operator) Publish(ctx context.Context, p Publication) error {
 	pub, err := o.prepare(ctx, p)
 	if err != nil || len(pub.Sections) == 0 {
 		return err
 	}
-	// Printed before anything is written: who stops the command here can
-	// still ask for the outcome.
+	// The id is printed before the publication is written, so that the operator
+	// can find out the outcome if the command is interrupted.
 	o.printf("publication %s by %s: %d sections\n", pub.ID, printable(pub.Operator), len(pub.Sections))
 	outcome, err := config.Publish(ctx, o.log, pub)
 	if err != nil {
-		return o.unsettled(pub, err)
+		return o.publishFailed(pub, err)
 	}
-	return o.report(pub, outcome)
+	return o.reportOutcome(pub, outcome)
 }
 
-// prepare returns a publication without sections when there is nothing to do.
+// prepare returns the publication to write. It has no sections if there is nothing to
+// publish.
 func (o *Operator) prepare(ctx context.Context, p Publication) (config.Publication, error) {
 	pub := config.Publication{ID: p.ID, Operator: p.Operator, Whole: p.Whole}
 	if pub.ID == "" {
@@ -156,7 +163,7 @@
 		return o.prepareWhole(pub, p)
 	}
 	if p.ID != "" {
-		if done, err := o.settled(ctx, pub); done || err != nil {
+		if settled, err := o.reportSettled(ctx, pub); settled || err != nil {
 			return config.Publication{}, err
 		}
 	}
@@ -171,7 +178,7 @@
 	}
 	for _, c := range plan.changes {
 		o.printf("%s\n", o.describe(plan.state, c))
-		base, _ := plan.state.Section(c.Service) // zero for a new one
+		base, _ := plan.state.Section(c.Service) // the zero value for a new service
 		pub.Sections = append(pub.Sections, config.SectionChange{
 			Service: c.Service, Text: c.New, Base: base.Version, Delete: c.Kind == graph.Removed,
 		})
@@ -179,8 +186,8 @@
 	return pub, nil
 }
 
-// prepareWhole needs nothing of what is in force: it is the way out when the
-// log can no longer tell.
+// prepareWhole returns a publication that replaces the whole configuration. It doesn't
+// read the configuration in force, so it works if the log no longer has it.
 func (o *Operator) prepareWhole(pub config.Publication, p Publication) (config.Publication, error) {
 	if len(p.Delete) > 0 {
 		return pub, usage("--delete has no meaning with --whole: what the file does not have is taken out")
@@ -188,11 +195,11 @@
 	if o.log == nil {
 		return pub, usage("--log-url is not set: give the address of the platform's log service")
 	}
-	sections, err := o.split(p.Text, nil)
+	sections, err := o.splitText(p.Text, nil)
 	if err != nil {
 		return pub, err
 	}
-	if err := o.assemble(p.Text, sections); err != nil {
+	if err := o.checkSections(p.Text, sections); err != nil {
 		return pub, err
 	}
 	for _, s := range sections {
@@ -201,10 +208,10 @@
 	return pub, nil
 }
 
-// settled reports the outcome of an earlier run. Without this look the
-// comparison with what is in force would find the earlier run's own change
-// and say that there is nothing to publish.
-func (o *Operator) settled(ctx context.Context, pub config.Publication) (bool, error) {
+// reportSettled prints the outcome of an earlier publication with the same id, if there
+// is one in the log. Otherwise a repeated publication that was accepted would find its
+// own change in force and print that there is nothing to publish.
+func (o *Operator) reportSettled(ctx context.Context, pub config.Publication) (bool, error) {
 	state, err := o.readState(ctx)
 	if err != nil {
 		return false, err
@@ -217,27 +224,30 @@
 	if v.Accepted {
 		outcome.Status = config.Accepted
 	}
-	return true, o.report(pub, outcome)
+	return true, o.reportOutcome(pub, outcome)
 }
 
-func (o *Operator) report(pub config.Publication, outcome config.Outcome) error {
-	earlier := ""
+// reportOutcome prints the outcome of a publication and returns an error unless it was
+// accepted.
+func (o *Operator) reportOutcome(pub config.Publication, outcome config.Outcome) error {
+	repeatedNote := ""
 	if outcome.Repeated {
-		earlier = " (settled by an earlier run)"
+		repeatedNote = " (settled by an earlier run)"
 	}
 	switch outcome.Status {
 	case config.Accepted:
-		o.printf("accepted at version %d%s\n", outcome.Version, earlier)
+		o.printf("accepted at version %d%s\n", outcome.Version, repeatedNote)
 		return nil
 	case config.Rejected:
-		o.printf("rejected%s: %s\n", earlier, printable(outcome.Cause))
+		o.printf("rejected%s: %s\n", repeatedNote, printable(outcome.Cause))
 		return refused("publication %s changed nothing; look at what is in force with diff, then publish again", pub.ID)
 	default:
 		return fmt.Errorf("outcome of publication %s is not known", pub.ID)
 	}
 }
 
-func (o *Operator) unsettled(pub config.Publication, err error) error {
+// publishFailed prints how to continue after a failed publication and returns err.
+func (o *Operator) publishFailed(pub config.Publication, err error) error {
 	o.adviseNoBase(err)
 	if errors.Is(err, config.ErrUnsettled) {
 		o.printf("the outcome is not known; publish the same file again with --id %s: it cannot count twice\n", pub.ID)
@@ -245,6 +255,7 @@
 	return err
 }
 
+// adviseNoBase prints how to continue if the log lacks the base of a change.
 func (o *Operator) adviseNoBase(err error) {
 	if errors.Is(err, config.ErrNoBase) {
 		o.printf("the log no longer holds what is needed to judge a change; any node that runs a configuration\n" +
--- a/operator/settings.go
+++ b/operator/settings.go
@@ -9,20 +9,21 @@
 	"github.com/cassialoom/cassialoom/applog"
 )
 
+// Limits of Settings.Timeout.
 const (
 	minTimeout = 100 * time.Millisecond
 	maxTimeout = time.Hour
 )
 
-// Settings of the command, as they come from flags and the environment.
+// Settings holds the settings of the command from flags and the environment.
 type Settings struct {
 	LogURL  string
 	Nodes   []string
 	Timeout time.Duration
 }
 
-// Check returns an error that names the first setting that is wrong, its value
-// and what is allowed.
+// Check returns an error that wraps ErrUsage and names the first invalid setting, its
+// value and the valid values.
 func (s Settings) Check() error {
 	if s.LogURL != "" && !isLogURL(s.LogURL) {
 		return usage("setting --log-url: %q: want http://IP:PORT with an IP number", s.LogURL)
@@ -38,7 +39,7 @@
 	return nil
 }
 
-// FromSettings returns an Operator for checked settings.
+// FromSettings returns an Operator for valid settings that writes its output to out.
 func FromSettings(s Settings, out io.Writer) *Operator {
 	var log applog.Log
 	if s.LogURL != "" {
@@ -47,6 +48,7 @@
 	return New(DefaultConfig(), out, log, s.Nodes)
 }
 
+// isAddr reports whether addr is IP:PORT with a port that isn't zero.
 func isAddr(addr string) bool {
 	ap, err := netip.ParseAddrPort(addr)
 	return err == nil && ap.Port() > 0
@@ -60,6 +62,7 @@
 	return u.User == nil && u.RawQuery == "" && u.Fragment == ""
 }
 
+// checkAddr returns an error that wraps ErrUsage if the address of a node is not valid.
 func checkAddr(addr string) error {
 	if !isAddr(addr) {
 		return usage("node %q: want IP:PORT with an IP number, such as 10.0.0.7:7403", addr)
--- a/operator/status.go
+++ b/operator/status.go
@@ -14,16 +14,19 @@
 	"github.com/cassialoom/cassialoom/ops"
 )
 
-// inForce gathers the nodes that run one version.
-type inForce struct {
-	version     uint64
-	nodes       int
-	oldest      time.Duration // longest time since a node heard that it is the newest
+// versionGroup summarizes the nodes that run one version.
+type versionGroup struct {
+	version uint64
+	nodes   int
+	// maxAge is the longest time since one of the nodes learned that the version is
+	// the newest.
+	maxAge time.Duration
+	// dataCentres counts the nodes by data centre.
 	dataCentres map[string]int
 }
 
-// Status reports which version is in force where, and how many nodes could
-// not be asked.
+// Status prints the versions in force with their nodes, and the nodes that did not
+// answer. It returns an error if no node answered.
 func (o *Operator) Status(ctx context.Context) error {
 	members, err := o.members(ctx)
 	if err != nil {
@@ -31,9 +34,9 @@
 	}
 	answers := askAll[ops.Version](ctx, o, members, pathVersion)
 	versions := groupByVersion(answers)
-	o.headline(ctx, versions, len(members))
-	o.versionTable(versions)
-	if failed := notAsked(o, answers); failed > 0 {
+	o.printSummary(ctx, versions, len(members))
+	o.printVersions(versions)
+	if failed := reportFailures(o, answers); failed > 0 {
 		o.printf("%d of %d nodes could not be asked: what they run is not known\n", failed, len(members))
 		if failed == len(members) {
 			return errors.New("no member could be asked")
@@ -42,33 +45,33 @@
 	return nil
 }
 
-// groupByVersion returns the groups, newest version first.
-func groupByVersion(answers []answer[ops.Version]) []inForce {
-	groups := make(map[uint64]*inForce)
+// groupByVersion groups the nodes by version, newest first.
+func groupByVersion(answers []answer[ops.Version]) []versionGroup {
+	groups := make(map[uint64]*versionGroup)
 	for _, a := range answers {
 		if a.err != nil {
 			continue
 		}
 		g := groups[a.value.Version]
 		if g == nil {
-			g = &inForce{version: a.value.Version, dataCentres: map[string]int{}}
+			g = &versionGroup{version: a.value.Version, dataCentres: map[string]int{}}
 			groups[g.version] = g
 		}
 		g.nodes++
-		g.oldest = max(g.oldest, time.Duration(a.value.AgeMs)*time.Millisecond)
+		g.maxAge = max(g.maxAge, time.Duration(a.value.AgeMs)*time.Millisecond)
 		g.dataCentres[a.member.DataCentre]++
 	}
-	sorted := make([]inForce, 0, len(groups))
+	sorted := make([]versionGroup, 0, len(groups))
 	for _, g := range groups {
 		sorted = append(sorted, *g)
 	}
-	slices.SortFunc(sorted, func(a, b inForce) int { return cmp.Compare(b.version, a.version) })
+	slices.SortFunc(sorted, func(a, b versionGroup) int { return cmp.Compare(b.version, a.version) })
 	return sorted
 }
 
-// headline compares the nodes with the log, or with the newest of them when
-// the log is not given or does not answer.
-func (o *Operator) headline(ctx context.Context, versions []inForce, members int) {
+// printSummary prints the newest version and at how many nodes it is in force. The
+// newest version is that of the log, or of the nodes if the log is not available.
+func (o *Operator) printSummary(ctx context.Context, versions []versionGroup, members int) {
 	accepted, source := uint64(0), "newest at any node that answered"
 	if len(versions) > 0 {
 		accepted = versions[0].version
@@ -78,16 +81,17 @@
 	} else if state != nil && state.Version() >= accepted {
 		accepted, source = state.Version(), "accepted in the log"
 	}
-	at := 0
+	nodesAtAccepted := 0
 	for _, v := range versions {
 		if v.version == accepted {
-			at = v.nodes
+			nodesAtAccepted = v.nodes
 		}
 	}
-	o.printf("%s, %s, is in force at %d of %d nodes\n", versionName(accepted), source, at, members)
+	o.printf("%s, %s, is in force at %d of %d nodes\n", versionName(accepted), source, nodesAtAccepted, members)
 }
 
-// acceptedInLog returns nil without an error when no log is given.
+// acceptedInLog returns the accepted configuration in the log, or nil if no log is
+// given.
 func (o *Operator) acceptedInLog(ctx context.Context) (*config.State, error) {
 	if o.log == nil {
 		return nil, nil
@@ -97,19 +101,21 @@
 	return config.ReadState(ctx, o.log)
 }
 
-func (o *Operator) versionTable(versions []inForce) {
+// printVersions prints a table of the versions and their nodes.
+func (o *Operator) printVersions(versions []versionGroup) {
 	if len(versions) == 0 {
 		return
 	}
 	w := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "VERSION\tNODES\tOLDEST NEWS\tWHERE")
 	for _, v := range versions {
-		fmt.Fprintf(w, "%s\t%d\t%v\t%s\n", versionNumber(v.version), v.nodes, v.oldest.Round(time.Millisecond), places(v.dataCentres))
+		fmt.Fprintf(w, "%s\t%d\t%v\t%s\n", versionNumber(v.version), v.nodes, v.maxAge.Round(time.Millisecond), formatCounts(v.dataCentres))
 	}
 	w.Flush()
 }
 
-func places(dataCentres map[string]int) string {
+// formatCounts lists the number of nodes of each data centre.
+func formatCounts(dataCentres map[string]int) string {
 	var list []string
 	for name, n := range dataCentres {
 		list = append(list, fmt.Sprintf("%s: %d", name, n))
@@ -118,6 +124,7 @@
 	return strings.Join(list, ", ")
 }
 
+// versionName returns the name of a version in a sentence.
 func versionName(v uint64) string {
 	if v == 0 {
 		return "no configuration"
@@ -125,6 +132,7 @@
 	return fmt.Sprintf("version %d", v)
 }
 
+// versionNumber returns a version for a table.
 func versionNumber(v uint64) string {
 	if v == 0 {
 		return "none"
--- a/operator/text.go
+++ b/operator/text.go
@@ -8,13 +8,14 @@
 	"github.com/cassialoom/cassialoom/graph"
 )
 
-// Text is a file as the operator gave it.
+// Text is a file of graph text.
 type Text struct {
 	Name string
 	Data []byte
 }
 
-// Check reports every problem of a whole text.
+// Check prints all problems and warnings of a text that contains the whole graph. If
+// it has problems, the error wraps ErrRefused.
 func (o *Operator) Check(t Text) error {
 	g, problems := graph.Parse(t.Name, t.Data)
 	if len(problems) > 0 {
@@ -32,6 +33,7 @@
 	return nil
 }
 
+// problems prints the problems and returns an error that wraps ErrRefused.
 func (o *Operator) problems(ps graph.Problems) error {
 	for _, p := range ps {
 		o.printf("%s:%d: %s\n    remedy: %s\n", p.File, p.Line, p.Cause, p.Remedy)
@@ -39,14 +41,16 @@
 	return refused("%d problems", len(ps))
 }
 
+// warnings prints the warnings.
 func (o *Operator) warnings(ps graph.Problems) {
 	for _, p := range ps {
 		o.printf("%s:%d: warning: %s\n    remedy: %s\n", p.File, p.Line, p.Cause, p.Remedy)
 	}
 }
 
-// assemble checks the graph that would be in force with the sections.
-func (o *Operator) assemble(t Text, sections []graph.Section) error {
+// checkSections checks the graph of the given sections and prints its problems and
+// warnings.
+func (o *Operator) checkSections(t Text, sections []graph.Section) error {
 	g, problems := graph.Assemble(sections)
 	if len(problems) > 0 {
 		return o.problems(relocate(t, sections, problems))
@@ -55,25 +59,25 @@
 	return nil
 }
 
-// relocate turns the place of a problem in a section into its place in the
-// file that the section came from; a section that is only in force, and not in
-// the file, keeps its name.
+// relocate replaces the position of a problem within a section by its position in the
+// file t. Problems of a section that isn't in the file keep the section's name.
 func relocate(t Text, sections []graph.Section, ps graph.Problems) graph.Problems {
-	moved := slices.Clone(ps)
-	for i, p := range moved {
+	relocated := slices.Clone(ps)
+	for i, p := range relocated {
 		for _, s := range sections {
 			if p.File != graph.SectionFile(s.Service) {
 				continue
 			}
 			if before, found := linesBefore(string(t.Data), s.Text); found {
-				moved[i].File, moved[i].Line = t.Name, p.Line+before
+				relocated[i].File, relocated[i].Line = t.Name, p.Line+before
 			}
 		}
 	}
-	return moved
+	return relocated
 }
 
-// linesBefore counts the lines of a file above a section.
+// linesBefore returns the number of lines before a section of a file, and whether the
+// file contains the section.
 func linesBefore(file, section string) (int, bool) {
 	at := strings.Index(file, strings.TrimRight(section, "\n"))
 	if at < 0 {
@@ -82,8 +86,8 @@
 	return strings.Count(file[:at], "\n"), true
 }
 
-// overlay returns the sections in force with those of the file put over them
-// and some taken out.
+// overlay returns the sections in force, without the deleted services and with those of
+// the file replaced or added.
 func overlay(inForce, file []graph.Section, deleted []string) []graph.Section {
 	var merged []graph.Section
 	for _, s := range inForce {
@@ -98,21 +102,24 @@
 	return slices.ContainsFunc(sections, func(s graph.Section) bool { return s.Service == service })
 }
 
-const contextLines = 2 // unchanged lines shown around a change
+// contextLines is the number of unchanged lines shown before and after a change.
+const contextLines = 2
 
-// maxDiffCells bounds the memory of a comparison line by line; beyond it the
-// texts are shown whole.
+// maxDiffCells limits the memory of a line diff. If it is exceeded, all lines are shown
+// as removed and added.
 const maxDiffCells = 4 << 20
 
-// lineDiff compares two texts line by line, with the mark of each line.
+// lineDiff returns the lines of a diff of two texts, each with the prefix "  ", "- " or
+// "+ ".
 func lineDiff(old, new string) []string {
 	a, b := splitLines(old), splitLines(new)
 	if len(a)*len(b) > maxDiffCells {
-		return append(mark("- ", a), mark("+ ", b)...)
+		return append(prefixLines("- ", a), prefixLines("+ ", b)...)
 	}
 	return trimContext(walkDiff(a, b, commonLengths(a, b)))
 }
 
+// splitLines returns the lines of s without line ends.
 func splitLines(s string) []string {
 	if s == "" {
 		return nil
@@ -120,8 +127,8 @@
 	return strings.Split(strings.TrimSuffix(s, "\n"), "\n")
 }
 
-// commonLengths returns the table of the longest common subsequence: entry
-// i, j holds its length for a[i:] and b[j:].
+// commonLengths returns the lengths of the longest common subsequences: entry [i][j]
+// is that of a[i:] and b[j:].
 func commonLengths(a, b []string) [][]int32 {
 	table := make([][]int32, len(a)+1)
 	for i := range table {
@@ -139,6 +146,7 @@
 	return table
 }
 
+// walkDiff returns the lines of the diff for the table of commonLengths.
 func walkDiff(a, b []string, table [][]int32) []string {
 	var lines []string
 	i, j := 0, 0
@@ -156,19 +164,21 @@
 			j++
 		}
 	}
-	lines = append(lines, mark("- ", a[i:])...)
-	return append(lines, mark("+ ", b[j:])...)
+	lines = append(lines, prefixLines("- ", a[i:])...)
+	return append(lines, prefixLines("+ ", b[j:])...)
 }
 
-func mark(with string, lines []string) []string {
-	marked := make([]string, len(lines))
+// prefixLines returns the lines with a prefix.
+func prefixLines(prefix string, lines []string) []string {
+	prefixed := make([]string, len(lines))
 	for i, l := range lines {
-		marked[i] = with + l
+		prefixed[i] = prefix + l
 	}
-	return marked
+	return prefixed
 }
 
-// trimContext leaves out unchanged lines that are far from any change.
+// trimContext replaces unchanged lines by their number, except for contextLines around
+// each change.
 func trimContext(lines []string) []string {
 	near := make([]bool, len(lines))
 	for i, l := range lines {
@@ -180,22 +190,23 @@
 		}
 	}
 	var kept []string
-	left := 0
+	omitted := 0
 	for i, l := range lines {
 		if !near[i] {
-			left++
+			omitted++
 			continue
 		}
-		kept = appendGap(kept, left)
-		left = 0
+		kept = appendGap(kept, omitted)
+		omitted = 0
 		kept = append(kept, l)
 	}
-	return appendGap(kept, left)
+	return appendGap(kept, omitted)
 }
 
-func appendGap(lines []string, left int) []string {
-	if left == 0 {
+// appendGap appends a line with the number of omitted lines, if there are any.
+func appendGap(lines []string, omitted int) []string {
+	if omitted == 0 {
 		return lines
 	}
-	return append(lines, fmt.Sprintf("  (%d unchanged lines)", left))
+	return append(lines, fmt.Sprintf("  (%d unchanged lines)", omitted))
 }
--- a/operator/trace.go
+++ b/operator/trace.go
@@ -13,11 +13,10 @@
 	"time"
 )
 
-// maxLine is the longest line of a log that is read, in bytes; the nodes' own
-// are a few hundred.
-const maxLine = 1 << 20
+// maxLineBytes limits the length of a line of a log. Longer lines are an error.
+const maxLineBytes = 1 << 20
 
-// logLine is what a trace shows of a line of a node's log.
+// logLine holds the decoded fields of a line of a node's log.
 type logLine struct {
 	Time     time.Time `json:"time"`
 	Machine  string    `json:"machine"`
@@ -38,16 +37,18 @@
 	WaitedMs float64   `json:"waited_ms"`
 	TookMs   float64   `json:"took_ms"`
 	LeftMs   float64   `json:"left_ms"`
-	// Dropped lines of this kind were left out before this one.
+	// Dropped is the number of lines of this kind that were dropped before this
+	// one.
 	Dropped int64 `json:"dropped_before"`
 }
 
-// Trace prints what the logs of nodes say about one request and the calls made
-// for it, in the order of time. Each time is that of its machine's own clock.
+// Trace prints the lines about a request and the calls made for it from the logs of
+// nodes, in order of time. Times are those of the machines' clocks. If there are no
+// lines, the error wraps ErrRefused.
 func (o *Operator) Trace(id string, logs []io.Reader) error {
 	var lines []logLine
 	for _, log := range logs {
-		found, err := scan(log, id)
+		found, err := scanLog(log, id)
 		if err != nil {
 			return fmt.Errorf("read log: %w", err)
 		}
@@ -58,16 +59,16 @@
 			"look for dropped_before in the lines of that time", id)
 	}
 	slices.SortStableFunc(lines, func(a, b logLine) int { return a.Time.Compare(b.Time) })
-	o.timeline(lines)
+	o.printTimeline(lines)
 	return nil
 }
 
-// scan returns the lines about a request. A line may have something before its
-// JSON, such as the name of the machine that it was collected from.
-func scan(log io.Reader, id string) ([]logLine, error) {
+// scanLog returns the lines about a request. A line may have a prefix before its JSON,
+// such as the name of the machine that it was collected from.
+func scanLog(log io.Reader, id string) ([]logLine, error) {
 	var found []logLine
 	in := bufio.NewScanner(log)
-	in.Buffer(nil, maxLine)
+	in.Buffer(nil, maxLineBytes)
 	for in.Scan() {
 		text := in.Bytes()
 		i := bytes.IndexByte(text, '{')
@@ -76,41 +77,42 @@
 		}
 		var line logLine
 		if json.Unmarshal(text[i:], &line) != nil {
-			continue // another program's line, or one that was cut short
+			continue // a line of another program, or a truncated one
 		}
-		if line.about(id) {
+		if line.concerns(id) {
 			found = append(found, line)
 		}
 	}
 	return found, in.Err()
 }
 
-// about reports whether the line is about the request or a call made for it.
-func (l logLine) about(id string) bool {
+// concerns reports whether the line is about the request or a call made for it.
+func (l logLine) concerns(id string) bool {
 	return l.Request == id || l.Root == id || strings.HasPrefix(l.Request, id+".")
 }
 
-func (o *Operator) timeline(lines []logLine) {
+// printTimeline prints a table of log lines.
+func (o *Operator) printTimeline(lines []logLine) {
 	w := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "TIME\tMACHINE\tSTEP\tSERVICE\tREASON\tVERDICT\tSTATUS\tTARGET\tTRY\tWAITED\tTOOK\tLEFT\tREQUEST\tDETAIL")
 	for _, l := range lines {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\n",
-			l.Time.Format(timeFormat), l.Machine, l.Step, l.Service, l.Reason, l.Verdict, status(l.Status), l.Target, l.Attempt,
-			ms(l.WaitedMs), ms(l.TookMs), ms(l.LeftMs), l.Request, l.Detail)
+			l.Time.Format(timeFormat), l.Machine, l.Step, l.Service, l.Reason, l.Verdict, formatStatus(l.Status), l.Target, l.Attempt,
+			formatMillis(l.WaitedMs), formatMillis(l.TookMs), formatMillis(l.LeftMs), l.Request, l.Detail)
 	}
-	_ = w.Flush() // what cannot be printed is of no use to anybody
+	_ = w.Flush() // the output can't be printed; there is nobody to tell
 }
 
-// status prints that of an answer, nothing for none.
-func status(code int) string {
+// formatStatus formats an HTTP status; zero gives an empty string.
+func formatStatus(code int) string {
 	if code == 0 {
 		return ""
 	}
 	return strconv.Itoa(code)
 }
 
-// ms prints milliseconds, nothing for none.
-func ms(v float64) string {
+// formatMillis formats milliseconds; zero gives an empty string.
+func formatMillis(v float64) string {
 	if v == 0 {
 		return ""
 	}
--- a/operator/trace_test.go
+++ b/operator/trace_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// The logs of two machines hold one request, a call made for it, other requests
-// and other programs' lines. The trace has the lines of the one, in order.
-func TestTraceJoinsLogs(t *testing.T) {
+// Guards against a trace that lacks lines of the request or its calls, or includes other
+// lines.
+func TestTraceMergesLogs(t *testing.T) {
 	is := is.New(t)
 	entry := `{"time":"2026-01-02T03:04:05.9Z","machine":"m1","message":"request","request":"r1","step":"refused","reason":"lost","verdict":"may have run","took_ms":12.5}
 {"time":"2026-01-02T03:04:05.1Z","machine":"m1","message":"request","request":"r10","step":"answered"}
