--- a/daemon/config.go
+++ b/daemon/config.go
@@ -11,28 +11,30 @@
 	"github.com/cassialoom/cassialoom/settings"
 )
 
-// checkpointsPerRetention is how often the configuration is written again
-// while the log keeps one record: it survives an outage of most of that time.
+// checkpointsPerRetention is the number of checkpoints of the configuration in the
+// retention time of the log, so that the configuration survives an outage of most
+// of that time.
 const checkpointsPerRetention = 6
 
-// The policies of the hidden setting, for experiments.
+// Values of the hidden setting Policy, for experiments.
 const (
 	policyNone  = "none"
 	policyFixed = "fixed"
-	// hopAttempts is how often each hop tries again under policy none: the
-	// usual habit that the product is compared with.
+	// hopAttempts is the number of attempts of each hop under policyNone, the
+	// baseline of experiments: retries at every hop, without overload control.
 	hopAttempts = 3
 )
 
-// nodeConfig turns settings into the node's configuration.
-func nodeConfig(s settings.Settings, on *listeners) (node.Config, error) {
+// nodeConfig returns the node's configuration for settings. It returns an error if
+// the settings of idempotency keys contradict each other.
+func nodeConfig(s settings.Settings, listening *listeners) (node.Config, error) {
 	cfg := node.DefaultConfig()
 	cfg.Service = s.Service
 	cfg.DataCentre = s.DataCentre
 	cfg.Region = s.Region
-	cfg.PeerAddr = s.AdvertisedAddr(port(on.peers))
-	cfg.OpsAddr = s.AdvertisedAddr(port(on.ops))
-	cfg.CallerAddr = s.AdvertisedAddr(port(on.callers))
+	cfg.PeerAddr = s.AdvertisedAddr(port(listening.peers))
+	cfg.OpsAddr = s.AdvertisedAddr(port(listening.ops))
+	cfg.CallerAddr = s.AdvertisedAddr(port(listening.callers))
 	cfg.Seeds = s.Seeds
 	cfg.DrainGrace = s.DrainGrace
 	cfg.Transport.Cluster = s.Cluster
@@ -52,7 +54,7 @@
 	return cfg, nil
 }
 
-// applyPolicy takes parts of the product out, for experiments.
+// applyPolicy disables parts of the overload control, for experiments.
 func applyPolicy(cfg *node.Config, policy string) {
 	switch policy {
 	case policyNone:
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs a node as a process: it turns settings into a node and
-// its servers, and ends them in the order of a planned stop.
+// Package daemon runs a node as a process: it creates the node and its servers from
+// settings and stops them in order.
 package daemon
 
 import (
@@ -22,17 +22,17 @@
 	"github.com/cassialoom/cassialoom/settings"
 )
 
-// startTimeout bounds opening the listeners; nothing waits for the network.
+// startTimeout limits the start, which opens listeners and doesn't wait for the
+// network.
 const startTimeout = 10 * time.Second
 
-// Run runs the node until SIGTERM or SIGINT, then stops it as planned. The
-// error says what could not start, or what was cut off.
+// Run runs a node until SIGTERM or SIGINT, then does a planned stop. It returns an
+// error if the start fails, or if the stop doesn't finish within s.StopTimeout.
 func Run(s settings.Settings) error {
 	return runApp(fx.New(Module(s)), s.StopTimeout)
 }
 
-// runApp runs an application until SIGTERM or SIGINT; its planned stop may take
-// stopTimeout.
+// runApp runs app until SIGTERM or SIGINT, then stops it within stopTimeout.
 func runApp(app *fx.App, stopTimeout time.Duration) error {
 	if err := app.Err(); err != nil {
 		return err
@@ -48,7 +48,7 @@
 	return app.Stop(ctx)
 }
 
-// Module provides a node and everything around it.
+// Module provides a node, its servers, its log client and its logger.
 func Module(s settings.Settings) fx.Option {
 	return fx.Options(
 		fx.Supply(s),
@@ -77,8 +77,8 @@
 
 func newCounters() *ops.Counters { return &ops.Counters{} }
 
-// listeners are open before the node exists, so that it can tell others the
-// ports that the system chose.
+// listeners holds the node's listeners. They are opened before the node is created,
+// since it publishes the ports that the system chose.
 type listeners struct {
 	callers, local, peers, ops net.Listener
 }
@@ -93,42 +93,44 @@
 	})
 }
 
-// servers are the node's HTTP servers with their listeners.
+// servers holds the node's HTTP servers and their listeners.
 type servers struct {
 	callers, local, peers, ops *http.Server
-	on                         *listeners
-	kept                       *entry.Connections // of callers
+	listening                  *listeners
+	callerConns                *entry.Connections
 }
 
-func newServers(cfg node.Config, n *node.Node, c *ops.Counters, on *listeners) *servers {
+func newServers(cfg node.Config, n *node.Node, c *ops.Counters, listening *listeners) *servers {
 	opsConfig := ops.DefaultConfig()
 	cfg.Entry.Draining = n.Draining
 	return &servers{
-		callers: entry.NewServer(cfg.Entry, entry.New(cfg.Entry, n)),
-		local:   entry.NewServer(cfg.Entry, local.New(cfg.Entry, n, n)),
-		peers:   &http.Server{Handler: n.Peers(), ReadHeaderTimeout: cfg.Transport.DialTimeout},
-		ops:     ops.NewServer(opsConfig, ops.New(n, c)),
-		on:      on,
-		kept:    entry.Listener(on.callers),
+		callers:     entry.NewServer(cfg.Entry, entry.New(cfg.Entry, n)),
+		local:       entry.NewServer(cfg.Entry, local.New(cfg.Entry, n, n)),
+		peers:       &http.Server{Handler: n.Peers(), ReadHeaderTimeout: cfg.Transport.DialTimeout},
+		ops:         ops.NewServer(opsConfig, ops.New(n, c)),
+		listening:   listening,
+		callerConns: entry.Listener(listening.callers),
 	}
 }
 
+// serve starts to serve at all listeners and returns at once.
 func (s *servers) serve(log zerolog.Logger) {
 	for _, w := range []struct {
 		srv *http.Server
 		ln  net.Listener
 	}{
-		{s.callers, s.kept},
-		{s.local, entry.Listener(s.on.local)},
-		{s.peers, s.on.peers},
-		{s.ops, s.on.ops},
+		{s.callers, s.callerConns},
+		{s.local, entry.Listener(s.listening.local)},
+		{s.peers, s.listening.peers},
+		{s.ops, s.listening.ops},
 	} {
 		go serveUntilClosed(w.srv, w.ln, log)
 	}
 }
 
-func run(lc fx.Lifecycle, s settings.Settings, cfg node.Config, n *node.Node, c *ops.Counters, on *listeners, log zerolog.Logger) {
-	srv := newServers(cfg, n, c, on)
+// run starts and stops the node and its servers with the application.
+func run(lc fx.Lifecycle, s settings.Settings, cfg node.Config, n *node.Node, c *ops.Counters, listening *listeners, log zerolog.Logger) {
+	srv := newServers(cfg, n, c, listening)
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			n.Start()
@@ -139,17 +141,18 @@
 	})
 }
 
-// lastCall is how long callers get, once nothing is in flight, to use or give up
-// the connections that they keep: a few times the pause between two requests of
-// one that is at work.
-const lastCall = 2 * time.Second
+// lastCallTimeout limits how long a planned stop waits for callers to give up their
+// kept-alive connections once no request is in flight. Closing a connection earlier
+// could lose a request that its caller is just sending.
+const lastCallTimeout = 2 * time.Second
 
-// stop is the planned stop: the others are told, what is in flight finishes,
-// its answers go out, and only then does anything close.
+// stop does the planned stop: it tells the other nodes, waits until requests in
+// flight have their answers, and then closes the servers. It returns an error if
+// ctx ends before.
 func stop(ctx context.Context, n *node.Node, srv *servers) error {
 	n.Drain()
 	err := n.Wait(ctx)
-	srv.kept.LastCall(ctx, lastCall)
+	srv.callerConns.LastCall(ctx, lastCallTimeout)
 	if closeErr := srv.callers.Shutdown(ctx); err == nil {
 		err = closeErr
 	}
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -27,13 +27,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// process is a daemon with the log in memory.
+// process is a daemon with an in-memory log service.
 type process struct {
 	*fx.App
-	node *node.Node
-	on   *listeners
+	node      *node.Node
+	listening *listeners
 }
 
+// startDaemon starts a daemon of service fieldlog with one operation.
 func startDaemon(t *testing.T) *process {
 	t.Helper()
 	s, err := settings.Parse(strings.Fields(`--service=fieldlog --data-centre=d --region=r --log-level=error
@@ -49,7 +50,7 @@
 		t.Fatal(err)
 	}
 	p := &process{}
-	p.App = fx.New(Module(s), fx.Replace(fx.Annotate(log, fx.As(new(applog.Log)))), fx.Populate(&p.node, &p.on))
+	p.App = fx.New(Module(s), fx.Replace(fx.Annotate(log, fx.As(new(applog.Log)))), fx.Populate(&p.node, &p.listening))
 	if err := p.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -62,6 +63,7 @@
 	}
 }
 
+// post sends a POST request and returns the answer and its body.
 func post(t *testing.T, addr net.Addr, path, body string) (*http.Response, string) {
 	t.Helper()
 	tr := &http.Transport{DisableKeepAlives: true}
@@ -70,16 +72,15 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	whole, err := io.ReadAll(resp.Body)
+	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return resp, string(whole)
+	return resp, string(text)
 }
 
-// The daemon's planned stop, from the outside: a request that runs gets its
-// answer, one that comes now is refused as "not run" with a time to come back,
-// readiness is gone, and then every address is closed.
+// Guards against a planned stop that loses the answer of a running request, admits
+// new requests, or leaves a listener open.
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
 	p := startDaemon(t)
@@ -94,16 +95,15 @@
 	go backend.Serve(ln)
 	defer backend.Close()
 	announce := func() {
-		announced, _ := post(t, p.on.local.Addr(), "/backend/announce", fmt.Sprintf(`{"url":"http://%s","state":"ready","boot":"b"}`, ln.Addr()))
+		announced, _ := post(t, p.listening.local.Addr(), "/backend/announce", fmt.Sprintf(`{"url":"http://%s","state":"ready","boot":"b"}`, ln.Addr()))
 		is.Equal(announced.StatusCode, http.StatusNoContent)
 	}
-	// A backend server announces itself all the time; one that says it once
-	// counts as gone after a few seconds, which is how long a node waits that
-	// meets no other.
+	// Announcements expire after a few seconds, and a node that finds no other
+	// waits that long before it is ready, so the announcement is repeated.
 	testnode.Await(t, "ready", func() bool { announce(); ready, _ := p.node.Ready(); return ready })
 	answer := make(chan string, 1)
 	go func() {
-		_, body := post(t, p.on.callers.Addr(), "/call/fieldlog/file", "x")
+		_, body := post(t, p.listening.callers.Addr(), "/call/fieldlog/file", "x")
 		answer <- body
 	}()
 	<-running
@@ -111,29 +111,28 @@
 	stopped := make(chan struct{})
 	go func() { defer close(stopped); p.stop(t) }()
 	testnode.Await(t, "the drain has begun", p.node.Draining)
-	refused, _ := post(t, p.on.callers.Addr(), "/call/fieldlog/file", "y")
+	refused, _ := post(t, p.listening.callers.Addr(), "/call/fieldlog/file", "y")
 	is.Equal(refused.Header.Get(headers.Verdict), verdict.NotRun.String())
 	is.Equal(refused.Header.Get(headers.Reason), string(verdict.Draining))
 	is.True(refused.Header.Get(headers.RetryAfter) != "")
-	is.True(refused.Close) // its connection is not used again
+	is.True(refused.Close) // the server closes the connection
 	close(release)
 
 	is.Equal(<-answer, "filed")
 	<-stopped
-	for _, l := range []net.Listener{p.on.callers, p.on.local, p.on.peers, p.on.ops} {
+	for _, l := range []net.Listener{p.listening.callers, p.listening.local, p.listening.peers, p.listening.ops} {
 		_, err := net.Dial("tcp", l.Addr().String())
 		is.True(err != nil)
 	}
 }
 
-// What the HTTP server refuses by itself, before any handler, has a verdict
-// too: the daemon serves callers and its backend server by the listener that
-// adds it.
-func TestMalformedRequestsHaveAVerdict(t *testing.T) {
+// Guards against a listener without the wrapper that adds a verdict to the answers
+// of net/http to malformed requests.
+func TestMalformedRequestsHaveVerdict(t *testing.T) {
 	is := is.New(t)
 	p := startDaemon(t)
 	defer p.stop(t)
-	for _, l := range []net.Listener{p.on.callers, p.on.local} {
+	for _, l := range []net.Listener{p.listening.callers, p.listening.local} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		is.NoErr(err)
 		_, err = io.WriteString(c, "POST /call/fieldlog/file HTTP/1.1\r\nno colon\r\n\r\n")
--- a/daemon/find.go
+++ b/daemon/find.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// findEvery is the pause between two looks whether the routes are known,
-	// which name the path to ask.
-	findEvery = 20 * time.Millisecond
-	// findFor ends the search: by then a heartbeat has come.
-	findFor = 2 * time.Second
+	// routesPollInterval is the interval of checks whether the routes, which hold
+	// the path of the health check, are known.
+	routesPollInterval = 20 * time.Millisecond
+	// probeTimeout limits the probe. After it a running backend server has sent
+	// a heartbeat.
+	probeTimeout = 2 * time.Second
 )
 
-// findBackend asks the backend server once, at the start of the node, whether it
-// runs.
-func findBackend(ctx context.Context, s platform.Settings, n *node.Node, log zerolog.Logger) {
-	ctx, cancel := context.WithTimeout(ctx, findFor)
+// probeBackend checks the health of the backend server once, at the start of the
+// node, so that a restarted node need not wait for the next heartbeat.
+func probeBackend(ctx context.Context, s platform.Settings, n *node.Node, log zerolog.Logger) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	for {
 		if table := n.Routes(); table != nil && table.Health(s.Service) != "" {
@@ -36,7 +37,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(findEvery):
+		case <-time.After(routesPollInterval):
 		}
 	}
 }
--- a/daemon/latestop.go
+++ b/daemon/latestop.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// reportShare of the grace time is when a planned stop that has not ended
-	// says what it waits for: late enough to be rare, early enough for the log
-	// to be written before the process is ended by force.
+	// reportShare is the share of the grace time after which an unfinished
+	// planned stop logs what it waits for. The rest is for writing the log before
+	// the platform kills the process.
 	reportShare = 0.85
-	// maxStacks bounds the goroutines in the log in bytes.
-	maxStacks = 16 << 10
+	// maxStackBytes limits the goroutine stacks in the log.
+	maxStackBytes = 16 << 10
 )
 
-// inFlight says what a planned stop waits for; the node implements it.
+// inFlight returns what a planned stop waits for; the node implements it.
 type inFlight interface{ InFlight() node.InFlight }
 
-// reportStop writes what a planned stop waits for if it has not ended after a
-// time. The returned function ends the watch.
-func reportStop(after time.Duration, n inFlight, log zerolog.Logger) (ended func() bool) {
+// reportLateStop logs what a planned stop waits for, after the given time. The
+// returned function cancels the report and reports whether it was in time.
+func reportLateStop(after time.Duration, n inFlight, log zerolog.Logger) (cancel func() bool) {
 	return time.AfterFunc(after, func() {
 		f := n.InFlight()
 		log.Warn().Int("entered", f.Entered).Int("tasks", f.Tasks).Int("replying", f.Replying).
@@ -32,11 +32,11 @@
 	}).Stop
 }
 
-// stacks lists what goroutines wait for, the most common first.
+// stacks returns the stacks of the goroutines, the most common first.
 func stacks() string {
 	var b bytes.Buffer
 	if err := pprof.Lookup("goroutine").WriteTo(&b, 1); err != nil {
 		return err.Error()
 	}
-	return string(b.Bytes()[:min(b.Len(), maxStacks)])
+	return string(b.Bytes()[:min(b.Len(), maxStackBytes)])
 }
--- a/daemon/latestop_test.go
+++ b/daemon/latestop_test.go
@@ -13,25 +13,25 @@
 	"github.com/cassialoom/cassialoom/node"
 )
 
+// stuck is a node whose planned stop never ends.
 type stuck struct{}
 
 func (stuck) InFlight() node.InFlight { return node.InFlight{Entered: 2, Unflushed: true} }
 
-// A planned stop waits for two requests until the process is ended by force: the
-// log says so before, with what the goroutines wait for. A stop in time leaves no
-// such line.
+// Guards against a stop that hangs without a log line about its cause, and against
+// that line after a stop in time.
 func TestLateStopIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var out bytes.Buffer
 		log := zerolog.New(&out)
-		ended := reportStop(time.Second, stuck{}, log)
+		cancel := reportLateStop(time.Second, stuck{}, log)
 		time.Sleep(900 * time.Millisecond)
-		is.True(ended())
+		is.True(cancel())
 		time.Sleep(time.Second)
 		is.Equal(out.String(), "")
 
-		reportStop(time.Second, stuck{}, log)
+		reportLateStop(time.Second, stuck{}, log)
 		time.Sleep(1100 * time.Millisecond)
 		is.True(strings.Contains(out.String(), `"entered":2,"tasks":0,"replying":0,"unflushed":true,"goroutines":"goroutine profile`))
 	})
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -24,9 +24,10 @@
 )
 
 // RunPlatform runs the node on the users' platform until SIGTERM or SIGINT.
-// path is the platform's settings file, own are the settings that it does not hold.
+// path is the path of the platform's settings file, own holds the settings that are
+// not in that file. It returns an error if the start or the planned stop fails.
 func RunPlatform(path string, own settings.Platform) error {
-	hup := catchHangups()
+	hup := notifyHangups()
 	s, err := platform.ReadSettings(path)
 	if err != nil {
 		return err
@@ -35,11 +36,11 @@
 	return runApp(app, time.Duration(float64(s.Bounds.Grace)*stopShare))
 }
 
-// settingsPath is where the platform's settings file lies.
+// settingsPath is the path of the platform's settings file.
 type settingsPath string
 
-// PlatformModule provides a node with the platform's interfaces around it; its
-// log goes to out.
+// PlatformModule provides a node with the servers and clients of the platform's
+// interfaces. It writes the log to out.
 func PlatformModule(path string, s platform.Settings, own settings.Platform, hup hangups, out io.Writer) fx.Option {
 	return fx.Options(
 		fx.Supply(s, own, settingsPath(path), hup, fx.Annotate(out, fx.As(new(io.Writer)))),
@@ -49,15 +50,15 @@
 	)
 }
 
-// newPlatformLogger writes to out through a ring that never holds up
-// whoever writes; what waits in it is written before the process ends.
+// newPlatformLogger returns a logger that writes to out through a ring buffer and
+// never blocks. The stop of the application writes the remaining lines.
 func newPlatformLogger(lc fx.Lifecycle, s platform.Settings, out io.Writer) zerolog.Logger {
-	log, end := logs.Open(logs.DefaultConfig(), out)
-	lc.Append(fx.Hook{OnStop: func(context.Context) error { return end.Close() }})
+	log, closer := logs.Open(logs.DefaultConfig(), out)
+	lc.Append(fx.Hook{OnStop: func(context.Context) error { return closer.Close() }})
 	return log.With().Str("machine", s.Node).Logger()
 }
 
-// advertised is the address by which other nodes reach this one.
+// advertised returns the address by which other nodes reach this one.
 func advertised(s platform.Settings, own settings.Platform) string {
 	return cmp.Or(own.PeerAdvertise, s.Peers)
 }
@@ -70,7 +71,7 @@
 	return node.New(cfg, s, log, c)
 }
 
-// platformListeners are open before anything is served.
+// platformListeners holds the node's listeners on the platform.
 type platformListeners struct {
 	callers, heartbeats, ready, peers, ops net.Listener
 }
@@ -86,31 +87,33 @@
 	})
 }
 
+// runPlatform starts and stops the node, its servers and its loops with the
+// application.
 func runPlatform(lc fx.Lifecycle, path settingsPath, hup hangups, s platform.Settings, own settings.Platform, cfg node.Config, n *node.Node, store *platform.Store,
-	c *ops.Counters, on *platformListeners, log zerolog.Logger) {
+	c *ops.Counters, listening *platformListeners, log zerolog.Logger) {
 	debug.SetMemoryLimit(int64(float64(s.Memory) * memoryShare))
 	cfg.Entry.Draining = n.Draining
 	callers := entry.NewServer(cfg.Entry, platform.NewCallers(cfg.Entry, n))
 	servers := map[*http.Server]net.Listener{
-		callers: entry.Listener(on.callers),
-		{Handler: platform.NewHeartbeats(s.Service, s.Backend, n), ReadHeaderTimeout: cfg.Entry.HeaderTimeout}:                  on.heartbeats,
-		{Handler: platform.NewReady(func() bool { ok, _ := n.Ready(); return ok }), ReadHeaderTimeout: cfg.Entry.HeaderTimeout}: on.ready,
-		{Handler: n.Peers(), ReadHeaderTimeout: cfg.Transport.DialTimeout}:                                                      on.peers,
-		ops.NewServer(ops.DefaultConfig(), ops.New(n, c)):                                                                       on.ops,
+		callers: entry.Listener(listening.callers),
+		{Handler: platform.NewHeartbeats(s.Service, s.Backend, n), ReadHeaderTimeout: cfg.Entry.HeaderTimeout}:                  listening.heartbeats,
+		{Handler: platform.NewReady(func() bool { ok, _ := n.Ready(); return ok }), ReadHeaderTimeout: cfg.Entry.HeaderTimeout}: listening.ready,
+		{Handler: n.Peers(), ReadHeaderTimeout: cfg.Transport.DialTimeout}:                                                      listening.peers,
+		ops.NewServer(ops.DefaultConfig(), ops.New(n, c)):                                                                       listening.ops,
 	}
-	watching, stopWatching := context.WithCancel(context.Background())
-	reloads := newReloader(string(path), s, hup, reapply(s), log)
+	loopCtx, stopLoops := context.WithCancel(context.Background())
+	reload := newReloader(string(path), s, hup, restartRequired(s), log)
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			n.Start()
-			go platform.Watch(watching, store, n, routeReads(cfg), log)
+			go platform.Watch(loopCtx, store, n, routeReads(cfg), log)
 			if cfg.Quota.Parts > 0 {
-				go platform.Lease(watching, store, n, cfg.Quota, log)
+				go platform.Lease(loopCtx, store, n, cfg.Quota, log)
 			}
-			go platform.Announce(watching, store, platform.Place{Addr: advertised(s, own), DataCentre: s.DataCentre}, n, log)
-			go reloads.run(watching)
+			go platform.Announce(loopCtx, store, platform.Place{Addr: advertised(s, own), DataCentre: s.DataCentre}, n, log)
+			go reload.run(loopCtx)
 			if !s.First {
-				go findBackend(watching, s, n, log)
+				go probeBackend(loopCtx, s, n, log)
 			}
 			for srv, ln := range servers {
 				go serveUntilClosed(srv, ln, log)
@@ -118,14 +121,14 @@
 			return nil
 		},
 		OnStop: func(ctx context.Context) error {
-			ended := reportStop(time.Duration(float64(s.Bounds.Grace)*reportShare), n, log)
-			defer ended()
+			cancelReport := reportLateStop(time.Duration(float64(s.Bounds.Grace)*reportShare), n, log)
+			defer cancelReport()
 			n.Drain()
 			err := n.Wait(ctx)
 			if closeErr := callers.Shutdown(ctx); err == nil {
 				err = closeErr
 			}
-			stopWatching()
+			stopLoops()
 			n.Stop()
 			for srv := range servers {
 				srv.Close()
@@ -136,12 +139,12 @@
 	})
 }
 
-// reapply returns what a reload changes in a running node. Nothing of the
-// platform's settings can change while the process holds its addresses and its
-// place, but for the bounds, which the next start takes.
-func reapply(started platform.Settings) func(platform.Settings) []string {
+// restartRequired returns a function that lists the changed settings that need a
+// restart. A running node applies none of the platform's settings, and the seeds
+// matter only at a start.
+func restartRequired(started platform.Settings) func(platform.Settings) []string {
 	return func(next platform.Settings) []string {
-		next.Seeds = started.Seeds // read at a start alone
+		next.Seeds = started.Seeds
 		if reflect.DeepEqual(next, started) {
 			return nil
 		}
--- a/daemon/platform_config.go
+++ b/daemon/platform_config.go
@@ -15,89 +15,92 @@
 )
 
 const (
-	// memoryShare of the process's limit is where the collector begins to
-	// work harder; the rest is for what it does not count.
+	// memoryShare is the share of the process's memory limit that becomes the
+	// soft limit of the Go runtime. The rest is for memory that the runtime
+	// doesn't count.
 	memoryShare = 0.6
-	// bodyShare of the limit is the most that one body may take: it is held
-	// whole, more than once while it is encoded.
+	// bodyShare is the maximum size of a body as a share of the memory limit. A
+	// body is held in memory, in several copies while it is encoded.
 	bodyShare = 1.0 / 64
-	// waitMax is how long a queue beside a backend server is at most, in time at the
-	// rate at which it serves: what a call of the shortest deadlines has. Levels keep
-	// it far shorter.
+	// waitMax limits the queue of a backend server, in time at its service rate,
+	// to the time that calls with the shortest deadlines have. Admission levels
+	// usually keep the queue far shorter.
 	waitMax = 600 * time.Millisecond
-	// waitShare of its spare time is what a call may wait.
+	// waitShare is the share of its spare time that a call may wait. Spare time
+	// is the remaining deadline minus the usual service time.
 	waitShare = 0.9
-	// soonerShare of its spare time is how long a call lets those go first that
-	// have less: a call that waits too long wastes what was done for its request.
+	// soonerShare is the share of its spare time for which a call yields to calls
+	// with less spare time. It is limited because a call that expires wastes the
+	// work done for its request.
 	soonerShare = 0.25
-	// waitMin is the number of calls that may wait before the rate at which
-	// they are served is known.
+	// waitMin is the minimum queue limit in calls, used until the service rate
+	// is known.
 	waitMin = 64
-	// levelQueue times the square root of a backend server's slots is the number
-	// of calls that should wait there: a fifth of the time that the deepest
-	// calls have.
+	// levelQueue times the square root of a backend server's slots is the target
+	// queue length of the admission level.
 	levelQueue = 4
-	// levelSettle is the number of intervals of 50 ms in which a level brings
-	// the queue to its target. A request reaches the deepest service half a
-	// second after its entry: a level that answers sooner swings, and slots
-	// stand idle between the swings.
+	// levelSettle is the number of control intervals in which an admission level
+	// brings the queue to its target. It exceeds the delay between the entry of a
+	// request and its calls of the deepest service: a faster control loop
+	// oscillates and leaves slots idle.
 	levelSettle = 20
-	// keptIdle is how long a caller's connection without a request is kept:
-	// longer than the operators' limits ask for, since closing one that is
-	// about to be used costs its caller a request.
+	// keptIdle is the idle timeout of callers' connections. It is long because
+	// closing a connection that is about to be used loses a request.
 	keptIdle = 5 * time.Minute
-	// reroutes that cost nothing: enough to pass a node that is leaving and
-	// one that is full.
+	// reroutes limits the free reroutes of a call, enough to pass a draining node
+	// and a full one.
 	reroutes = 3
-	// enterGrace is two questions whether the node is ready, a second apart,
-	// and a margin: after two misses the clients are sent no more.
+	// enterGrace is the time for which a draining node still admits requests. It
+	// covers the two failed readiness checks, a second apart, after which the
+	// platform sends no more requests.
 	enterGrace = 2200 * time.Millisecond
-	// stopShare of the grace time is what a planned stop may use: after it the
-	// process is ended by force.
+	// stopShare is the share of the grace time that a planned stop may use. After
+	// the grace time the platform kills the process.
 	stopShare = 0.95
-	// slowStart is the ramp of a node that starts: its backend server may have
-	// run all the while, and one that is cold is slow for a few seconds.
+	// slowStart is the time over which the share of calls of a started node grows,
+	// since its backend server may be cold.
 	slowStart = 2 * time.Second
-	// joinInterval and joinAddrs let a node that restarts with all others meet
-	// them within half a second, of which one tick of the membership is 200 ms.
+	// joinInterval is the interval of attempts to reach a first peer and joinAddrs
+	// the number of addresses tried each time. Nodes that all restart at the same
+	// time find each other quickly.
 	joinInterval = 200 * time.Millisecond
 	joinAddrs    = 4
-	// reconnectInterval is how often a node that is gone is looked for at its
-	// address: one that restarts while the store is away is found only so.
+	// reconnectInterval is the interval of attempts to reach a lost node at its
+	// last address. Without them a node that restarts while the store is
+	// unavailable is not found.
 	reconnectInterval = 2 * time.Second
-	// reoffers of a call that its backend server declined: one that declines
-	// half of what it gets takes a call within six offers 63 times in 64.
+	// reoffers limits how often a call that backend servers declined is offered
+	// again to one of them.
 	reoffers = 5
-	// drainAfter leaves the peers a moment of enterGrace to hear that the
-	// backend server is not to be used, drainGrace is that moment.
+	// drainAfter is the time from the start of a drain until peers are told, and
+	// drainGrace the time for which their calls are still accepted after that.
+	// Together they stay within enterGrace.
 	drainAfter = 1900 * time.Millisecond
 	drainGrace = 200 * time.Millisecond
-	// budgetNodes is by how many nodes the slack for extra attempts is
-	// divided: what all of them spend at once must stay within it.
+	// budgetNodes is the number of nodes that share the allowed burst of extra
+	// attempts.
 	budgetNodes = 16
-	// budgetShare of the bound is what the nodes spend; the rest covers what
-	// they cannot see, such as attempts counted in another window than theirs, and
-	// what they cannot refuse: calls that a run makes which is itself a repeat. When a
-	// service and the one above it turn away half of what they get, those are a
-	// quarter of what is spent.
+	// budgetShare is the share of the retry limit that the nodes use. The rest
+	// covers attempts that the platform counts in a different window, and the
+	// calls of repeated runs, which nodes can't refuse.
 	budgetShare = 0.68
-	// revokeShare of the time in which a key that was taken away must not be served any
-	// more is the age of a configuration that is relied on.
+	// revokeShare is the maximum age of a configuration that authorizes keys, as a
+	// share of the time within which a revoked key must be rejected.
 	revokeShare = 0.9
-	// applyShare of the time in which a version must be in force is the age up to which a
-	// node keeps the proof that its routes are the newest.
+	// applyShare is the maximum age of the freshness proof of a node's routes, as a
+	// share of the time within which a published version must be in force.
 	applyShare = 0.8
-	// proofReads of the configuration are made by each prover in the age of a proof: it is
-	// up to two of them old when its reader gets the next one, and takes another moment to
-	// reach the other nodes.
+	// proofReads is the number of reads of the configuration by each prover within
+	// the maximum age of a proof. A proof may be two read intervals old before the
+	// next one, and needs time to reach the other nodes.
 	proofReads = 3.6
-	// readShare of that age is how long a read of another reader waits: one that gets no
-	// answer is given up before the version that it should bring is late.
+	// readShare is the timeout of a read of a reader that isn't a prover, as a share
+	// of that maximum age, so that a read without an answer doesn't delay a version.
 	readShare = 0.75
 )
 
-// routeReads is how often the routes are read: often enough that their proof is young when
-// it reaches the other nodes.
+// routeReads returns the timing of reads of the routes. It is frequent enough that
+// freshness proofs don't expire before they reach the other nodes.
 func routeReads(cfg node.Config) readers.RoutesConfig {
 	reads := readers.DefaultRoutesConfig()
 	if within := float64(cfg.ProvenWithin); within > 0 {
@@ -107,19 +110,21 @@
 	return reads
 }
 
-// provenWithin is the age of a proof that all bounds allow: the one for any version, that of
-// the time in which one must be in force, and that after which keys are refused. The last
-// two are zero where the platform does not ask for them.
-func provenWithin(most, apply, fresh time.Duration) time.Duration {
+// provenWithin returns the maximum age of a freshness proof: maxAge, or applyShare of
+// apply if apply is set, and no more than fresh if that is set. apply is the time
+// within which a version must be in force, fresh the age from which keys are
+// rejected. Zero means that the platform has no such limit.
+func provenWithin(maxAge, apply, fresh time.Duration) time.Duration {
 	if apply > 0 {
-		most = time.Duration(float64(apply) * applyShare)
+		maxAge = time.Duration(float64(apply) * applyShare)
 	}
 	if fresh > 0 {
-		most = min(most, fresh)
+		maxAge = min(maxAge, fresh)
 	}
-	return most
+	return maxAge
 }
 
+// platformConfig returns the configuration of a node on the platform.
 func platformConfig(s platform.Settings, own settings.Platform, log zerolog.Logger) node.Config {
 	cfg := node.DefaultConfig()
 	cfg.Explain.Sink = logs.NewDecisions(logs.DefaultConfig(), log)
@@ -138,7 +143,7 @@
 	cfg.Membership.JoinAddrs = joinAddrs
 	cfg.Membership.ReconnectInterval = reconnectInterval
 	cfg.Backend.Dialect = platform.Target{}
-	cfg.Backend.IdleTimeout = time.Minute // the backend server states its own
+	cfg.Backend.IdleTimeout = time.Minute // the backend server has a timeout of its own
 	cfg.Entry.IdleTimeout = keptIdle
 	cfg.Quota.Parts = s.Store.Parts
 	cfg.Quota.Window = s.Bounds.QuotaWindow
@@ -153,8 +158,8 @@
 	return cfg
 }
 
-// LoadPolicy sets what a node on the platform does about load: where it refuses,
-// how calls wait, where they go and how often they are tried again.
+// LoadPolicy sets the overload control of a node on the platform: admission, queueing,
+// load balancing and the retry budget.
 func LoadPolicy(cfg *node.Config, b platform.Bounds) {
 	cfg.Serve.TellOnly = true
 	cfg.Serve.Queue.SoonerShare = soonerShare
--- a/daemon/platform_test.go
+++ b/daemon/platform_test.go
@@ -17,7 +17,7 @@
 	"github.com/cassialoom/cassialoom/settings"
 )
 
-// site is a small stand-in platform with nodes in this process.
+// site is a simulated platform with nodes in this process.
 type site struct {
 	t       *testing.T
 	store   *standin.Store
@@ -28,6 +28,7 @@
 
 const siteHost = "x.example"
 
+// newSite starts the platform's store with routes to the services top and deep.
 func newSite(t *testing.T) *site {
 	store, err := standin.StartStore("127.77.1.250:8309")
 	if err != nil {
@@ -40,6 +41,7 @@
 	return s
 }
 
+// publish replaces the routes by ones to the services.
 func (s *site) publish(version uint64, services ...string) {
 	var list []standin.Route
 	for _, name := range services {
@@ -52,9 +54,9 @@
 	s.store.Put(text)
 }
 
-// add starts a machine with a backend server, whose requests call another
-// service if calls is not empty.
-func (s *site) add(n int, service, calls string) (standin.Machine, *standin.Target) {
+// addMachine starts a machine with a backend server, whose requests call the service
+// calls if that is not empty.
+func (s *site) addMachine(n int, service, calls string) (standin.Machine, *standin.Target) {
 	m := standin.Machine{Name: fmt.Sprintf("m%d", n), IP: fmt.Sprintf("127.77.1.%d", n), Service: service}
 	cfg := standin.TargetConfig{Service: service, Addr: m.Backend(), Node: m.Heartbeats(), Calls: m.Callers(), Slots: 20,
 		Work: 5 * time.Millisecond, Beat: 100 * time.Millisecond, Seed: uint64(n)}
@@ -66,21 +68,22 @@
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(target.Crash)
-	s.start(m)
+	s.startNode(m)
 	return m, target
 }
 
-// start runs the node of a machine and returns what stops it as planned.
-func (s *site) start(m standin.Machine) (stop func()) {
+// startNode starts the node of a machine and returns a function that does its
+// planned stop.
+func (s *site) startNode(m standin.Machine) (stop func()) {
 	path, err := m.WriteSettings(s.dir, s.store.Addr(), m.Backend(), false)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	read, err := platform.ReadSettings(path)
+	nodeSettings, err := platform.ReadSettings(path)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	app := fx.New(PlatformModule(path, read, settings.Platform{}, catchHangups(), io.Discard))
+	app := fx.New(PlatformModule(path, nodeSettings, settings.Platform{}, notifyHangups(), io.Discard))
 	if err := app.Start(s.t.Context()); err != nil {
 		s.t.Fatal(err)
 	}
@@ -98,7 +101,7 @@
 	return stop
 }
 
-// ask sends a request; zero is the status without an answer.
+// ask sends a request. The status is zero if there is no answer.
 func (s *site) ask(m standin.Machine, service, id string) (status int, body string) {
 	a := standin.Ask(s.t.Context(), s.client, m, standin.Request{
 		Method: http.MethodGet, Host: siteHost, Path: "/" + service + "/x", ID: id, Timeout: 4 * time.Second,
@@ -106,6 +109,7 @@
 	return a.Status, a.Body
 }
 
+// await waits until f returns true and fails the test after 20 s.
 func (s *site) await(what string, f func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -113,19 +117,17 @@
 			return
 		}
 	}
-	s.t.Fatalf("not in time: %s", what)
+	s.t.Fatalf("timeout: %s", what)
 }
 
-// The whole path on the platform: machines find each other through the store, a
-// request enters anywhere, its backend server's call goes on to a second
-// service, routes change, the store goes silent, a backend server leaves and its
-// node stops. No request that must run once runs twice.
-func TestPlatformWholePath(t *testing.T) {
+// Guards against lost or repeated requests while routes change, the store is
+// unavailable and a backend server leaves.
+func TestPlatformEndToEnd(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t)
-	a, _ := s.add(1, "top", "deep")
-	b, first := s.add(2, "deep", "")
-	c, last := s.add(3, "deep", "")
+	a, _ := s.addMachine(1, "top", "deep")
+	b, first := s.addMachine(2, "deep", "")
+	c, last := s.addMachine(3, "deep", "")
 	for i, m := range []standin.Machine{a, b, c} {
 		s.await("served through "+m.Name, func() bool {
 			status, _ := s.ask(m, "top", fmt.Sprint("warm", i))
@@ -139,7 +141,7 @@
 	status, _ = s.ask(a, "nowhere", "r2")
 	is.Equal(status, 404)
 
-	// A node that has not heard of the last backend server yet may say so, "not run".
+	// Until the node knows the last backend server, it may answer "not run".
 	tries := 0
 	s.await("the first node knows the last backend server", func() bool {
 		tries++
@@ -157,7 +159,7 @@
 			t.Fatalf("request %s: status %d, %s", id, status, body)
 		}
 		is.Equal(len(s.journal.Runs(id)), 1)
-		is.True(s.journal.Runs(id)[0] != first.ID()) // it had said that it leaves
+		is.True(s.journal.Runs(id)[0] != first.ID()) // it has announced that it leaves
 	}
 	s.store.Set(standin.Well)
 	s.await("the new routes are in force everywhere", func() bool {
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -13,30 +13,30 @@
 	"github.com/cassialoom/cassialoom/platform"
 )
 
-// fileCheck is how often the settings file is looked at: it may change without
-// a signal. One look costs a few microseconds.
-const fileCheck = 2 * time.Second
+// filePollInterval is the interval of checks whether the settings file has changed,
+// since it may change without a signal.
+const filePollInterval = 2 * time.Second
 
-// reloader reads the settings file again on SIGHUP and when the file has
-// changed. Without a handler SIGHUP ends a Go program, and every request in
-// flight with it.
+// reloader reads the settings file again on SIGHUP and when the file has changed.
+// Without a handler SIGHUP would terminate the process and its requests in flight.
 type reloader struct {
 	path    string
 	inForce platform.Settings
-	// apply puts checked settings in force; what it returns needs a restart.
+	// apply puts valid settings in force and returns the names of those that
+	// need a restart.
 	apply func(platform.Settings) []string
 	log   zerolog.Logger
-	// seen is when the file last changed.
-	seen time.Time
-	hup  hangups
+	// lastModified is the modification time of the file that was read last.
+	lastModified time.Time
+	hup          hangups
 }
 
-// hangups gets SIGHUP.
+// hangups receives SIGHUP signals.
 type hangups chan os.Signal
 
-// catchHangups has to be called before anything that takes time: a signal that
-// comes while a node starts would end it.
-func catchHangups() hangups {
+// notifyHangups begins to handle SIGHUP. It must be called first in a process, since
+// a SIGHUP before it terminates the process.
+func notifyHangups() hangups {
 	hup := make(hangups, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	return hup
@@ -44,32 +44,32 @@
 
 func newReloader(path string, s platform.Settings, hup hangups, apply func(platform.Settings) []string, log zerolog.Logger) *reloader {
 	r := &reloader{path: path, inForce: s, hup: hup, apply: apply, log: log}
-	r.seen = r.modified()
+	r.lastModified = r.modified()
 	return r
 }
 
-// run reloads until the context ends.
+// run reloads the settings until ctx is done.
 func (r *reloader) run(ctx context.Context) {
-	ticker := time.NewTicker(fileCheck)
+	ticker := time.NewTicker(filePollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-r.hup:
-			r.seen = r.modified()
+			r.lastModified = r.modified()
 			r.reload("SIGHUP")
 		case <-ticker.C:
-			if at := r.modified(); !at.Equal(r.seen) {
-				r.seen = at
+			if at := r.modified(); !at.Equal(r.lastModified) {
+				r.lastModified = at
 				r.reload("the file changed")
 			}
 		}
 	}
 }
 
-// modified is when the file changed; the zero time while it cannot be looked
-// at, so that it is read again once it can.
+// modified returns the modification time of the file. It is zero if the file is not
+// accessible, so that the file is read again once it is.
 func (r *reloader) modified() time.Time {
 	info, err := os.Stat(r.path)
 	if err != nil {
@@ -78,8 +78,8 @@
 	return info.ModTime()
 }
 
-// reload checks the file like a start does. A wrong one leaves the settings in
-// force as they are.
+// reload reads the file, validates it and applies it. If the file is not valid, the
+// settings in force stay.
 func (r *reloader) reload(why string) {
 	next, err := platform.ReadSettings(r.path)
 	if err != nil {
--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -27,20 +27,19 @@
 platform: {address: "10.0.0.2:7", keep_s: 20}
 `
 
-// A settings file is replaced by a wrong one, then by a right one. The wrong
-// one changes nothing, the right one is applied, and SIGHUP does not end the
-// process, which is what Go does with one that nobody asked for.
-func TestReloadTakesOnlyRightSettings(t *testing.T) {
+// Guards against applying invalid settings, and against a SIGHUP that terminates the
+// process.
+func TestReloadAppliesOnlyValidSettings(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "settings.yaml")
-	put := func(text string) { is.NoErr(os.WriteFile(path, []byte(text), 0o600)) }
-	put(settingsText)
+	writeFile := func(text string) { is.NoErr(os.WriteFile(path, []byte(text), 0o600)) }
+	writeFile(settingsText)
 	s, err := platform.ReadSettings(path)
 	is.NoErr(err)
 
 	applied := make(chan platform.Settings, 4)
-	r := newReloader(path, s, catchHangups(), func(s platform.Settings) []string { applied <- s; return nil }, zerolog.Nop())
-	put(strings.Replace(settingsText, `"10.0.0.1:2"`, `"nowhere"`, 1))
+	r := newReloader(path, s, notifyHangups(), func(s platform.Settings) []string { applied <- s; return nil }, zerolog.Nop())
+	writeFile(strings.Replace(settingsText, `"10.0.0.1:2"`, `"nowhere"`, 1))
 	r.reload("test")
 	is.Equal(len(applied), 0)
 	is.Equal(r.inForce, s)
@@ -48,22 +47,21 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); r.run(ctx) }()
-	put(strings.Replace(settingsText, "drain-s=2", "drain-s=3", 1))
+	writeFile(strings.Replace(settingsText, "drain-s=2", "drain-s=3", 1))
 	is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	is.Equal((<-applied).Bounds.Drain.Seconds(), 3.0)
 	cancel()
 	<-done
 }
 
-// SIGHUP comes while the node is still starting. It neither ends the process nor
-// is forgotten: the settings are read again as soon as the node runs.
-func TestEarlyHangupIsKept(t *testing.T) {
+// Guards against a SIGHUP during the start that terminates the process or is lost.
+func TestHangupDuringStartIsHandled(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	is.NoErr(os.WriteFile(path, []byte(settingsText), 0o600))
 	s, err := platform.ReadSettings(path)
 	is.NoErr(err)
-	hup := catchHangups()
+	hup := notifyHangups()
 	is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	is.NoErr(os.WriteFile(path, []byte(strings.Replace(settingsText, "grace-s=6", "grace-s=9", 1)), 0o600))
 	applied := make(chan platform.Settings, 1)
--- a/daemon/settings_doc_test.go
+++ b/daemon/settings_doc_test.go
@@ -12,7 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// platformConstants are the values that the node uses on the platform.
+// platformConstants maps the names of the constants of platform_config.go to their
+// values.
 var platformConstants = map[string]any{
 	"memoryShare": memoryShare, "bodyShare": bodyShare, "waitMax": waitMax, "waitShare": waitShare, "waitMin": waitMin,
 	"soonerShare": soonerShare, "levelQueue": levelQueue, "levelSettle": levelSettle, "keptIdle": keptIdle, "reroutes": reroutes,
@@ -22,9 +23,9 @@
 	"revokeShare": revokeShare, "applyShare": applyShare, "proofReads": proofReads, "readShare": readShare,
 }
 
-// An operator looks up what a node does and finds a figure that it has not used for
-// long. Each constant of platform_config.go has its row, with its value.
-func TestPageListsEveryConstant(t *testing.T) {
+// Guards against documentation that lacks a constant of platform_config.go or shows
+// an outdated value.
+func TestDocsListEveryConstant(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../docs/PLATFORM.md")
 	is.NoErr(err)
