--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -45,8 +45,8 @@
 // errTooLarge means that an answer exceeds its size limit.
 var errTooLarge = errors.New("answer exceeds the limit")
 
-// attempt makes one attempt at one node. reached is false if the node gave no HTTP
-// answer.
+// attempt makes one attempt at one node. reached is false if the connection failed
+// before the node answered.
 func (c *Client) attempt(ctx context.Context, node string, req *Request) (res *Response, reached bool, err error) {
 	h, err := c.newRequest(ctx, node, req)
 	if err != nil {
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -24,15 +24,15 @@
 )
 
 // RunPlatform runs the node on the users' platform until SIGTERM or SIGINT.
-// path is the path of the platform's settings file, own holds the settings that are
-// not in that file. It returns an error if the start or the planned stop fails.
-func RunPlatform(path string, own settings.Platform) error {
+// path is the path of the platform's settings file, nodeSettings holds the settings
+// that are not in that file. It returns an error if the start or the planned stop fails.
+func RunPlatform(path string, nodeSettings settings.Platform) error {
 	hup := notifyHangups()
 	s, err := platform.ReadSettings(path)
 	if err != nil {
 		return err
 	}
-	app := fx.New(PlatformModule(path, s, own, hup, os.Stdout))
+	app := fx.New(PlatformModule(path, s, nodeSettings, hup, os.Stdout))
 	return runApp(app, time.Duration(float64(s.Bounds.Grace)*stopShare))
 }
 
@@ -41,9 +41,9 @@
 
 // PlatformModule provides a node with the servers and clients of the platform's
 // interfaces. It writes the log to out.
-func PlatformModule(path string, s platform.Settings, own settings.Platform, hup hangups, out io.Writer) fx.Option {
+func PlatformModule(path string, s platform.Settings, nodeSettings settings.Platform, hup hangups, out io.Writer) fx.Option {
 	return fx.Options(
-		fx.Supply(s, own, settingsPath(path), hup, fx.Annotate(out, fx.As(new(io.Writer)))),
+		fx.Supply(s, nodeSettings, settingsPath(path), hup, fx.Annotate(out, fx.As(new(io.Writer)))),
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
 		fx.Provide(newPlatformLogger, newStore, newCounters, listenPlatform, platformConfig, newPlatformNode),
 		fx.Invoke(runPlatform),
@@ -59,8 +59,8 @@
 }
 
 // advertised returns the address by which other nodes reach this one.
-func advertised(s platform.Settings, own settings.Platform) string {
-	return cmp.Or(own.PeerAdvertise, s.Peers)
+func advertised(s platform.Settings, nodeSettings settings.Platform) string {
+	return cmp.Or(nodeSettings.PeerAdvertise, s.Peers)
 }
 
 func newStore(s platform.Settings, c *ops.Counters) *platform.Store {
@@ -89,7 +89,7 @@
 
 // runPlatform starts and stops the node, its servers and its loops with the
 // application.
-func runPlatform(lc fx.Lifecycle, path settingsPath, hup hangups, s platform.Settings, own settings.Platform, cfg node.Config, n *node.Node, store *platform.Store,
+func runPlatform(lc fx.Lifecycle, path settingsPath, hup hangups, s platform.Settings, nodeSettings settings.Platform, cfg node.Config, n *node.Node, store *platform.Store,
 	c *ops.Counters, listening *platformListeners, log zerolog.Logger) {
 	debug.SetMemoryLimit(int64(float64(s.Memory) * memoryShare))
 	cfg.Entry.Draining = n.Draining
@@ -110,7 +110,7 @@
 			if cfg.Quota.Parts > 0 {
 				go platform.Lease(loopCtx, store, n, cfg.Quota, log)
 			}
-			go platform.Announce(loopCtx, store, platform.Place{Addr: advertised(s, own), DataCentre: s.DataCentre}, n, log)
+			go platform.Announce(loopCtx, store, platform.Place{Addr: advertised(s, nodeSettings), DataCentre: s.DataCentre}, n, log)
 			go reload.run(loopCtx)
 			if !s.First {
 				go probeBackend(loopCtx, s, n, log)
--- a/daemon/platform_config.go
+++ b/daemon/platform_config.go
@@ -125,13 +125,13 @@
 }
 
 // platformConfig returns the configuration of a node on the platform.
-func platformConfig(s platform.Settings, own settings.Platform, log zerolog.Logger) node.Config {
+func platformConfig(s platform.Settings, nodeSettings settings.Platform, log zerolog.Logger) node.Config {
 	cfg := node.DefaultConfig()
 	cfg.Explain.Sink = logs.NewDecisions(logs.DefaultConfig(), log)
 	cfg.Service = s.Service
 	cfg.DataCentre = s.DataCentre
 	cfg.Region = s.Region
-	cfg.PeerAddr = advertised(s, own)
+	cfg.PeerAddr = advertised(s, nodeSettings)
 	cfg.OpsAddr = s.Ops
 	cfg.CallerAddr = s.Callers
 	cfg.EnterGrace = enterGrace
--- a/explain/recorder.go
+++ b/explain/recorder.go
@@ -22,18 +22,17 @@
 	Queued    Step = "queued"
 	Picked    Step = "picked"
 	Sent      Step = "sent"
-	Ran       Step = "ran"
-	Answered  Step = "answered"
+	Ran       Step = "ran"      // the backend server of this node answered
+	Answered  Step = "answered" // a call ended with an answer
 	Shed      Step = "shed"
-	Refused   Step = "refused"
-	Retried   Step = "retried"
-	Lost      Step = "lost"
+	Refused   Step = "refused" // a request or call ended with a refusal or failure
+	Retried   Step = "retried" // another attempt follows a failed one
+	Lost      Step = "lost"    // the backend server of this node gave no answer
 	Expired   Step = "expired"
 	Cancelled Step = "cancelled"
 	Replayed  Step = "replayed"
 	Suspected Step = "suspected"
-	// Declined means that this node refused an attempt of another node.
-	Declined Step = "declined"
+	Declined  Step = "declined" // this node refused an attempt of another node
 )
 
 // notableSteps lists the steps that changed the caller's result.
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -26,7 +26,8 @@
 
 // Explain asks every node for its decisions about a request and prints them in order
 // of time. Times are those of the nodes' clocks, so only the order of one node's
-// decisions is certain. If no node has any, the error wraps ErrRefused.
+// decisions is certain. If none of the nodes that answered has any, the error wraps
+// ErrRefused.
 func (o *Operator) Explain(ctx context.Context, requestID string) error {
 	members, err := o.members(ctx)
 	if err != nil {
--- a/ops/ops.go
+++ b/ops/ops.go
@@ -63,8 +63,8 @@
 	Draining bool `json:"draining"`
 }
 
-// failure is the answer to a request that is not valid.
-type failure struct {
+// errorResponse is the answer to a request that is not valid.
+type errorResponse struct {
 	Error string `json:"error"`
 }
 
@@ -106,33 +106,33 @@
 func New(n Node, c *Counters) http.Handler {
 	r := mux.NewRouter().SkipClean(true)
 	get := func(path string, answer func(*http.Request) (int, any)) {
-		r.HandleFunc(path, serve(answer)).Methods(http.MethodGet, http.MethodHead)
+		r.HandleFunc(path, jsonHandler(answer)).Methods(http.MethodGet, http.MethodHead)
 	}
 	get("/healthz", func(*http.Request) (int, any) { return http.StatusOK, Readiness{Ready: true} })
 	get("/readyz", func(*http.Request) (int, any) { return readiness(n) })
 	get("/version", func(*http.Request) (int, any) { return http.StatusOK, n.Version() })
-	get("/members", func(*http.Request) (int, any) { return http.StatusOK, notNil(n.Members()) })
+	get("/members", func(*http.Request) (int, any) { return http.StatusOK, nonNilList(n.Members()) })
 	get("/state", func(*http.Request) (int, any) { return http.StatusOK, n.State() })
 	get("/explain/{id}", func(req *http.Request) (int, any) {
-		return http.StatusOK, notNil(n.Explain(mux.Vars(req)["id"]))
+		return http.StatusOK, nonNilList(n.Explain(mux.Vars(req)["id"]))
 	})
 	get("/debug/vars", func(*http.Request) (int, any) {
 		n.Sync()
-		return http.StatusOK, vars(c)
+		return http.StatusOK, expvars(c)
 	})
 	r.HandleFunc("/metrics", metrics(n, c)).Methods(http.MethodGet, http.MethodHead)
-	r.HandleFunc("/drain", serve(func(*http.Request) (int, any) {
+	r.HandleFunc("/drain", jsonHandler(func(*http.Request) (int, any) {
 		n.Drain()
 		return http.StatusAccepted, Draining{Draining: true}
 	})).Methods(http.MethodPost)
-	r.NotFoundHandler = serve(errorAnswer(http.StatusNotFound, "no such path"))
-	r.MethodNotAllowedHandler = serve(errorAnswer(http.StatusMethodNotAllowed, "this method is not allowed here"))
+	r.NotFoundHandler = jsonHandler(errorAnswer(http.StatusNotFound, "no such path"))
+	r.MethodNotAllowedHandler = jsonHandler(errorAnswer(http.StatusMethodNotAllowed, "this method is not allowed here"))
 	return r
 }
 
 // errorAnswer returns a handler function that answers with an error.
 func errorAnswer(status int, text string) func(*http.Request) (int, any) {
-	return func(*http.Request) (int, any) { return status, failure{Error: text} }
+	return func(*http.Request) (int, any) { return status, errorResponse{Error: text} }
 }
 
 func readiness(n Node) (int, any) {
@@ -143,16 +143,16 @@
 	return http.StatusOK, Readiness{Ready: true}
 }
 
-// notNil makes a nil list encode as [] instead of null.
-func notNil[T any](list []T) []T {
+// nonNilList makes a nil list encode as [] instead of null.
+func nonNilList[T any](list []T) []T {
 	if list == nil {
 		return []T{}
 	}
 	return list
 }
 
-// serve returns a handler that writes the status and the JSON value of answer.
-func serve(answer func(*http.Request) (int, any)) http.HandlerFunc {
+// jsonHandler returns a handler that writes the status and the JSON value of answer.
+func jsonHandler(answer func(*http.Request) (int, any)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		status, v := answer(r)
 		body, err := json.MarshalIndent(v, "", "  ")
@@ -165,10 +165,10 @@
 	}
 }
 
-// vars returns the process's expvar variables and the node's counters. The
+// expvars returns the process's expvar variables and the node's counters. The
 // counters are not published by expvar, whose names are global, because a process
 // may run several nodes.
-func vars(c *Counters) map[string]json.RawMessage {
+func expvars(c *Counters) map[string]json.RawMessage {
 	all := make(map[string]json.RawMessage)
 	expvar.Do(func(kv expvar.KeyValue) { all[kv.Key] = json.RawMessage(kv.Value.String()) })
 	all["cassialoom"] = json.RawMessage(c.String())
--- a/ops/ops_test.go
+++ b/ops/ops_test.go
@@ -76,7 +76,7 @@
 	is.Equal(ask(h, "GET", "/debug/vars", &all), 200)
 	is.Equal(n.synced, 1) // the counters are current
 
-	var wrong failure
+	var wrong errorResponse
 	is.Equal(ask(h, "GET", "/drain", &wrong), 405) // a GET must not stop a node
 	is.Equal(n.drained, 0)
 	var d Draining
--- a/settings/rules.go
+++ b/settings/rules.go
@@ -61,31 +61,31 @@
 		func(s Settings) any { return s.Advertise }, func(s Settings) bool { return isReachable(s.Advertise) }},
 	{"log-url", wantLogURL, func(s Settings) any { return s.LogURL }, func(s Settings) bool { return isLogURL(s.LogURL) }},
 	{"log-retention", "a duration from 1s to 8760h", func(s Settings) any { return s.LogRetention },
-		func(s Settings) bool { return within(s.LogRetention, minLogRetention, maxLogRetention) }},
+		func(s Settings) bool { return inRange(s.LogRetention, minLogRetention, maxLogRetention) }},
 	{"seed", wantAddr, func(s Settings) any { return s.Seeds }, func(s Settings) bool { return allAddrs(s.Seeds) }},
 	// The binding of a caller's own key is a record of the log. If the log drops
 	// it before the key expires, a resend runs a second time.
 	{"key-held-for", "a duration from 1s to 24h, at most 95% of --log-retention", func(s Settings) any { return s.KeyHeldFor },
 		func(s Settings) bool {
-			return within(s.KeyHeldFor, minKeyHeldFor, min(maxKeyHeldFor, s.LogRetention/100*maxKeyHeldPercent))
+			return inRange(s.KeyHeldFor, minKeyHeldFor, min(maxKeyHeldFor, s.LogRetention/100*maxKeyHeldPercent))
 		}},
-	{"max-body", wantPayload, func(s Settings) any { return s.MaxBody }, func(s Settings) bool { return within(s.MaxBody, 1, MaxPayload) }},
-	{"max-answer", wantPayload, func(s Settings) any { return s.MaxAnswer }, func(s Settings) bool { return within(s.MaxAnswer, 1, MaxPayload) }},
-	{"max-limit", wantSlots, func(s Settings) any { return s.MaxLimit }, func(s Settings) bool { return within(s.MaxLimit, 1, maxSlots) }},
+	{"max-body", wantPayload, func(s Settings) any { return s.MaxBody }, func(s Settings) bool { return inRange(s.MaxBody, 1, MaxPayload) }},
+	{"max-answer", wantPayload, func(s Settings) any { return s.MaxAnswer }, func(s Settings) bool { return inRange(s.MaxAnswer, 1, MaxPayload) }},
+	{"max-limit", wantSlots, func(s Settings) any { return s.MaxLimit }, func(s Settings) bool { return inRange(s.MaxLimit, 1, maxSlots) }},
 	{"initial-limit", "a number from 1 to the value of --max-limit", func(s Settings) any { return s.InitialLimit },
-		func(s Settings) bool { return within(s.InitialLimit, 1, s.MaxLimit) }},
-	{"queue", wantSlots, func(s Settings) any { return s.Queue }, func(s Settings) bool { return within(s.Queue, 1, maxSlots) }},
+		func(s Settings) bool { return inRange(s.InitialLimit, 1, s.MaxLimit) }},
+	{"queue", wantSlots, func(s Settings) any { return s.Queue }, func(s Settings) bool { return inRange(s.Queue, 1, maxSlots) }},
 	{"drain-grace", "a duration from 0s to 3s", func(s Settings) any { return s.DrainGrace },
-		func(s Settings) bool { return within(s.DrainGrace, 0, maxDrainGrace) }},
+		func(s Settings) bool { return inRange(s.DrainGrace, 0, maxDrainGrace) }},
 	{"stop-timeout", "a duration from the value of --drain-grace to 1h", func(s Settings) any { return s.StopTimeout },
-		func(s Settings) bool { return within(s.StopTimeout, s.DrainGrace, maxStopTimeout) }},
+		func(s Settings) bool { return inRange(s.StopTimeout, s.DrainGrace, maxStopTimeout) }},
 	{"log-level", "debug, info, warn or error", func(s Settings) any { return s.LogLevel },
 		func(s Settings) bool { return oneOf(s.LogLevel, "debug", "info", "warn", "error") }},
 	{"policy", "full, fixed or none", func(s Settings) any { return s.Policy },
 		func(s Settings) bool { return oneOf(s.Policy, "full", "fixed", "none") }},
 }
 
-func within[T int | int64 | time.Duration](v, low, high T) bool { return low <= v && v <= high }
+func inRange[T int | int64 | time.Duration](v, low, high T) bool { return low <= v && v <= high }
 
 // isName reports whether s is a valid name of a service, data centre, region or
 // cluster.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -73,7 +73,7 @@
 		return Settings{}, fmt.Errorf("argument %q: only flags are allowed", rest[0])
 	}
 	if s.Advertise == "" {
-		s.Advertise = host(s.PeerListen)
+		s.Advertise = hostOf(s.PeerListen)
 	}
 	return s, s.Check()
 }
@@ -130,8 +130,8 @@
 	return net.JoinHostPort(s.Advertise, strconv.Itoa(port))
 }
 
-// host returns the IP number of addr, or "" if addr is not valid.
-func host(addr string) string {
+// hostOf returns the IP number of addr, or "" if addr is not valid.
+func hostOf(addr string) string {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return ""
