--- a/transport/config.go
+++ b/transport/config.go
@@ -1,11 +1,12 @@
-// Package transport carries messages between nodes: one WebSocket per pair of
-// nodes in use, CBOR frames, many calls multiplexed.
+// Package transport carries messages between nodes: one WebSocket for each pair
+// of nodes that communicate, with CBOR frames and many concurrent calls on
+// each.
 //
-// It promises three things to the duties above it. A message goes to the very
-// incarnation that it is meant for or to nobody: both ends name themselves
-// before anything else. A message that was never handed to the network is
-// known as such (Delivery.Written). And memory stays bounded whatever a peer
-// does: sizes, queue lengths and waiting times all have limits.
+// It guarantees three things. A message reaches the intended incarnation or
+// none, because both ends identify themselves before anything else. A message
+// that was never written to the network is known as such (Delivery.Written).
+// Memory is bounded whatever a peer does, because message sizes, queue lengths
+// and waiting times are limited.
 package transport
 
 import (
@@ -14,10 +15,11 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// ProtocolVersion is refused when the peer's differs.
+// ProtocolVersion is the protocol version of this node. Connections to peers
+// with another version are refused.
 const ProtocolVersion = 1
 
-// Path is where peers connect.
+// Path is the HTTP path at which a node accepts connections from peers.
 const Path = "/peer"
 
 // Hello is the first message in each direction.
@@ -25,52 +27,57 @@
 	Cluster string      `cbor:"1,keyasint"`
 	Version uint16      `cbor:"2,keyasint"`
 	ID      wire.NodeID `cbor:"3,keyasint"`
-	// Addr is where the sender takes connections from peers.
+	// Addr is the address at which the sender accepts connections from peers.
 	Addr string `cbor:"4,keyasint"`
-	// DataCentre of the sender, for counting what goes between data centres.
+	// DataCentre is the sender's; it is used to count the traffic between data
+	// centres.
 	DataCentre string `cbor:"5,keyasint,omitempty"`
 }
 
-// Opened is the second message of the end that dialled: it has heard the other
-// end's hello. A node of an earlier release takes it for a message of a kind that
-// it does not know, and passes over it.
+// Opened is the second message of the dialling end. It confirms that it
+// received the other end's hello. Earlier releases ignore it as a message of
+// unknown kind.
 type Opened struct{}
 
-// Config of a Transport.
+// Config holds the settings of a Transport.
 type Config struct {
-	// Cluster keeps installations apart that reach each other by mistake.
+	// Cluster is the name of the installation. Peers of another cluster are
+	// refused, so that installations which reach each other by mistake don't
+	// mix.
 	Cluster string
 	ID      wire.NodeID
 	Addr    string
-	// DataCentre is told to peers.
+	// DataCentre is sent to peers in the hello.
 	DataCentre string
-	// DialTimeout bounds connecting and both hellos. One second is many
-	// round trips between regions, and short against a request's patience.
+	// DialTimeout bounds the connection attempt and the exchange of hellos. It
+	// is longer than many round trips between regions and short against the
+	// deadlines of requests.
 	DialTimeout time.Duration
-	// WriteTimeout ends a connection whose peer takes nothing, for example
-	// because it is frozen: what waits for it then fails instead of waiting
-	// for good.
+	// WriteTimeout bounds one write. A connection whose peer reads nothing, for
+	// example because it is frozen, is closed after it, so that messages queued
+	// for that peer fail.
 	WriteTimeout time.Duration
-	// ProofAfter is the time after which a call without an answer needs another
-	// sign that it has come through: most calls are answered sooner, so that few
-	// connections are ever asked.
+	// ProofAfter is the age of an unanswered call after which its connection is
+	// probed. Most calls are answered sooner, so few connections are probed.
 	ProofAfter time.Duration
-	// StallAfter sets a connection aside whose peer gave no sign for so long when
-	// asked, besides two round trips as its opening took: what a busy machine needs
-	// to answer, and a fraction of what callers wait for.
+	// StallAfter is the time, in addition to two round trips, that a peer has
+	// to answer a probe before its connection is suspended. It allows for a
+	// busy machine and is short against the deadlines of requests.
 	StallAfter time.Duration
-	// IdleTimeout closes a connection that nothing used, so that their
-	// number follows the work and not the size of the fleet.
+	// IdleTimeout is the time after which an unused connection is closed, so
+	// that the number of connections follows the traffic and not the size of
+	// the fleet.
 	IdleTimeout time.Duration
-	// Outbound bounds the messages that wait for one peer. It covers the
-	// calls of a few seconds at the design load of 400 calls/s.
+	// Outbound bounds the messages queued for one peer. The default covers a
+	// few seconds at the design load of 400 calls/s.
 	Outbound int
-	// MaxInbound bounds connections taken from peers: at the design size a
-	// node hears from at most all 3,500 others.
+	// MaxInbound bounds the connections accepted from peers. The default allows
+	// one from each of the 3,500 other nodes of the design size.
 	MaxInbound int
 }
 
-// DefaultConfig returns the settings that the daemon starts from.
+// DefaultConfig returns the default settings, without those that identify the
+// node.
 func DefaultConfig() Config {
 	return Config{
 		DialTimeout:  time.Second,
--- a/transport/conn.go
+++ b/transport/conn.go
@@ -17,32 +17,34 @@
 // ErrClosed is returned for a connection that has ended.
 var ErrClosed = errors.New("connection to peer closed")
 
-// ErrBusy is returned when too many messages wait for the peer.
-var ErrBusy = errors.New("too many messages wait for peer")
+// ErrBusy is returned when the queue of messages to the peer is full.
+var ErrBusy = errors.New("queue of messages to peer is full")
 
-// Conn is one connection to one incarnation of a peer. Safe for concurrent
-// use.
+// Conn is one connection to one incarnation of a peer. It is safe for
+// concurrent use.
 type Conn struct {
-	peer   Hello
-	dialed string
-	number uint64
-	ws     *websocket.Conn
-	out    *outbox
-	done   chan struct{}
-	once   sync.Once
-	holds  atomic.Int64
-	active atomic.Int64 // unix nanoseconds of the last message
-	// transit measures how long the peer's messages were under way.
-	transit transit
-	// roundTrip is about what the opening took for one.
-	roundTrip time.Duration
-	receipts  receipts
-	// asking says that the peer is being asked for a sign.
-	asking atomic.Bool
-	// stalled closes the connection when a write takes too long. One timer
-	// for all writes: a context for each would cost more than the write.
-	stalled *time.Timer
-	cfg     *Config
+	peer       Hello
+	dialed     string
+	number     uint64
+	ws         *websocket.Conn
+	out        *outbox
+	done       chan struct{}
+	once       sync.Once
+	holdCount  atomic.Int64
+	lastActive atomic.Int64 // Unix nanoseconds of the last message in either direction
+	// delayMeter measures the transit delay of the peer's messages.
+	delayMeter delayMeter
+	// roundTrip is the round-trip time estimated when the connection was
+	// opened.
+	roundTrip    time.Duration
+	unackedCalls unackedCalls
+	// probing is set while a ping of this connection is under way.
+	probing atomic.Bool
+	// writeTimer closes the connection when a write takes too long. One timer
+	// serves all writes because a context for each would cost more than the
+	// write.
+	writeTimer *time.Timer
+	cfg        *Config
 }
 
 func newConn(cfg *Config, ws *websocket.Conn, peer Hello) *Conn {
@@ -53,41 +55,44 @@
 		done: make(chan struct{}),
 		cfg:  cfg,
 	}
-	c.stalled = time.AfterFunc(cfg.WriteTimeout, c.Close)
-	c.stalled.Stop()
+	c.writeTimer = time.AfterFunc(cfg.WriteTimeout, c.Close)
+	c.writeTimer.Stop()
 	c.touch()
 	return c
 }
 
-// Peer returns what the other end said of itself.
+// Peer returns the hello of the other end.
 func (c *Conn) Peer() Hello { return c.peer }
 
-// Dialed returns the address that this end dialled, empty if the peer did.
+// Dialed returns the address that this end dialled, empty if the peer dialled.
 func (c *Conn) Dialed() string { return c.dialed }
 
-// Number is never used again for another connection of the same Transport.
+// Number identifies the connection. A Transport never reuses a number.
 func (c *Conn) Number() uint64 { return c.number }
 
-// Delay returns how long a message was under way beyond the fastest one of late.
-// sentMillis is what the peer's clock said when it wrote it, in milliseconds, zero if
-// it did not say: that gives no delay.
+// Delay returns by how much the transit time of a message that arrived at now
+// exceeds that of the fastest recent message. sentMillis is the sender's clock
+// in milliseconds modulo 2^32 when it wrote the message; zero means unknown and
+// gives no delay.
 func (c *Conn) Delay(now time.Time, sentMillis uint32) time.Duration {
-	return c.transit.delay(now, sentMillis)
+	return c.delayMeter.delay(now, sentMillis)
 }
 
-// Done is closed when the connection has ended: what is not Written by then
-// never is. One message that had arrived may still be handed to the Handler.
+// Done returns a channel that is closed when the connection has ended. A
+// message whose Delivery is not Written by then is never sent. One message that
+// was already received may still be passed to the Handler.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Hold keeps the connection from being closed as idle while an answer is
+// Hold prevents the connection from being closed as idle while an answer is
 // awaited on it. Each Hold needs one Release.
-func (c *Conn) Hold() { c.holds.Add(1) }
+func (c *Conn) Hold() { c.holdCount.Add(1) }
 
-// Release ends a Hold.
-func (c *Conn) Release() { c.holds.Add(-1) }
+// Release ends one Hold.
+func (c *Conn) Release() { c.holdCount.Add(-1) }
 
-// Send queues a message; it does not wait for the network. With an error the
-// message has not been and will not be sent.
+// Send queues a message and does not wait for the network. After an error the
+// message has not been sent and never will be. ErrBusy says that the queue is
+// full, ErrClosed that the connection has ended.
 func (c *Conn) Send(kind wire.Kind, msg any) (*Delivery, error) {
 	data, err := wire.Encode(kind, msg)
 	if err != nil {
@@ -95,12 +100,12 @@
 	}
 	d, err := c.enqueue(data)
 	if err == nil && kind == wire.KindCall {
-		c.receipts.sent(time.Now())
+		c.unackedCalls.sent(time.Now())
 	}
 	return d, err
 }
 
-// SendEncoded queues a frame made by wire.Encode.
+// SendEncoded queues a frame made by wire.Encode. Its errors are those of Send.
 func (c *Conn) SendEncoded(data []byte) error {
 	_, err := c.enqueue(data)
 	return err
@@ -117,7 +122,7 @@
 	return d, nil
 }
 
-// Close ends the connection at once.
+// Close ends the connection at once. Queued messages are dropped.
 func (c *Conn) Close() {
 	c.once.Do(func() {
 		c.out.close()
@@ -126,13 +131,13 @@
 	})
 }
 
-func (c *Conn) touch() { c.active.Store(time.Now().UnixNano()) }
+func (c *Conn) touch() { c.lastActive.Store(time.Now().UnixNano()) }
 
 func (c *Conn) idle(now time.Time) bool {
-	if c.holds.Load() > 0 {
+	if c.holdCount.Load() > 0 {
 		return false
 	}
-	last := time.Unix(0, c.active.Load())
+	last := time.Unix(0, c.lastActive.Load())
 	return now.Sub(last) > c.cfg.IdleTimeout
 }
 
@@ -147,22 +152,23 @@
 }
 
 func (c *Conn) write(data []byte) error {
-	c.stalled.Reset(c.cfg.WriteTimeout)
-	defer c.stalled.Stop()
+	c.writeTimer.Reset(c.cfg.WriteTimeout)
+	defer c.writeTimer.Stop()
 	c.touch()
 	return c.ws.Write(context.Background(), websocket.MessageBinary, data)
 }
 
-// readFrame waits for one message and hands it to take.
-func (c *Conn) readFrame(take func(wire.Frame)) error {
+// readFrame waits for one message and passes it to handle.
+func (c *Conn) readFrame(handle func(wire.Frame)) error {
 	kind, r, err := c.ws.Reader(context.Background())
 	if err != nil {
 		return err
 	}
 	if kind != websocket.MessageBinary {
-		return errText
+		return errTextMessage
 	}
-	// Only now is a buffer needed: most connections wait most of the time.
+	// A buffer is taken only when a message arrives, because most connections
+	// are idle most of the time.
 	buf := buffers.Get().(*bytes.Buffer)
 	defer putBuffer(buf)
 	if _, err := buf.ReadFrom(r); err != nil {
@@ -173,21 +179,21 @@
 		return err
 	}
 	c.touch()
-	take(f)
+	handle(f)
 	return nil
 }
 
-var errText = errors.New("peer sent a text message")
+var errTextMessage = errors.New("peer sent a text message")
 
-// buffers hold messages while they are read and handled.
+// buffers holds received messages while they are read and handled.
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// keptBuffer is the largest buffer that is used again: a few large messages
-// would otherwise hold their memory for good.
-const keptBuffer = 64 << 10
+// maxPooledBuffer is the largest buffer in bytes that is reused. Pooling larger
+// ones would retain the memory of a few large messages.
+const maxPooledBuffer = 64 << 10
 
 func putBuffer(buf *bytes.Buffer) {
-	if buf.Cap() > keptBuffer {
+	if buf.Cap() > maxPooledBuffer {
 		return
 	}
 	buf.Reset()
--- a/transport/outbox.go
+++ b/transport/outbox.go
@@ -6,15 +6,15 @@
 	"sync/atomic"
 )
 
-// Delivery tells what became of one message.
+// Delivery tracks whether one message may have been written to the network.
 type Delivery struct {
 	written atomic.Bool
 }
 
-// Written reports whether the message may have reached the peer. It is set
-// just before the first byte is written: a false is certain once the
-// connection is done, a true is not. Only with a false may a caller be told
-// "not run".
+// Written reports whether the message may have reached the peer. It becomes
+// true just before the first byte is written. After Conn.Done is closed, false
+// is final: the message was not sent and its caller may be told "not run". True
+// does not prove that the message arrived.
 func (d *Delivery) Written() bool { return d.written.Load() }
 
 type outgoing struct {
@@ -22,23 +22,23 @@
 	delivery *Delivery
 }
 
-// keptRoom is the room for messages that an empty outbox keeps; what a burst
-// needed beyond it is given back.
-const keptRoom = 64
+// maxRetainedCap is the queue capacity, in messages, that an empty outbox
+// keeps. Capacity beyond it, added by a burst, is released.
+const maxRetainedCap = 64
 
-// outbox holds the messages that wait for one peer, in order. Its memory
-// follows what waits: most connections of a node are at rest.
+// outbox is the bounded FIFO queue of messages to one peer. Its memory grows
+// and shrinks with the queue because most connections are idle.
 type outbox struct {
 	limit int
-	// wake has room for one: whoever writes looks again after each receive.
+	// wake is signalled when the queue or closed changes. Its capacity of one
+	// is enough because the writer checks the queue again after each receive.
 	wake chan struct{}
 
-	mu      sync.Mutex
-	waiting []outgoing // from taken on
-	taken   int
-	closed  bool
-	// writing says that a message was taken and next has not been called
-	// since.
+	mu     sync.Mutex
+	queue  []outgoing // queued messages start at head
+	head   int
+	closed bool
+	// writing is set while a message returned by next is being written.
 	writing bool
 }
 
@@ -46,80 +46,80 @@
 	return &outbox{limit: limit, wake: make(chan struct{}, 1)}
 }
 
-// put adds a message. With an error it will never be taken.
+// put queues a message. After an error next never returns it.
 func (o *outbox) put(m outgoing) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed {
 		return ErrClosed
 	}
-	if len(o.waiting)-o.taken >= o.limit {
+	if len(o.queue)-o.head >= o.limit {
 		return ErrBusy
 	}
-	if len(o.waiting) == cap(o.waiting) {
-		o.waiting = slices.Delete(o.waiting, 0, o.taken)
-		o.taken = 0
+	if len(o.queue) == cap(o.queue) {
+		o.queue = slices.Delete(o.queue, 0, o.head)
+		o.head = 0
 	}
-	o.waiting = append(o.waiting, m)
+	o.queue = append(o.queue, m)
 	o.signal()
 	return nil
 }
 
-// next waits for a message and takes it; ok is false once the outbox is
-// closed. The message counts as written from here on, under the same lock as
-// the close: a connection that is done could otherwise report "not written"
-// while its writer is just about to write, and a caller be told "not run"
+// next waits for a message and removes it from the queue; ok is false once the
+// outbox is closed. It marks the message as written under the lock that close
+// takes: otherwise a closed connection could report "not written" while its
+// writer is about to write the message, and a caller could be told "not run"
 // about a call that runs.
 func (o *outbox) next() (m outgoing, ok bool) {
 	for {
-		if m, ok, closed := o.take(); ok || closed {
+		if m, ok, closed := o.tryNext(); ok || closed {
 			return m, ok
 		}
 		<-o.wake
 	}
 }
 
-func (o *outbox) take() (m outgoing, ok, closed bool) {
+func (o *outbox) tryNext() (m outgoing, ok, closed bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.writing = false
-	if o.closed || o.taken == len(o.waiting) {
+	if o.closed || o.head == len(o.queue) {
 		return outgoing{}, false, o.closed
 	}
 	o.writing = true
-	m = o.waiting[o.taken]
-	o.waiting[o.taken] = outgoing{}
-	o.taken++
-	if o.taken == len(o.waiting) {
-		o.empty()
+	m = o.queue[o.head]
+	o.queue[o.head] = outgoing{}
+	o.head++
+	if o.head == len(o.queue) {
+		o.reset()
 	}
 	m.delivery.written.Store(true)
 	return m, true, false
 }
 
-func (o *outbox) empty() {
-	o.taken = 0
-	o.waiting = o.waiting[:0]
-	if cap(o.waiting) > keptRoom {
-		o.waiting = nil
+func (o *outbox) reset() {
+	o.head = 0
+	o.queue = o.queue[:0]
+	if cap(o.queue) > maxRetainedCap {
+		o.queue = nil
 	}
 }
 
-// close ends the outbox; what waits is never written.
+// close closes the outbox and drops the queued messages.
 func (o *outbox) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.closed = true
-	o.waiting = nil
-	o.taken = 0
+	o.queue = nil
+	o.head = 0
 	o.signal()
 }
 
-// busy reports whether a message waits or is being written.
+// busy reports whether a message is queued or being written.
 func (o *outbox) busy() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.writing && !o.closed || o.taken < len(o.waiting)
+	return o.writing && !o.closed || o.head < len(o.queue)
 }
 
 func (o *outbox) signal() {
--- a/transport/stall.go
+++ b/transport/stall.go
@@ -6,141 +6,147 @@
 	"time"
 )
 
-// After a cut that heals, or one direction that loses packets, TCP sends again what
-// was not acknowledged after waits that double each time: a connection that was cut
-// for four seconds may pass nothing for three more, in one direction only, while the
-// peer is heard in the other and looks well. Calls handed to it wait all that time.
+// After an interruption, TCP retransmits unacknowledged data with waits that
+// double each time. A connection can therefore pass nothing in one direction
+// for seconds after the network has recovered, while data still arrives in the
+// other direction and the peer looks healthy. Calls sent on it wait all that
+// time.
 //
-// So a call must be seen to have come through: an answer shows it, or the answer to a
-// question that the WebSocket itself asks. Without either the connection is set
-// aside: nothing new goes out by it, the next message opens another, and what waits
-// on it keeps its chance of an answer. A connection that comes back to life is used
-// again unless another has taken its place.
+// The Transport therefore checks that calls arrive: either an answer to a call
+// or a WebSocket pong confirms it. A connection with neither is suspended: new
+// messages open another connection, and messages already queued on the old one
+// can still be answered. A suspended connection that recovers is used again if
+// no other replaced it.
 
-// proofTick is the time between two looks for connections in doubt: a fraction of
-// what callers wait for, and a few lookups a second for each peer.
-const proofTick = 100 * time.Millisecond
+// probeInterval is the time between two scans for connections to probe.
+const probeInterval = 100 * time.Millisecond
 
-// farthest is the round trip between the most distant regions: an opening that took
-// longer met a loss or a busy machine.
-const farthest = 300 * time.Millisecond
+// maxRoundTrip bounds the round-trip time used for the probe timeout. It is
+// that of the most distant regions; a longer measurement includes a packet loss
+// or a busy machine.
+const maxRoundTrip = 300 * time.Millisecond
 
-// receipts tells since when calls have gone out that nothing has come back for. Safe
-// for concurrent use.
-type receipts struct {
+// unackedCalls tracks for how long sent calls have not been confirmed to
+// arrive. It is safe for concurrent use.
+type unackedCalls struct {
 	mu sync.Mutex
-	// first and last are when the oldest and the newest of those were sent, zero if
-	// there are none.
-	first, last time.Time
+	// oldest and newest are the send times of the oldest and the newest
+	// unconfirmed call, zero if there is none.
+	oldest, newest time.Time
 }
 
-// sent notes a call.
-func (r *receipts) sent(now time.Time) {
+// sent records a call sent at now.
+func (r *unackedCalls) sent(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.first.IsZero() {
-		r.first = now
+	if r.oldest.IsZero() {
+		r.oldest = now
 	}
-	r.last = now
+	r.newest = now
 }
 
-// shown notes that what was sent up to a moment has come through.
-func (r *receipts) shown(until time.Time) {
+// acked records that everything sent up to until has arrived.
+func (r *unackedCalls) acked(until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.first.IsZero() || until.Before(r.first) {
+	if r.oldest.IsZero() || until.Before(r.oldest) {
 		return
 	}
-	if until.Before(r.last) {
-		// The next one was sent later than this; its exact time is not kept.
-		r.first = until
+	if until.Before(r.newest) {
+		// The send time of the next call is not kept; it is later than until.
+		r.oldest = until
 		return
 	}
-	r.first = time.Time{}
-	r.last = time.Time{}
+	r.oldest = time.Time{}
+	r.newest = time.Time{}
 }
 
-// missing returns how long nothing has shown that calls come through.
-func (r *receipts) missing(now time.Time) time.Duration {
+// unackedFor returns the age of the oldest unconfirmed call, zero if there is
+// none.
+func (r *unackedCalls) unackedFor(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.first.IsZero() {
+	if r.oldest.IsZero() {
 		return 0
 	}
-	return now.Sub(r.first)
+	return now.Sub(r.oldest)
 }
 
-// Answered notes an answer to a call that was sent at a moment: all that was written
-// before it has come through as well.
-func (c *Conn) Answered(sent time.Time) { c.receipts.shown(sent) }
+// Answered records the answer to a call that was sent at sent. It confirms all
+// messages written before that call as well.
+func (c *Conn) Answered(sent time.Time) { c.unackedCalls.acked(sent) }
 
-// askDoubtful asks the connections in doubt.
-func (t *Transport) askDoubtful(now time.Time) {
-	for _, c := range t.doubtful(now) {
-		t.ask(c)
+// probeSuspects pings the suspect connections.
+func (t *Transport) probeSuspects(now time.Time) {
+	for _, c := range t.suspects(now) {
+		t.probe(c)
 	}
 }
 
-// doubtful lists the connections in use that owe an answer for too long and have not
-// been asked.
-func (t *Transport) doubtful(now time.Time) []*Conn {
+// suspects returns the active connections whose calls have been unconfirmed for
+// longer than ProofAfter and that are not being probed, and marks them as being
+// probed.
+func (t *Transport) suspects(now time.Time) []*Conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var found []*Conn
-	for _, c := range t.conns {
-		if c.receipts.missing(now) > t.cfg.ProofAfter && c.asking.CompareAndSwap(false, true) {
+	for _, c := range t.active {
+		if c.unackedCalls.unackedFor(now) > t.cfg.ProofAfter && c.probing.CompareAndSwap(false, true) {
 			found = append(found, c)
 		}
 	}
 	return found
 }
 
-// ask has the WebSocket of a connection ask its peer for a sign, and sets the
-// connection aside while there is none.
-func (t *Transport) ask(c *Conn) {
+// probe pings the peer in the background, suspends the connection if no pong
+// arrives in time, and uses it again once one does.
+func (t *Transport) probe(c *Conn) {
 	t.wg.Add(1)
 	go func() {
 		defer t.wg.Done()
-		defer c.asking.Store(false)
+		defer c.probing.Store(false)
 		ctx, cancel := context.WithTimeout(context.Background(), t.cfg.WriteTimeout)
 		defer cancel()
-		patience := t.cfg.StallAfter + 2*min(c.roundTrip, farthest)
-		late := time.AfterFunc(patience, func() { t.setAside(c) })
-		defer late.Stop()
+		timeout := t.cfg.StallAfter + 2*min(c.roundTrip, maxRoundTrip)
+		suspendTimer := time.AfterFunc(timeout, func() { t.suspend(c) })
+		defer suspendTimer.Stop()
 		begin := time.Now()
 		if c.ws.Ping(ctx) != nil {
-			return // it is set aside, or has ended
+			return // suspended or closed
 		}
-		c.receipts.shown(begin)
-		t.useAgain(c)
+		c.unackedCalls.acked(begin)
+		t.reactivate(c)
 	}()
 }
 
-// setAside takes a connection out of use for new messages.
-func (t *Transport) setAside(c *Conn) {
-	if t.withdraw(c) {
+// suspend stops using a connection for new messages and reports it to the
+// handler.
+func (t *Transport) suspend(c *Conn) {
+	if t.deactivate(c) {
 		t.handler.Stalled(c)
 	}
 }
 
-// withdraw takes a connection out of use and reports whether it was in use.
-func (t *Transport) withdraw(c *Conn) bool {
+// deactivate stops using a connection for new messages. It reports whether the
+// connection was active.
+func (t *Transport) deactivate(c *Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.conns[c.peer.ID] != c {
+	if t.active[c.peer.ID] != c {
 		return false
 	}
-	delete(t.conns, c.peer.ID)
+	delete(t.active, c.peer.ID)
 	return true
 }
 
-// useAgain takes a connection that was set aside into use, unless another is.
-func (t *Transport) useAgain(c *Conn) {
+// reactivate uses a suspended connection for new messages again, unless it has
+// ended or another has replaced it.
+func (t *Transport) reactivate(c *Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_, open := t.all[c.number]
-	_, other := t.conns[c.peer.ID]
-	if open && !other {
-		t.conns[c.peer.ID] = c
+	_, open := t.byNumber[c.number]
+	_, replaced := t.active[c.peer.ID]
+	if open && !replaced {
+		t.active[c.peer.ID] = c
 	}
 }
--- a/transport/stall_test.go
+++ b/transport/stall_test.go
@@ -13,33 +13,33 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// lane forwards connections to an address.
-type lane struct {
-	addr string
-	mu   sync.Mutex
-	hops []*hop
+// proxy forwards TCP connections to an address.
+type proxy struct {
+	addr  string
+	mu    sync.Mutex
+	conns []*proxiedConn
 }
 
-// hop is one connection. While mu is held what the dialler writes goes no further; the
-// other direction works.
-type hop struct {
+// proxiedConn is one forwarded connection. While mu is held, data from the
+// dialling end is held back; the other direction works.
+type proxiedConn struct {
 	mu sync.Mutex
 	to net.Conn
 }
 
-func (h *hop) Write(b []byte) (int, error) {
+func (h *proxiedConn) Write(b []byte) (int, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.to.Write(b)
 }
 
-func startLane(t *testing.T, to string) *lane {
+func startProxy(t *testing.T, to string) *proxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &lane{addr: ln.Addr().String()}
+	l := &proxy{addr: ln.Addr().String()}
 	go func() {
 		for {
 			from, err := ln.Accept()
@@ -58,11 +58,11 @@
 	return l
 }
 
-// forward copies both directions until either end closes.
-func (l *lane) forward(from, onward net.Conn) {
-	h := &hop{to: onward}
+// forward copies data in both directions until either end closes.
+func (l *proxy) forward(from, onward net.Conn) {
+	h := &proxiedConn{to: onward}
 	l.mu.Lock()
-	l.hops = append(l.hops, h)
+	l.conns = append(l.conns, h)
 	l.mu.Unlock()
 	go func() {
 		_, _ = io.Copy(from, onward) // ends with either connection
@@ -72,11 +72,11 @@
 	onward.Close()
 }
 
-// hold holds up the connections that are open, not those opened later.
-func (l *lane) hold() (release func()) {
+// pause holds back data on the connections that are open, not on later ones.
+func (l *proxy) pause() (release func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held := l.hops
+	held := l.conns
 	for _, h := range held {
 		h.mu.Lock()
 	}
@@ -87,19 +87,17 @@
 	})
 }
 
-// A cut between two nodes heals, but TCP goes on waiting before it sends again in the
-// one direction, for seconds, while the peer is heard in the other. The calls that
-// came after the cut waited with it until their callers left. They go out by another
-// connection, and the one that was held up still delivers what it has.
-func TestCallsLeaveAConnectionThatPassesNothing(t *testing.T) {
+// Guards against calls that wait on a connection that passes nothing in one
+// direction. New calls use another connection; queued ones are still delivered.
+func TestStalledConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
-	quick := func(cfg *Config) {
+	shortTimeouts := func(cfg *Config) {
 		cfg.ProofAfter = 10 * time.Millisecond
 		cfg.StallAfter = 20 * time.Millisecond
-		cfg.WriteTimeout = time.Minute // nothing here may end it
+		cfg.WriteTimeout = time.Minute // must not end the connection here
 	}
-	a, b := startPeerWith(t, "c", quick), startPeer(t, "c")
-	l := startLane(t, b.addr)
+	a, b := startPeerWith(t, "c", shortTimeouts), startPeer(t, "c")
+	l := startProxy(t, b.addr)
 	first, err := a.Connect(t.Context(), b.id, l.addr)
 	is.NoErr(err)
 	send := func(c *Conn, seq uint64) {
@@ -108,11 +106,11 @@
 	}
 	send(first, 1)
 	<-b.frames
-	release := l.hold()
+	release := l.pause()
 	defer release()
 	send(first, 2)
 
-	a.awaitUse(t, b.id, func(c *Conn) bool { return c == nil })
+	a.awaitActive(t, b.id, func(c *Conn) bool { return c == nil })
 	second, err := a.Connect(t.Context(), b.id, l.addr)
 	is.NoErr(err)
 	send(second, 3)
@@ -131,44 +129,42 @@
 	return req.Seq
 }
 
-// The peer stands still for a moment and goes on. Nothing took the place of its
-// connection meanwhile: it is used again.
-func TestConnectionThatComesBackIsUsedAgain(t *testing.T) {
+// A suspended connection that recovers is used again if no other replaced it.
+func TestRecoveredConnectionIsReused(t *testing.T) {
 	is := is.New(t)
 	a, b := startPeerWith(t, "c", func(cfg *Config) {
 		cfg.ProofAfter = 10 * time.Millisecond
 		cfg.StallAfter = 20 * time.Millisecond
 		cfg.WriteTimeout = time.Minute
 	}), startPeer(t, "c")
-	l := startLane(t, b.addr)
+	l := startProxy(t, b.addr)
 	c, err := a.Connect(t.Context(), b.id, l.addr)
 	is.NoErr(err)
-	release := l.hold()
+	release := l.pause()
 	_, err = c.Send(wire.KindCall, call.Request{Seq: 1})
 	is.NoErr(err)
-	a.awaitUse(t, b.id, func(c *Conn) bool { return c == nil })
+	a.awaitActive(t, b.id, func(c *Conn) bool { return c == nil })
 
 	release()
 
-	a.awaitUse(t, b.id, func(again *Conn) bool { return again == c })
+	a.awaitActive(t, b.id, func(again *Conn) bool { return again == c })
 }
 
-// A call that is answered leaves no doubt about those before it, only about those
-// after it; an answer to an earlier call says nothing of either.
-func TestReceipts(t *testing.T) {
+// An answer confirms its call and all earlier ones, and none of the later ones.
+func TestUnackedCalls(t *testing.T) {
 	is := is.New(t)
-	var r receipts
+	var r unackedCalls
 	begin := time.Now()
 	at := func(s int) time.Time { return begin.Add(time.Duration(s) * time.Second) }
-	is.Equal(r.missing(at(0)), time.Duration(0))
+	is.Equal(r.unackedFor(at(0)), time.Duration(0))
 	r.sent(at(1))
 	r.sent(at(2))
 	r.sent(at(3))
-	is.Equal(r.missing(at(4)), 3*time.Second)
-	r.shown(at(0))
-	is.Equal(r.missing(at(4)), 3*time.Second)
-	r.shown(at(2))
-	is.Equal(r.missing(at(4)), 2*time.Second)
-	r.shown(at(3))
-	is.Equal(r.missing(at(9)), time.Duration(0))
+	is.Equal(r.unackedFor(at(4)), 3*time.Second)
+	r.acked(at(0))
+	is.Equal(r.unackedFor(at(4)), 3*time.Second)
+	r.acked(at(2))
+	is.Equal(r.unackedFor(at(4)), 2*time.Second)
+	r.acked(at(3))
+	is.Equal(r.unackedFor(at(9)), time.Duration(0))
 }
--- a/transport/transit.go
+++ b/transport/transit.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// transitWindow is the time over which the fastest message counts. It is longer than
-// a connection is held up before it ends, and short enough that a sender whose clock
-// stood still, because its machine slept, is believed again soon.
-const transitWindow = 10 * time.Second
+// delayWindow is the time for which the fastest message counts as the
+// reference. It is longer than a connection can be held up before it ends.
+// After a sender's clock stood still, for example because its machine slept,
+// the reference is correct again after two windows.
+const delayWindow = 10 * time.Second
 
-// transit tells how long a message was under way beyond what the fastest one of
-// late took. Machines need not agree on the time: it compares what the sender's clock
-// said with what the receiver's says, and only changes of the difference count.
-//
-// The load it answers: a connection that a cut or a frozen machine has held up for
-// seconds delivers all that was written to it at once. Safe for concurrent use.
-type transit struct {
+// delayMeter measures by how much the transit time of a message exceeds that of
+// the fastest recent one. The clocks of the machines need not agree: only
+// changes of the difference between the sender's and the receiver's clock
+// count. It detects messages that a network interruption or a frozen machine
+// held up for seconds and that then arrive all at once. It is safe for
+// concurrent use.
+type delayMeter struct {
 	mu sync.Mutex
-	// origin is when the first message came: a time with a monotonic reading, so
-	// that a step of the machine's clock delays nothing.
+	// origin is when the first message arrived. Its monotonic reading keeps
+	// steps of the wall clock out of the measurement.
 	origin time.Time
-	// began is when the present window did.
-	began time.Time
-	// least is the smallest difference of the present window, before that of the
-	// one before, both in milliseconds and modulo 2^32.
-	least, before       uint32
-	hasLeast, hasBefore bool
+	// windowStart is when the current window began.
+	windowStart time.Time
+	// current and previous are the smallest clock differences of the current
+	// and of the previous window, in milliseconds modulo 2^32.
+	current, previous       uint32
+	hasCurrent, hasPrevious bool
 }
 
-// delay returns how long a message took longer than the fastest. sentMillis is the
-// sender's clock in milliseconds, zero if the message does not tell: no delay then.
-func (t *transit) delay(now time.Time, sentMillis uint32) time.Duration {
+// delay returns by how much the transit time of a message that arrived at now
+// exceeds that of the fastest recent one. sentMillis is the sender's clock in
+// milliseconds; zero means unknown and gives no delay.
+func (t *delayMeter) delay(now time.Time, sentMillis uint32) time.Duration {
 	if sentMillis == 0 {
 		return 0
 	}
@@ -39,32 +41,33 @@
 	defer t.mu.Unlock()
 	if t.origin.IsZero() {
 		t.origin = now
-		t.began = now
+		t.windowStart = now
 	}
-	t.turn(now)
+	t.rotateWindow(now)
 	difference := uint32(now.Sub(t.origin).Milliseconds()) - sentMillis
-	if !t.hasLeast || excess(t.least, difference) < 0 {
-		t.least = difference
-		t.hasLeast = true
+	if !t.hasCurrent || millisAbove(t.current, difference) < 0 {
+		t.current = difference
+		t.hasCurrent = true
 	}
-	fastest := t.least
-	if t.hasBefore && excess(fastest, t.before) < 0 {
-		fastest = t.before
+	fastest := t.current
+	if t.hasPrevious && millisAbove(fastest, t.previous) < 0 {
+		fastest = t.previous
 	}
-	return time.Duration(excess(fastest, difference)) * time.Millisecond
+	return time.Duration(millisAbove(fastest, difference)) * time.Millisecond
 }
 
-// excess is by how much the second difference is above the first, in milliseconds.
-func excess(first, second uint32) int32 { return int32(second - first) }
+// millisAbove returns by how many milliseconds second exceeds first, both
+// modulo 2^32.
+func millisAbove(first, second uint32) int32 { return int32(second - first) }
 
-// turn begins a new window when this one is over.
-func (t *transit) turn(now time.Time) {
-	age := now.Sub(t.began)
-	if age < transitWindow {
+// rotateWindow begins a new window once the current one is over.
+func (t *delayMeter) rotateWindow(now time.Time) {
+	age := now.Sub(t.windowStart)
+	if age < delayWindow {
 		return
 	}
-	t.before = t.least
-	t.hasBefore = t.hasLeast && age < 2*transitWindow
-	t.hasLeast = false
-	t.began = now
+	t.previous = t.current
+	t.hasPrevious = t.hasCurrent && age < 2*delayWindow
+	t.hasCurrent = false
+	t.windowStart = now
 }
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -14,65 +14,68 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// ErrOther is returned when another incarnation answers at the address: the
-// one that was asked for is gone.
+// ErrOther is returned when the node at the dialled address is not the
+// requested incarnation, which therefore no longer runs there.
 var ErrOther = errors.New("another incarnation answers at the address")
 
-// Handler receives what peers send. Its methods are called from the
-// connections' goroutines and must not block.
+// Handler receives messages and connection events. Its methods are called from
+// the connections' goroutines and must not block.
 type Handler interface {
-	// Handle takes one message; messages of one connection come in order.
-	// The body's bytes are used again after it returns.
+	// Handle processes one message. Messages of one connection arrive in order.
+	// f.Body is valid only until Handle returns.
 	Handle(c *Conn, f wire.Frame)
-	// Up is called after the hellos, before the first message.
+	// Up is called after the hellos were exchanged, before the first message.
 	Up(c *Conn)
 	// Down is called once when a connection has ended.
 	Down(c *Conn)
-	// Stalled is called when nothing new goes out by a connection because its
-	// peer gives no sign that calls come through.
+	// Stalled is called when a connection is suspended: its peer did not
+	// confirm in time that calls arrive, and new messages use another
+	// connection.
 	Stalled(c *Conn)
-	// Busy reports whether the peer waits for something: its connection is
-	// not closed as idle.
+	// Busy reports whether the peer waits for an answer, so that its connection
+	// must not be closed as idle.
 	Busy(id wire.NodeID) bool
 }
 
-// Transport keeps the connections of one node.
+// Transport manages the connections of one node to its peers. It is safe for
+// concurrent use.
 type Transport struct {
 	cfg     Config
 	handler Handler
 
-	mu      sync.Mutex
-	conns   map[wire.NodeID]*Conn // the one used for new messages
-	all     map[uint64]*Conn      // by number
-	number  uint64
-	dials   map[string]*dial
-	inbound int
-	closed  bool
-	wg      sync.WaitGroup
-	stop    chan struct{}
+	mu       sync.Mutex
+	active   map[wire.NodeID]*Conn // carries new messages to the peer
+	byNumber map[uint64]*Conn      // all open connections by Conn.Number
+	number   uint64
+	dials    map[string]*dial
+	inbound  int
+	closed   bool
+	wg       sync.WaitGroup
+	stop     chan struct{}
 }
 
-// dial is one attempt to connect that several callers may wait for. The rest
-// may be read once done is closed.
+// dial is one connection attempt that several goroutines may wait for. conn and
+// err are set before done is closed.
 type dial struct {
 	done chan struct{}
 	conn *Conn
 	err  error
 }
 
-// New returns a Transport that hands messages to h. Close must be called.
+// New returns a Transport that passes messages to h. Close must be called to
+// release its goroutines.
 func New(cfg Config, h Handler) *Transport {
 	t := &Transport{
-		cfg:     cfg,
-		handler: h,
-		conns:   make(map[wire.NodeID]*Conn),
-		all:     make(map[uint64]*Conn),
-		dials:   make(map[string]*dial),
-		stop:    make(chan struct{}),
+		cfg:      cfg,
+		handler:  h,
+		active:   make(map[wire.NodeID]*Conn),
+		byNumber: make(map[uint64]*Conn),
+		dials:    make(map[string]*dial),
+		stop:     make(chan struct{}),
 	}
 	t.wg.Add(2)
-	go t.every(cfg.IdleTimeout/4, t.closeIdle)
-	go t.every(proofTick, t.askDoubtful)
+	go t.runEvery(cfg.IdleTimeout/4, t.closeIdle)
+	go t.runEvery(probeInterval, t.probeSuspects)
 	return t
 }
 
@@ -85,23 +88,23 @@
 	}
 	t.closed = true
 	close(t.stop)
-	for _, c := range t.all {
+	for _, c := range t.byNumber {
 		c.Close()
 	}
 	t.mu.Unlock()
 	t.wg.Wait()
 }
 
-// Connect returns a connection to the incarnation id, dialling addr if there
-// is none. An error says that nothing was handed over. A zero id takes
-// whichever incarnation answers.
+// Connect returns a connection to the incarnation id and dials addr if there is
+// none. A zero id accepts whichever incarnation answers. Connect sends no
+// message; if the node at addr is another incarnation the error is ErrOther.
 func (t *Transport) Connect(ctx context.Context, id wire.NodeID, addr string) (*Conn, error) {
-	c, d, start, err := t.join(id, addr)
+	c, d, start, err := t.findOrDial(id, addr)
 	if c != nil || err != nil {
 		return c, err
 	}
 	if start {
-		go t.run(addr, d)
+		go t.runDial(addr, d)
 	}
 	select {
 	case <-d.done:
@@ -117,15 +120,16 @@
 	return d.conn, nil
 }
 
-// join finds a live connection or an attempt under way; start tells the
-// caller to run a new attempt.
-func (t *Transport) join(id wire.NodeID, addr string) (c *Conn, d *dial, start bool, err error) {
+// findOrDial returns the active connection to id, or else the connection
+// attempt to addr. start reports that the attempt is new and that the caller
+// must run it.
+func (t *Transport) findOrDial(id wire.NodeID, addr string) (c *Conn, d *dial, start bool, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
 		return nil, nil, false, ErrClosed
 	}
-	if c, ok := t.conns[id]; ok {
+	if c, ok := t.active[id]; ok {
 		return c, nil, false, nil
 	}
 	if d, ok := t.dials[addr]; ok {
@@ -137,7 +141,7 @@
 	return nil, d, true, nil
 }
 
-func (t *Transport) run(addr string, d *dial) {
+func (t *Transport) runDial(addr string, d *dial) {
 	defer t.wg.Done()
 	conn, err := t.dial(addr)
 	t.mu.Lock()
@@ -156,12 +160,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("dial peer %s: %w", addr, err)
 	}
-	// One for the connection and one for the answer to the request.
+	// Dialling takes two round trips: the TCP handshake and the HTTP upgrade.
 	roundTrip := time.Since(begin) / 2
-	return t.open(ctx, ws, opening{dialed: addr, roundTrip: roundTrip, ended: func() {}})
+	return t.open(ctx, ws, openParams{dialed: addr, roundTrip: roundTrip, onEnd: func() {}})
 }
 
-// ServeHTTP takes a connection from a peer.
+// ServeHTTP accepts a connection from a peer.
 func (t *Transport) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !t.admitInbound() {
 		http.Error(w, "too many peers", http.StatusServiceUnavailable)
@@ -175,8 +179,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), t.cfg.DialTimeout)
 	defer cancel()
-	// open reports its own failures to the peer by closing the connection.
-	_, _ = t.open(ctx, ws, opening{ended: t.releaseInbound})
+	// After an error open has closed the connection.
+	_, _ = t.open(ctx, ws, openParams{onEnd: t.releaseInbound})
 }
 
 func (t *Transport) admitInbound() bool {
@@ -195,43 +199,46 @@
 	t.inbound--
 }
 
-// maxHelloBytes bounds the first message, which stays in memory with its
-// connection.
+// maxHelloBytes bounds the hello, which is kept in memory with its connection.
 const maxHelloBytes = 512
 
-// opening is what is known of a connection before the hellos.
-type opening struct {
-	// dialed is the address that this end dialled, empty if the peer did.
+// openParams describes a connection before the hellos are exchanged.
+type openParams struct {
+	// dialed is the address that this end dialled, empty if the peer dialled.
 	dialed string
-	// roundTrip to the peer, zero if the hellos will tell.
+	// roundTrip is the round-trip time to the peer; zero to measure it by the
+	// exchange of hellos.
 	roundTrip time.Duration
-	// ended is called once when the connection has ended or was never opened.
-	ended func()
+	// onEnd is called once when the connection has ended or could not be
+	// opened.
+	onEnd func()
 }
 
-// open exchanges the hellos and starts the connection's goroutines.
-func (t *Transport) open(ctx context.Context, ws *websocket.Conn, o opening) (*Conn, error) {
+// open exchanges the hellos and starts the connection's goroutines. On error it
+// closes ws.
+func (t *Transport) open(ctx context.Context, ws *websocket.Conn, o openParams) (*Conn, error) {
 	ws.SetReadLimit(maxHelloBytes)
 	begin := time.Now()
-	peer, err := t.greet(ctx, ws)
+	peer, err := t.exchangeHellos(ctx, ws)
 	if err != nil {
 		ws.CloseNow()
-		o.ended()
+		o.onEnd()
 		return nil, err
 	}
 	ws.SetReadLimit(wire.MaxMessageBytes)
 	c := newConn(&t.cfg, ws, peer)
 	c.dialed = o.dialed
-	// The dialler's hello comes after it has heard that it is connected.
+	// The dialling end sends its hello after it received the answer to its
+	// upgrade request.
 	c.roundTrip = cmp.Or(o.roundTrip, time.Since(begin))
 	if !t.register(c) {
 		c.Close()
-		o.ended()
+		o.onEnd()
 		return nil, ErrClosed
 	}
 	if o.dialed != "" {
-		t.use(c)
-		_, _ = c.Send(wire.KindOpened, Opened{}) // the first message always has room
+		t.activate(c)
+		_, _ = c.Send(wire.KindOpened, Opened{}) // cannot fail: the outbox is empty
 	}
 	t.handler.Up(c)
 	go func() {
@@ -240,15 +247,15 @@
 	}()
 	go func() {
 		defer t.wg.Done()
-		defer o.ended()
-		t.read(c)
+		defer o.onEnd()
+		t.readLoop(c)
 		t.unregister(c)
 		t.handler.Down(c)
 	}()
 	return c, nil
 }
 
-func (t *Transport) greet(ctx context.Context, ws *websocket.Conn) (Hello, error) {
+func (t *Transport) exchangeHellos(ctx context.Context, ws *websocket.Conn) (Hello, error) {
 	own := Hello{Cluster: t.cfg.Cluster, Version: ProtocolVersion, ID: t.cfg.ID, Addr: t.cfg.Addr, DataCentre: t.cfg.DataCentre}
 	data, err := wire.Encode(wire.KindHello, own)
 	if err != nil {
@@ -261,16 +268,16 @@
 	if err != nil {
 		return Hello{}, fmt.Errorf("read hello: %w", err)
 	}
-	return t.readHello(data)
+	return t.decodeHello(data)
 }
 
-func (t *Transport) readHello(data []byte) (Hello, error) {
+func (t *Transport) decodeHello(data []byte) (Hello, error) {
 	f, err := wire.Decode(data)
 	if err != nil {
 		return Hello{}, err
 	}
 	if f.Kind != wire.KindHello {
-		return Hello{}, fmt.Errorf("peer began with message kind %d, want hello", f.Kind)
+		return Hello{}, fmt.Errorf("first message of peer has kind %d, want hello", f.Kind)
 	}
 	var h Hello
 	if err := wire.Unmarshal(f.Body, &h); err != nil {
@@ -278,7 +285,7 @@
 	}
 	switch {
 	case h.Version != ProtocolVersion:
-		return Hello{}, fmt.Errorf("peer speaks protocol version %d, want %d", h.Version, ProtocolVersion)
+		return Hello{}, fmt.Errorf("peer has protocol version %d, want %d", h.Version, ProtocolVersion)
 	case h.Cluster != t.cfg.Cluster:
 		return Hello{}, fmt.Errorf("peer belongs to cluster %q, want %q", h.Cluster, t.cfg.Cluster)
 	case h.ID.IsZero():
@@ -297,85 +304,86 @@
 	}
 	t.number++
 	c.number = t.number
-	t.all[c.number] = c
+	t.byNumber[c.number] = c
 	t.wg.Add(2)
 	return true
 }
 
-// use makes c the connection for new messages to its peer. When both ends dialled
-// at once there are two; either serves, and the later is used.
+// activate makes c the connection for new messages to its peer. If both ends
+// dialled at the same time there are two connections; both work, and the later
+// one is used.
 //
-// The end that was dialled uses it only after a message that follows the other
-// end's hello. Where the link passes nothing in one direction, the end that
-// dialled hears no hello and gives up: calls handed to this connection before
-// would be lost, and could not be told apart from calls that ran.
-func (t *Transport) use(c *Conn) {
+// The accepting end calls it only after the message that follows the hello of
+// the dialling end. If the link loses packets in one direction, the dialling
+// end gets no hello and gives up; calls sent on the connection before that
+// would be lost and indistinguishable from calls that ran.
+func (t *Transport) activate(c *Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, open := t.all[c.number]; open {
-		t.conns[c.peer.ID] = c
+	if _, open := t.byNumber[c.number]; open {
+		t.active[c.peer.ID] = c
 	}
 }
 
-// read hands over what comes until the connection ends.
-func (t *Transport) read(c *Conn) {
+// readLoop passes received messages to the handler until the connection ends.
+func (t *Transport) readLoop(c *Conn) {
 	defer c.Close()
-	used := c.dialed != ""
-	take := func(f wire.Frame) {
-		if !used {
-			used = true
-			t.use(c)
+	active := c.dialed != ""
+	handle := func(f wire.Frame) {
+		if !active {
+			active = true
+			t.activate(c)
 		}
 		if f.Kind != wire.KindOpened {
 			t.handler.Handle(c, f)
 		}
 	}
-	for c.readFrame(take) == nil {
+	for c.readFrame(handle) == nil {
 	}
 }
 
 func (t *Transport) unregister(c *Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.all, c.number)
-	if t.conns[c.peer.ID] == c {
-		delete(t.conns, c.peer.ID)
+	delete(t.byNumber, c.number)
+	if t.active[c.peer.ID] == c {
+		delete(t.active, c.peer.ID)
 	}
 }
 
-// Lookup returns the connection to id, if there is one.
+// Lookup returns the active connection to id, if there is one.
 func (t *Transport) Lookup(id wire.NodeID) (*Conn, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c, ok := t.conns[id]
+	c, ok := t.active[id]
 	return c, ok
 }
 
-// Numbered returns the open connection of a number (Conn.Number).
+// Numbered returns the open connection with the given Conn.Number.
 func (t *Transport) Numbered(number uint64) (*Conn, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c, ok := t.all[number]
+	c, ok := t.byNumber[number]
 	return c, ok
 }
 
-// Connected returns the peers that there is a connection to.
+// Connected returns the peers with an active connection.
 func (t *Transport) Connected() []wire.NodeID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ids := make([]wire.NodeID, 0, len(t.conns))
-	for id := range t.conns {
+	ids := make([]wire.NodeID, 0, len(t.active))
+	for id := range t.active {
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-// Flushed reports whether every message that was queued has been written, or
-// its connection has ended.
+// Flushed reports whether no open connection has messages that are queued or
+// being written.
 func (t *Transport) Flushed() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, c := range t.all {
+	for _, c := range t.byNumber {
 		if c.out.busy() {
 			return false
 		}
@@ -383,8 +391,8 @@
 	return true
 }
 
-// every calls f at intervals until the Transport is closed.
-func (t *Transport) every(interval time.Duration, f func(now time.Time)) {
+// runEvery calls f at each interval until the Transport is closed.
+func (t *Transport) runEvery(interval time.Duration, f func(now time.Time)) {
 	defer t.wg.Done()
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -410,7 +418,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var idle []*Conn
-	for _, c := range t.all {
+	for _, c := range t.byNumber {
 		if c.idle(now) {
 			idle = append(idle, c)
 		}
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -18,7 +18,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// recorder hands what it is told to channels that tests wait on.
+// recorder passes the events of a Transport to channels that tests receive
+// from.
 type recorder struct {
 	frames   chan wire.Frame
 	up, down chan wire.NodeID
@@ -91,9 +92,8 @@
 	is.True(d.Written())
 }
 
-// A backend server's node was replaced; the caller's node still has the old
-// identity for the address. The call is refused before anything is handed
-// over, so that the caller can be told "not run".
+// Guards against a call to the new incarnation at an address. The call fails
+// before anything is sent, so the caller can be told "not run".
 func TestRestartOnTheSameAddressIsAnotherIncarnation(t *testing.T) {
 	is := is.New(t)
 	a, b := startPeer(t, "c"), startPeer(t, "c")
@@ -102,10 +102,9 @@
 	is.Equal(err, ErrOther)
 }
 
-// Two callers' calls want different incarnations at one address and share the
-// attempt to connect. The one whose incarnation does not answer must not get
-// the connection to the other, even if it looks just as that one is ready.
-func TestSharedDialIsCheckedForEach(t *testing.T) {
+// Callers that want different incarnations at one address share the dial.
+// Guards against returning the connection to the wrong incarnation.
+func TestSharedDialChecksPeerForEachCaller(t *testing.T) {
 	is := is.New(t)
 	a, b := startPeer(t, "c"), startPeer(t, "c")
 	c, err := a.Connect(context.Background(), b.id, b.addr)
@@ -127,8 +126,8 @@
 	is.True(err != nil)
 }
 
-// The peer dies while a call is on its way: both ends learn of it at once,
-// and the message counts as perhaps delivered.
+// When the peer ends, both ends are notified at once and the message counts as
+// possibly delivered.
 func TestEndOfConnectionIsSeenByBothEnds(t *testing.T) {
 	is := is.New(t)
 	a, b := startPeer(t, "c"), startPeer(t, "c")
@@ -147,15 +146,13 @@
 	is.Equal(err, ErrClosed)
 }
 
-// A connection is closed while a call waits to be written. The caller's node
-// sees the end of the connection, finds that nothing was written and tells its
-// caller "not run"; a writer that takes the call up only then would make it
-// run at the peer all the same.
+// Guards against a call that is reported as not written when its connection
+// closes, but that the writer still sends.
 func TestNothingIsWrittenAfterDone(t *testing.T) {
 	is := is.New(t)
 	b := startPeer(t, "c")
 	cfg := DefaultConfig()
-	for range 32 { // a writer that chooses at random must be caught
+	for range 32 { // repeated to detect a random choice between writing and closing
 		ws, _, err := websocket.Dial(t.Context(), "ws://"+b.addr+Path, nil)
 		is.NoErr(err)
 		c := newConn(&cfg, ws, Hello{})
@@ -172,9 +169,8 @@
 	}
 }
 
-// The peer's process is frozen and its socket's buffers are full: without a
-// limit for the write, the calls that wait for it would wait until it is gone
-// for good. The connection ends instead, and their callers are told.
+// The peer is frozen and its socket buffers are full. Guards against calls that
+// wait for it without limit: the write times out and the connection ends.
 func TestFrozenPeerEndsTheConnection(t *testing.T) {
 	is := is.New(t)
 	accepted := make(chan *websocket.Conn, 1)
@@ -182,7 +178,7 @@
 	is.NoErr(err)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ws, _ := websocket.Accept(w, r, nil)
-		accepted <- ws // and never reads
+		accepted <- ws // never read
 	})}
 	go srv.Serve(ln)
 	defer srv.Close()
@@ -193,7 +189,7 @@
 	cfg.WriteTimeout = time.Millisecond
 	c := newConn(&cfg, ws, Hello{})
 	big := call.Request{Body: make([]byte, wire.MaxMessageBytes/2)}
-	for range 8 { // more than the buffers hold
+	for range 8 { // more than the socket buffers hold
 		_, err := c.Send(wire.KindCall, big)
 		is.NoErr(err)
 	}
@@ -203,13 +199,13 @@
 	<-c.Done()
 }
 
-// A frozen peer takes nothing: what waits for it is bounded, the order stays,
-// and the room is there again once it takes messages.
+// The queue to a frozen peer is bounded, keeps its order and accepts messages
+// again once the peer reads.
 func TestOutboxIsBoundedAndOrdered(t *testing.T) {
 	is := is.New(t)
 	const limit = 3
 	o := newOutbox(limit)
-	next := byte(0) // oldest that was not taken
+	next := byte(0) // oldest queued message
 	for n := range byte(100) {
 		d := &Delivery{}
 		for o.put(outgoing{data: []byte{n}, delivery: d}) != nil {
@@ -224,8 +220,8 @@
 	}
 }
 
-// A hostile peer sends a message above the limit, noise, or no hello at all.
-// Its connection is ended; nothing reaches the duties, others are served on.
+// An oversized, malformed or unexpected message ends the connection of its
+// sender; nothing reaches the handler.
 func TestHostilePeerIsDisconnected(t *testing.T) {
 	tooLarge := make([]byte, wire.MaxMessageBytes+1)
 	for name, data := range map[string][]byte{
@@ -244,12 +240,12 @@
 			is.NoErr(err)
 			defer ws.CloseNow()
 
-			_ = ws.Write(ctx, websocket.MessageBinary, data) // may fail half way: the peer hangs up
+			_ = ws.Write(ctx, websocket.MessageBinary, data) // may fail halfway: the peer closes the connection
 			for err == nil {
 				_, _, err = ws.Read(ctx)
 			}
 
-			is.NoErr(ctx.Err()) // it ended because the peer hung up
+			is.NoErr(ctx.Err()) // the peer closed the connection before the timeout
 			is.Equal(len(b.frames), 0)
 			is.Equal(len(b.Connected()), 0)
 		})
@@ -265,11 +261,9 @@
 	return data
 }
 
-// The link to a peer passes nothing in one direction. The peer dials, and its hello
-// arrives; it hears none in return and gives up a second later. Calls that went out
-// by this connection meanwhile would be lost, and their callers told "may have run".
-// It is used only once the peer has shown that it heard.
-func TestConnectionIsUsedOnceItsDialerHasHeard(t *testing.T) {
+// The dialling peer may not have received the hello. Guards against sending
+// calls on its connection before it confirms that, since they could be lost.
+func TestAcceptedConnectionIsUsedAfterOpened(t *testing.T) {
 	is := is.New(t)
 	p := startPeer(t, "c")
 	id := wire.NewNodeID()
@@ -288,9 +282,8 @@
 	p.awaitUsable(t, id)
 }
 
-// Both ends of a connection can use it at once when the link is sound, without
-// anything else being said.
-func TestBothEndsCanUseASoundConnection(t *testing.T) {
+// Both ends use a working connection without any call being sent first.
+func TestBothEndsUseAnEstablishedConnection(t *testing.T) {
 	is := is.New(t)
 	a, b := startPeer(t, "c"), startPeer(t, "c")
 	_, err := a.Connect(t.Context(), b.id, b.addr)
@@ -300,11 +293,12 @@
 
 func (p *peer) awaitUsable(t *testing.T, id wire.NodeID) {
 	t.Helper()
-	p.awaitUse(t, id, func(c *Conn) bool { return c != nil })
+	p.awaitActive(t, id, func(c *Conn) bool { return c != nil })
 }
 
-// awaitUse waits until the connection in use for a peer, nil for none, is as wanted.
-func (p *peer) awaitUse(t *testing.T, id wire.NodeID, wanted func(*Conn) bool) {
+// awaitActive waits until wanted accepts the active connection to a peer, nil
+// for none.
+func (p *peer) awaitActive(t *testing.T, id wire.NodeID, wanted func(*Conn) bool) {
 	t.Helper()
 	for {
 		if c, _ := p.Lookup(id); wanted(c) {
@@ -312,7 +306,7 @@
 		}
 		select {
 		case <-t.Context().Done():
-			t.Fatal("the connection in use is not the one that is wanted")
+			t.Fatal("the active connection is not the wanted one")
 		case <-time.After(time.Millisecond):
 		}
 	}
