--- a/call/message.go
+++ b/call/message.go
@@ -1,6 +1,5 @@
-// Package call holds the messages by which one node asks another to run one
-// call at its backend server, and the plain types on both ends that decide
-// about a call.
+// Package call defines the messages with which a node asks another to run one
+// call at its backend server, and the types that describe the result of a call.
 package call
 
 import (
@@ -20,62 +19,67 @@
 	Value string
 }
 
-// Request asks the incarnation To to run one attempt. From and Seq name the
-// attempt: a sender never uses a Seq twice, on whatever connection.
+// Request asks the incarnation To to run one attempt. From and Seq identify the
+// attempt; a sender never reuses a Seq, on any connection.
 type Request struct {
 	From wire.NodeID `cbor:"1,keyasint"`
 	Seq  uint64      `cbor:"2,keyasint"`
 	To   wire.NodeID `cbor:"3,keyasint"`
-	// RequestID names the whole request; all its calls carry it.
+	// RequestID identifies the request; all attempts and calls made for it
+	// carry it.
 	RequestID string `cbor:"4,keyasint"`
 	Service   string `cbor:"5,keyasint"`
 	Operation string `cbor:"6,keyasint"`
 	// Importance is that of the whole request.
 	Importance importance.Importance `cbor:"7,keyasint"`
-	// Budget is the time left until the deadline when the message was sent.
-	// It is relative: no two machines need to agree on the time.
+	// Budget is the remaining time until the deadline when the message was
+	// sent. It is relative because clocks of machines need not agree.
 	Budget time.Duration `cbor:"8,keyasint"`
-	// Grant is the number of extra attempts that the callee may spend on
-	// the calls that it makes.
+	// Grant is the number of extra attempts that the callee may use for its own
+	// calls.
 	Grant uint32 `cbor:"9,keyasint,omitempty"`
 	// Key is the caller's idempotency key, empty for none.
 	Key string `cbor:"10,keyasint,omitempty"`
-	// Fingerprint names the content of the request, also when a caller
-	// sends it again; see package poison.
+	// Fingerprint is a hash of the request's content and stays the same when a
+	// caller sends it again; see package poison.
 	Fingerprint uint64 `cbor:"11,keyasint,omitempty"`
 	// Depth is the number of calls above this one.
 	Depth  uint8   `cbor:"12,keyasint,omitempty"`
 	Header []Field `cbor:"13,keyasint,omitempty"`
 	Query  string  `cbor:"14,keyasint,omitempty"`
 	Body   []byte  `cbor:"15,keyasint,omitempty"`
-	// HTTP is set for a request that came by host and path.
+	// HTTP is set for a request that was routed by host and path.
 	HTTP HTTP `cbor:"16,keyasint,omitzero"`
 	// Idempotent says that a second run does no harm.
 	Idempotent bool `cbor:"17,keyasint,omitempty"`
-	// Root names the request that the call is made for, as it entered the
-	// system; empty if that is this one.
+	// Root is the id of the original request that entered the system; empty if
+	// that is this one.
 	Root string `cbor:"18,keyasint,omitempty"`
 	// Repeat says that the call, or the request that it is made for, may have
-	// run before: its own calls are extra attempts.
+	// run before. Its own calls then count as extra attempts.
 	Repeat bool `cbor:"20,keyasint,omitempty"`
-	// Bars are the levels above zero that let the request in, by which a node
-	// knows what part of those like it were not.
+	// Bars are the admission levels above zero that were in force when the
+	// request was admitted, one for each service. They tell a node which part
+	// of similar requests was rejected.
 	Bars []Level `cbor:"23,keyasint,omitempty"`
 	// SentMillis is the sender's clock in milliseconds when the message was
-	// written, from any beginning and modulo 2^32; zero if it is not told.
+	// written, from an arbitrary origin and modulo 2^32; zero if unknown.
 	SentMillis uint32 `cbor:"24,keyasint,omitempty"`
-	// Workspace is that of the caller's key; empty if the request has none, as the
-	// calls that backend servers make.
+	// Workspace is the workspace of the caller's key, empty if the request has
+	// none, as in calls made by backend servers.
 	Workspace string `cbor:"26,keyasint,omitempty"`
-	// Via is the callee's number of the connection that the call came by.
+	// Via is the callee's Conn.Number of the connection on which the call
+	// arrived.
 	Via uint64 `cbor:"-"`
 }
 
-// Bar is the level of a service that let the request in.
+// Bar returns the admission level of a service in force when the request was
+// admitted, zero if there was none.
 func (r *Request) Bar(service string) uint16 { return LevelOf(r.Bars, service) }
 
-// RootID returns the id of the request as it entered the system. All its calls
-// fare alike by it.
+// RootID returns the id of the original request that entered the system. The
+// admission priority derives from it, so that all calls of one request are
+// treated alike.
 func (r *Request) RootID() string {
 	if r.Root != "" {
 		return r.Root
@@ -83,19 +87,19 @@
 	return r.RequestID
 }
 
-// HTTP is a request as its caller sent it, for backend servers that get it
-// unchanged.
+// HTTP holds the parts of a request as its caller sent them, for backend
+// servers that receive requests unchanged.
 type HTTP struct {
 	_      struct{} `cbor:",toarray"`
 	Method string
 	// Target is the path with the query.
 	Target string
 	Host   string
-	// Origin is the service beside which the request entered.
+	// Origin is the service whose node received the request.
 	Origin string
 }
 
-// Reply answers one Request. It is matched by (To, Seq) and From; one that
+// Reply answers one Request. It is matched by From, To and Seq; a reply that
 // matches no waiting attempt is dropped.
 type Reply struct {
 	From    wire.NodeID     `cbor:"1,keyasint"`
@@ -104,58 +108,61 @@
 	Verdict verdict.Verdict `cbor:"4,keyasint"`
 	Reason  verdict.Reason  `cbor:"5,keyasint,omitempty"`
 	Detail  string          `cbor:"6,keyasint,omitempty"`
-	// RetryAfter is the time after which another attempt makes sense.
+	// RetryAfter is the time after which another attempt may succeed.
 	RetryAfter time.Duration `cbor:"7,keyasint,omitempty"`
-	// Status, Header and Body are the backend server's own answer; Status
-	// is zero when it gave none.
+	// Status, Header and Body are the backend server's own answer; Status is
+	// zero if it gave none.
 	Status int     `cbor:"8,keyasint,omitempty"`
 	Header []Field `cbor:"9,keyasint,omitempty"`
 	Body   []byte  `cbor:"10,keyasint,omitempty"`
-	// Unused is what is left of the grant.
+	// Unused is the number of extra attempts of the grant that were not used.
 	Unused uint32 `cbor:"11,keyasint,omitempty"`
-	// Levels are the admission levels above zero of this node's service and
-	// of those that it calls.
+	// Levels are the admission levels above zero of this node's service and of
+	// the services that it calls.
 	Levels []Level `cbor:"12,keyasint,omitempty"`
-	// InFlight and Limit are the replying node's own measure of its load.
+	// InFlight and Limit are the number of calls running at the replying node
+	// and its concurrency limit.
 	InFlight uint32 `cbor:"13,keyasint,omitempty"`
 	Limit    uint32 `cbor:"14,keyasint,omitempty"`
-	// Faults is the part, in percent, of the backend server's latest requests that
-	// it did not answer, or answered with a failure of its own.
+	// Faults is the percentage of the backend server's recent requests that got
+	// no answer or a server error.
 	Faults uint8 `cbor:"25,keyasint,omitempty"`
-	// ConfigVersion is the configuration in force at the replying node.
+	// ConfigVersion is the version of the configuration in force at the
+	// replying node.
 	ConfigVersion uint64 `cbor:"15,keyasint,omitempty"`
-	// BoundTo names the incarnation that a key is bound to, when it is
-	// another than From.
+	// BoundTo is the incarnation that the key is bound to, if it isn't From.
 	BoundTo wire.NodeID `cbor:"16,keyasint,omitempty"`
-	// KeyHeld is how long a resend with the same key stays safe.
+	// KeyHeld is how long sending the request again with the same key stays
+	// safe.
 	KeyHeld time.Duration `cbor:"17,keyasint,omitempty"`
 	// Offered says that a request which did not run had reached the backend
-	// server: it counts as an attempt there.
+	// server; it counts as an attempt there.
 	Offered bool `cbor:"18,keyasint,omitempty"`
-	// Used is the slot time that the calls of the run took at each service that
-	// they reached.
+	// Used is the slot time that the calls made by the run took at each
+	// service.
 	Used []Use `cbor:"22,keyasint,omitempty"`
 	// RanFor is the time that the backend server took.
 	RanFor time.Duration `cbor:"21,keyasint,omitempty"`
-	// RequestID is for the notes of the replying node.
+	// RequestID is for the logs of the replying node.
 	RequestID string `cbor:"-"`
-	// Via is the Via of the call that is answered.
+	// Via is the Via of the answered call.
 	Via uint64 `cbor:"-"`
 }
 
-// Use is the time for which slots of a service were held.
+// Use is the slot time used at a service.
 type Use struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
-	// Micros is the time in microseconds: half the bytes of nanoseconds, in
-	// each of many replies.
+	// Micros is the slot time in microseconds, which takes half the bytes of
+	// nanoseconds on the wire.
 	Micros uint32
 }
 
-// Seconds is the time in seconds.
+// Seconds returns the slot time in seconds.
 func (u Use) Seconds() float64 { return float64(u.Micros) / 1e6 }
 
-// AddUse adds slot time at a service to a list.
+// AddUse adds the slot time d at a service to list and returns it. Negative
+// times count as zero; sums saturate instead of wrapping round.
 func AddUse(list []Use, service string, d time.Duration) []Use {
 	micros := uint32(min(max(d.Microseconds(), 0), math.MaxUint32/2))
 	for i := range list {
@@ -167,7 +174,7 @@
 	return append(list, Use{Service: service, Micros: micros})
 }
 
-// Names lists the services of a list.
+// Names returns the services of list, in order.
 func Names(list []Use) []string {
 	names := make([]string, len(list))
 	for i, u := range list {
@@ -176,24 +183,26 @@
 	return names
 }
 
-// Level is the least priority that a service admits.
+// Level is the admission level of a service: the lowest priority that it
+// admits.
 type Level struct {
 	_        struct{} `cbor:",toarray"`
 	Service  string
 	Priority uint16
 }
 
-// LevelNews is a level that one node tells another, and how old the word is.
+// LevelNews is an admission level that nodes forward to each other, with its
+// age.
 type LevelNews struct {
 	_        struct{} `cbor:",toarray"`
 	Service  string
 	Priority uint16
-	// AgeMillis is the time in milliseconds since a node heard it from the
-	// service's own nodes.
+	// AgeMillis is the time in milliseconds since a node received the level
+	// from a node of the service itself.
 	AgeMillis uint16
 }
 
-// LevelOf finds the level of a service in a list, zero if it is not there.
+// LevelOf returns the level of a service in levels, zero if it is not listed.
 func LevelOf(levels []Level, service string) uint16 {
 	for _, l := range levels {
 		if l.Service == service {
@@ -203,7 +212,8 @@
 	return 0
 }
 
-// HighestLevels joins two lists; of a service in both the higher level counts.
+// HighestLevels merges two lists without changing them. For a service in both
+// lists the higher level counts.
 func HighestLevels(a, b []Level) []Level {
 	out := slices.Clone(a)
 	for _, l := range b {
@@ -218,8 +228,8 @@
 }
 
 // Cancel tells the callee that nobody waits for the attempt any more. The
-// callee answers with a Reply: NotRun if the attempt had not been handed to
-// the backend server, which it then never will be.
+// callee answers with a Reply, whose verdict is NotRun if the attempt had not
+// been handed to the backend server; it then never will be.
 type Cancel struct {
 	From wire.NodeID `cbor:"1,keyasint"`
 	Seq  uint64      `cbor:"2,keyasint"`
--- a/call/message_test.go
+++ b/call/message_test.go
@@ -8,9 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// Slot time adds up by service, without wrapping round however long a peer says that
-// a call took.
-func TestUses(t *testing.T) {
+// Guards against slot time that wraps round when a peer sends huge values.
+func TestAddUseSumsByServiceWithoutOverflow(t *testing.T) {
 	is := is.New(t)
 	list := AddUse(nil, "a", 3*time.Millisecond)
 	list = AddUse(list, "b", time.Second)
@@ -23,8 +22,9 @@
 	is.True(list[0].Micros > math.MaxUint32/2)
 }
 
-// A call's own slot time counts with that of the calls below it, which stay as they are.
-func TestUsesOfACall(t *testing.T) {
+// A call's own slot time is added to that of its calls, and the outcome's list
+// is not changed.
+func TestAddUsesIncludesOwnTime(t *testing.T) {
 	is := is.New(t)
 	out := Outcome{RanFor: 7 * time.Millisecond, Used: []Use{{Service: "b", Micros: 2000}, {Service: "a", Micros: 1000}}}
 	list := out.AddUses([]Use{{Service: "b", Micros: 500}}, "a")
@@ -32,13 +32,13 @@
 	is.Equal(out.Used[1].Micros, uint32(1000))
 }
 
-// A request that passed two levels of one service was let in by the higher one.
-func TestHighestLevels(t *testing.T) {
+// Of two levels of one service the higher one counts.
+func TestHighestLevelsKeepsTheHigherOfEachService(t *testing.T) {
 	is := is.New(t)
 	a := []Level{{Service: "a", Priority: 5}, {Service: "b", Priority: 9}}
 	joined := HighestLevels(a, []Level{{Service: "a", Priority: 7}, {Service: "b", Priority: 1}, {Service: "c", Priority: 2}})
 	is.Equal(joined, []Level{{Service: "a", Priority: 7}, {Service: "b", Priority: 9}, {Service: "c", Priority: 2}})
-	is.Equal(a[0].Priority, uint16(5)) // the lists are as they were
+	is.Equal(a[0].Priority, uint16(5)) // the inputs are unchanged
 	r := Request{Bars: joined}
 	is.Equal(r.Bar("a"), uint16(7))
 	is.Equal(r.Bar("d"), uint16(0))
--- a/call/outcome.go
+++ b/call/outcome.go
@@ -6,42 +6,43 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// Outcome is what became of a request, over all its attempts.
+// Outcome is the result of a request over all its attempts.
 type Outcome struct {
 	Verdict verdict.Verdict
-	// Reason is empty when Status, Header and Body are the backend
-	// server's own answer.
+	// Reason is empty if Status, Header and Body are the backend server's own
+	// answer.
 	Reason     verdict.Reason
 	Detail     string
 	RetryAfter time.Duration
 	Status     int
 	Header     []Field
 	Body       []byte
-	// KeyHeld is how long a resend with the same key stays safe.
+	// KeyHeld is how long sending the request again with the same key stays
+	// safe.
 	KeyHeld time.Duration
-	// Used is the slot time that the request's calls took at each service that
-	// they reached.
+	// Used is the slot time that the request's calls took at each service.
 	Used []Use
-	// RanFor is the time that the backend server took for the answer.
+	// RanFor is the time that the backend server took to answer.
 	RanFor time.Duration
 }
 
-// Failed is the outcome for an error.
+// Failed returns the outcome for an error.
 func Failed(e *verdict.Error) Outcome {
 	return Outcome{Verdict: e.Verdict, Reason: e.Reason, Detail: e.Detail, RetryAfter: e.RetryAfter}
 }
 
-// LeastServerError is the least status with which a backend server says that it failed,
-// and not its caller.
+// LeastServerError is the lowest HTTP status that reports a failure of the
+// server and not of its caller.
 const LeastServerError = 500
 
-// Served reports whether the backend server answered, and no failure of its own.
+// Served reports whether the backend server answered, with a status below
+// LeastServerError.
 func (o *Outcome) Served() bool {
 	return o.Verdict == verdict.Ran && o.Reason == verdict.None && o.Status < LeastServerError
 }
 
-// AddUses adds to a list the slot time that a call of the service took, there and at
-// all services below it.
+// AddUses adds the slot time of a call to list and returns it: the time at the
+// called service itself and at all services below it.
 func (o *Outcome) AddUses(list []Use, service string) []Use {
 	list = AddUse(list, service, o.RanFor)
 	for _, u := range o.Used {
