--- a/verdict/reason.go
+++ b/verdict/reason.go
@@ -5,7 +5,7 @@
 // Reason says why a request was refused or failed.
 type Reason string
 
-// The reasons, as they stand in the Cassialoom-Reason header.
+// The reasons, as they appear in the Cassialoom-Reason header.
 const (
 	None             Reason = ""
 	Internal         Reason = "internal"
@@ -30,17 +30,18 @@
 	KeyNotBound      Reason = "key-not-bound"
 	AnswerDropped    Reason = "answer-dropped"
 	TooDeep          Reason = "too-deep"
-	// Unauthorized: no workspace has the request's key.
+	// Unauthorized: the request's key belongs to no workspace.
 	Unauthorized Reason = "unauthorized"
-	// OverQuota: the workspace has sent as many requests as it may.
+	// OverQuota: the workspace has used up its quota of requests.
 	OverQuota Reason = "over-quota"
-	// QuotaUnknown: nobody could say whether the workspace may send more.
+	// QuotaUnknown: the quota could not be checked.
 	QuotaUnknown Reason = "quota-unknown"
-	// StaleConfiguration: a newer configuration may have taken the key away.
+	// StaleConfiguration: the node's configuration is out of date, so the key
+	// may have been withdrawn.
 	StaleConfiguration Reason = "stale-configuration"
 )
 
-// Status is the HTTP status that a caller sees for the reason.
+// Status returns the HTTP status for the reason.
 func (r Reason) Status() int {
 	switch r {
 	case BadRequest, KeyInvalid, UndeclaredCall:
@@ -66,8 +67,8 @@
 	}
 }
 
-// Valid reports whether r can stand in a header field; a reason from a faulty
-// peer may be any text.
+// Valid reports whether r can be written as a header field. A reason from a
+// faulty peer may be any text.
 func (r Reason) Valid() bool {
 	for i := range len(r) {
 		if c := r[i]; c != '-' && (c < 'a' || c > 'z') {
@@ -77,11 +78,11 @@
 	return len(r) <= maxReasonBytes
 }
 
-// maxReasonBytes is above the longest reason.
+// maxReasonBytes is longer than any defined reason.
 const maxReasonBytes = 32
 
-// Elsewhere reports whether another backend server may do better: a refusal
-// for this reason concerns one node and not the request itself.
+// Elsewhere reports whether another backend server may accept the request,
+// because the reason concerns one node and not the request itself.
 func (r Reason) Elsewhere() bool {
 	switch r {
 	case Shed, NoBackend, Draining, Lost, Incomplete, NoConfiguration, Internal:
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict is the one error language of cassialoom: every refusal and
-// every failure says whether the request may have run.
+// Package verdict defines the errors of cassialoom. Every refusal and every
+// failure says whether the request may have run.
 package verdict
 
 import (
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Verdict says whether a request may have run at a backend server.
-// The zero value is Unknown and must be treated like MayHaveRun.
+// Verdict says whether a request may have run at a backend server. The zero
+// value is Unknown and must be treated like MayHaveRun.
 type Verdict uint8
 
 const (
-	// Unknown is the zero value: nothing is claimed.
+	// Unknown is the zero value: nothing is known about the request.
 	Unknown Verdict = iota
-	// NotRun promises that the request did not run anywhere and never will:
-	// it was never handed over, or the one incarnation that could run it
+	// NotRun guarantees that the request did not run anywhere and never will:
+	// it was never handed over, or the only incarnation that could run it
 	// refused it and remembers the refusal.
 	NotRun
-	// MayHaveRun claims nothing: the request was handed over and no answer
+	// MayHaveRun gives no guarantee: the request was handed over and no answer
 	// came back.
 	MayHaveRun
-	// Ran promises that the request ran at a backend server.
+	// Ran guarantees that the request ran at a backend server.
 	Ran
 )
 
@@ -38,7 +38,7 @@
 	}
 }
 
-// Parse reads the header form; anything unknown is MayHaveRun.
+// Parse reads the header form. Any other text gives MayHaveRun.
 func Parse(s string) Verdict {
 	switch s {
 	case "not run":
@@ -54,8 +54,8 @@
 type Error struct {
 	Verdict Verdict
 	Reason  Reason
-	// RetryAfter is when the caller should come back; zero means that no
-	// time is proposed.
+	// RetryAfter is how long the caller should wait before it retries; zero
+	// means that no time is proposed.
 	RetryAfter time.Duration
 	// Detail is for people: it names the setting, service or node concerned.
 	Detail string
@@ -69,25 +69,25 @@
 	return fmt.Sprintf("%s: %s: %s", e.Verdict, e.Reason, e.Detail)
 }
 
-// Refuse returns an error that promises that the request did not run.
+// Refuse returns an error with the verdict NotRun.
 func Refuse(reason Reason, format string, args ...any) *Error {
 	return &Error{Verdict: NotRun, Reason: reason, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Doubt returns an error that claims nothing about the request.
+// Doubt returns an error with the verdict MayHaveRun.
 func Doubt(reason Reason, format string, args ...any) *Error {
 	return &Error{Verdict: MayHaveRun, Reason: reason, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After returns a copy of e that tells the caller when to come back.
+// After returns a copy of e with RetryAfter set to d.
 func (e *Error) After(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// From returns err as an *Error. A plain error becomes MayHaveRun: only code
-// that knows better may claim more.
+// From returns err as an *Error. An error of another type gets the verdict
+// MayHaveRun.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
