--- a/wire/codec.go
+++ b/wire/codec.go
@@ -7,10 +7,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kind tells the messages between nodes apart.
+// Kind is the type of a message between nodes.
 type Kind uint8
 
-// The kinds. A number is never used again for another message.
+// The kinds. The number of a kind is never reused for another message.
 const (
 	KindHello Kind = iota + 1
 	KindCall
@@ -29,30 +29,28 @@
 	KindQuotaClaim
 )
 
-// Limits for what a peer may send. A peer that exceeds them is disconnected:
-// memory stays bounded whatever it sends.
+// Limits for messages from peers, which keep memory bounded. A peer that
+// exceeds them is disconnected.
 const (
-	// MaxMessageBytes bounds one message: a body of the largest size plus
-	// its headers.
+	// MaxMessageBytes is the largest size of a message in bytes: a body of the
+	// largest size with its headers.
 	MaxMessageBytes = 4 << 20
 	maxNesting      = 16
 	maxElements     = 65536
 )
 
-// Frame is what travels in one WebSocket message: an array of the kind and the
-// message itself.
+// Frame is the content of one WebSocket message: a CBOR array of the kind and
+// the encoded message.
 type Frame struct {
 	Kind Kind
-	// Body is the encoded message. After Decode it is a part of the bytes
-	// that were decoded.
+	// Body is the encoded message. Decode makes it a slice of its input.
 	Body []byte
 }
 
-// frameHead is the first byte of a frame, a CBOR array of two.
-const frameHead = 0x82
+// frameHeader is the first byte of a frame: a CBOR array of two elements.
+const frameHeader = 0x82
 
-// outgoing is a frame on its way out: the message is encoded in place, not
-// first by itself and then into the frame.
+// outgoing encodes a message directly into its frame, without a copy.
 type outgoing struct {
 	_    struct{} `cbor:",toarray"`
 	Kind Kind
@@ -79,10 +77,10 @@
 		MaxNestedLevels:  maxNesting,
 		MaxArrayElements: maxElements,
 		MaxMapPairs:      maxElements,
-		// HTTP allows any bytes in a header field or a query. A caller that
-		// sends Latin-1 would otherwise end the connection between two nodes
-		// and with it the calls of all others on it. Where text has to be
-		// UTF-8, as in the configuration, its duty checks it.
+		// HTTP allows any bytes in a header field or a query, such as Latin-1.
+		// Rejecting them would end the connection between two nodes and fail
+		// all calls on it. Packages that need valid UTF-8, such as the
+		// configuration, check it themselves.
 		UTF8: cbor.UTF8DecodeInvalid,
 	}
 	m, err := opts.DecMode()
@@ -98,7 +96,7 @@
 // Unmarshal decodes a message from a peer, within the limits.
 func Unmarshal(b []byte, v any) error { return decMode.Unmarshal(b, v) }
 
-// Encode makes the frame of a message.
+// Encode returns the encoded frame of a message.
 func Encode(k Kind, v any) ([]byte, error) {
 	data, err := encMode.Marshal(outgoing{Kind: k, Body: v})
 	if err != nil {
@@ -107,13 +105,13 @@
 	return data, nil
 }
 
-var errNoFrame = errors.New("not a frame")
+var errNotFrame = errors.New("not a frame")
 
-// Decode opens a frame without copying its body, which is well-formed and
-// within the limits; the duty that it belongs to decodes it.
+// Decode parses a frame without copying or decoding its body. It checks that
+// the body is well-formed and within the limits.
 func Decode(b []byte) (Frame, error) {
-	if len(b) == 0 || b[0] != frameHead {
-		return Frame{}, errNoFrame
+	if len(b) == 0 || b[0] != frameHeader {
+		return Frame{}, errNotFrame
 	}
 	var f Frame
 	body, err := decMode.UnmarshalFirst(b[1:], &f.Kind)
--- a/wire/codec_test.go
+++ b/wire/codec_test.go
@@ -10,7 +10,7 @@
 	"github.com/cassialoom/cassialoom/internal/proptest"
 )
 
-// naiveFrame is how a frame would be written and read without regard to cost.
+// naiveFrame is the straightforward encoding of a frame, as a reference.
 type naiveFrame struct {
 	_    struct{} `cbor:",toarray"`
 	Kind Kind
@@ -23,7 +23,7 @@
 	Body []byte `cbor:"3,keyasint,omitempty"`
 }
 
-func TestFrameIsThatOfTheNaiveCodec(t *testing.T) {
+func TestFrameMatchesNaiveCodec(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		k := Kind(rapid.Uint8().Draw(t, "kind"))
@@ -50,19 +50,19 @@
 	})
 }
 
-// A peer sends arbitrary bytes: what passes for a message is the same one for
-// the naive codec, and nothing panics.
-func TestNoiseIsNoMessage(t *testing.T) {
+// Arbitrary bytes from a peer cause no panic, and whatever is accepted as a
+// message decodes as with the naive codec.
+func TestArbitraryBytesMatchNaiveCodec(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		data := rapid.SliceOf(rapid.Byte()).Draw(t, "data")
 		if rapid.Bool().Draw(t, "begins like a frame") {
-			data = append([]byte{frameHead, byte(KindCall)}, data...)
+			data = append([]byte{frameHeader, byte(KindCall)}, data...)
 		}
 		var m, want message
 		f, err := Decode(data)
 		if err != nil || Unmarshal(f.Body, &m) != nil {
-			return // the naive codec takes more: null, long forms of the array
+			return // the naive codec accepts more: null, long forms of the array
 		}
 		var naive naiveFrame
 		is.NoErr(Unmarshal(data, &naive))
--- a/wire/fuzz_test.go
+++ b/wire/fuzz_test.go
@@ -14,7 +14,7 @@
 )
 
 // examples holds one message of every kind that another package defines, with
-// all that can be set in it.
+// all its fields set.
 var examples = map[wire.Kind]any{
 	wire.KindHello: transport.Hello{Cluster: "c", Version: 1, ID: wire.NodeID{1}, Addr: "127.0.0.1:1"},
 	wire.KindCall: call.Request{From: wire.NodeID{1}, Seq: 1, To: wire.NodeID{2}, RequestID: "r", Service: "s", Operation: "o",
@@ -34,9 +34,9 @@
 	wire.KindPoison: poison.Notice{State: poison.Suspect, Crashed: []wire.NodeID{{1}}, Fingerprints: []uint64{1}, TTL: 1},
 }
 
-// FuzzDecode gives arbitrary bytes to the decoder of every kind of message.
-// What is accepted holds no more elements than the bytes could carry, and means
-// the same after it was encoded again: no two nodes understand it differently.
+// FuzzDecode decodes arbitrary bytes as every kind of message. An accepted
+// message holds no more elements than its bytes can carry, and encoding it
+// again keeps its meaning.
 func FuzzDecode(f *testing.F) {
 	for kind, msg := range examples {
 		data, err := wire.Encode(kind, msg)
@@ -67,7 +67,7 @@
 	if wire.Unmarshal(frame.Body, msg.Interface()) != nil {
 		return
 	}
-	if n := elements(msg.Elem()); n > len(frame.Body) {
+	if n := countElements(msg.Elem()); n > len(frame.Body) {
 		t.Fatalf("%d elements out of %d bytes", n, len(frame.Body))
 	}
 	once := encode(t, frame.Kind, msg.Interface())
@@ -77,10 +77,10 @@
 		err = wire.Unmarshal(f.Body, again.Interface())
 	}
 	if err != nil {
-		t.Fatalf("not decoded again: %v\n%x", err, once)
+		t.Fatalf("cannot decode the re-encoded message: %v\n%x", err, once)
 	}
 	if twice := encode(t, frame.Kind, again.Interface()); !bytes.Equal(once, twice) {
-		t.Fatalf("changes when it is passed on:\n%x\n%x", once, twice)
+		t.Fatalf("changes when it is encoded again:\n%x\n%x", once, twice)
 	}
 }
 
@@ -92,17 +92,18 @@
 	return data
 }
 
-// elements counts what the slices and texts of a message hold.
-func elements(v reflect.Value) int {
+// countElements counts the elements of a message's slices and the bytes of its
+// strings.
+func countElements(v reflect.Value) int {
 	n := 0
 	switch v.Kind() {
 	case reflect.Pointer:
 		if !v.IsNil() {
-			n = elements(v.Elem())
+			n = countElements(v.Elem())
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			n += elements(v.Field(i))
+			n += countElements(v.Field(i))
 		}
 	case reflect.String:
 		n = v.Len()
@@ -110,21 +111,21 @@
 		n = v.Len()
 		for i := range v.Len() {
 			if k := v.Type().Elem().Kind(); k == reflect.Struct {
-				n += elements(v.Index(i))
+				n += countElements(v.Index(i))
 			}
 		}
 	}
 	return n
 }
 
-// malformed are frames that every node has to refuse.
+// malformed holds frames that every node has to reject.
 var malformed = [][]byte{
 	{},
-	{0x82, 0x02},                   // cut short
-	{0x82, 0x02, 0xa0, 0x00},       // more behind it
+	{0x82, 0x02},                   // truncated
+	{0x82, 0x02, 0xa0, 0x00},       // trailing byte
 	{0x83, 0x02, 0xa0, 0x00},       // three elements
-	{0x9f, 0x02, 0xa0, 0xff},       // of no given length
-	{0x82, 0x02, 0xbf, 0xff},       // with a body of no given length
+	{0x9f, 0x02, 0xa0, 0xff},       // indefinite length
+	{0x82, 0x02, 0xbf, 0xff},       // body of indefinite length
 	{0x82, 0x19, 0x01, 0x00, 0xa0}, // kind above 255
 	append([]byte{0x82, 0x02}, bytes.Repeat([]byte{0x81}, 17)...),      // nested too deep
 	{0x82, 0x05, 0xa1, 0x05, 0x9a, 0xff, 0xff, 0xff, 0xff},             // an array of 2^32-1
@@ -137,8 +138,8 @@
 			t.Errorf("%x is accepted", data)
 		}
 	}
-	doubled := []byte{0xa2, 0x02, 0x01, 0x02, 0x01} // one field twice
+	doubled := []byte{0xa2, 0x02, 0x01, 0x02, 0x01} // duplicate field
 	if wire.Unmarshal(doubled, &call.Cancel{}) == nil {
-		t.Error("a field given twice is accepted: its readers could take either")
+		t.Error("a duplicate field is accepted: decoders could choose either value")
 	}
 }
--- a/wire/id.go
+++ b/wire/id.go
@@ -8,32 +8,33 @@
 	"fmt"
 )
 
-// NodeID names one incarnation of one node: a process draws it at random when
-// it starts and keeps it until it ends. A restart on the same address is
-// another node, so nothing that was sent to the old one can reach the new one
-// by mistake.
+// NodeID identifies one incarnation of a node: a process draws it at random
+// when it starts and keeps it until it ends. A process restarted on the same
+// address has another NodeID, so that nothing sent to the old one can reach the
+// new one by mistake.
 type NodeID [16]byte
 
-// NewNodeID draws an identity; 128 random bits make a collision negligible.
+// NewNodeID returns a random NodeID; 128 random bits make a collision
+// negligible.
 func NewNodeID() NodeID {
 	var id NodeID
 	rand.Read(id[:]) // never fails (crypto/rand, Go 1.24)
 	return id
 }
 
-// IsZero reports whether the identity was never set.
+// IsZero reports whether the NodeID is not set.
 func (id NodeID) IsZero() bool { return id == NodeID{} }
 
 // String returns the hexadecimal form.
 func (id NodeID) String() string { return hex.EncodeToString(id[:]) }
 
-// Short returns the first eight digits, for logs.
+// Short returns the first eight hexadecimal digits, for logs.
 func (id NodeID) Short() string { return hex.EncodeToString(id[:4]) }
 
-// MarshalText writes the hexadecimal form, so that JSON dumps are readable.
+// MarshalText returns the hexadecimal form, so that JSON dumps are readable.
 func (id NodeID) MarshalText() ([]byte, error) { return []byte(id.String()), nil }
 
-// UnmarshalText reads the hexadecimal form.
+// UnmarshalText parses the hexadecimal form.
 func (id *NodeID) UnmarshalText(b []byte) error {
 	if len(b) != hex.EncodedLen(len(id)) {
 		return fmt.Errorf("node id %q: want %d hexadecimal digits", b, hex.EncodedLen(len(id)))
