--- a/backend/answer.go
+++ b/backend/answer.go
@@ -10,7 +10,7 @@
 	"github.com/cassialoom/cassialoom/entry/headers"
 )
 
-// maxRetryAfter bounds what a backend server can ask for.
+// maxRetryAfter bounds the Retry-After of a backend server.
 const maxRetryAfter = time.Hour
 
 func retryAfter(h http.Header) time.Duration {
@@ -31,8 +31,9 @@
 	return time.Duration(n) * unit
 }
 
-// unbounded reports whether only the end of the connection ends the body.
-func unbounded(resp *http.Response) bool {
+// closeDelimited reports whether the body has no length and no chunks, so that
+// only the end of the connection ends it.
+func closeDelimited(resp *http.Response) bool {
 	chunked := len(resp.TransferEncoding) > 0
 	return resp.StatusCode == http.StatusSwitchingProtocols || resp.ContentLength < 0 && !chunked
 }
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,10 +1,10 @@
-// Package backend is the HTTP client of a node towards its own backend server.
-// Its business is the verdict: what may be said about a request when the
-// answer is missing, cut off or unusable.
+// Package backend is the HTTP client of a node for its own backend server. It
+// determines the verdict of a request: what is known about whether it ran when
+// the answer is missing, truncated or unusable.
 //
-// It keeps its own connections: net/http's client sends a request again by
-// itself when a kept connection breaks, and gives an answer that nobody asked
-// for to the next request.
+// It manages its own connections instead of using net/http's client, which may
+// send a request again when a reused connection breaks and takes an unsolicited
+// answer for that of the next request.
 package backend
 
 import (
@@ -22,37 +22,37 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// Run is one attempt at the backend server.
+// Run describes one attempt at the backend server.
 type Run struct {
-	// Token names the running call; the backend server hands it back with
-	// the calls that it makes for it.
+	// Token identifies the running call; the backend server sends it back with
+	// the calls that it makes on its behalf.
 	Token      string
 	Operation  string
 	RequestID  string
 	Importance importance.Importance
-	// Budget is the time left until the deadline. The context should end
-	// with it.
+	// Budget is the remaining time until the deadline. The context should end
+	// at the same time.
 	Budget time.Duration
 	Header []call.Field
 	Query  string
 	Body   []byte
 	// HTTP is the request as its caller sent it, for routes by host and path.
 	HTTP call.HTTP
-	// Idempotent says that the request does no harm if it has to be sent again.
+	// Idempotent says that a second run of the request does no harm.
 	Idempotent bool
-	// Instance is the start of the backend server that is meant, empty for
-	// any.
+	// Instance is the backend incarnation that the request is meant for, empty
+	// for any.
 	Instance string
-	// Workspace names that of the caller, empty for none.
+	// Workspace is the caller's workspace, empty for none.
 	Workspace string
 
 	address string // IP:PORT
 }
 
-// Result is what became of an attempt.
+// Result is the result of one attempt.
 type Result struct {
 	Verdict verdict.Verdict
-	// Reason is empty for a whole answer of the backend server; otherwise
+	// Reason is empty for a complete answer of the backend server; otherwise
 	// Status, Header and Body are not set.
 	Reason     verdict.Reason
 	Detail     string
@@ -62,13 +62,14 @@
 	Body       []byte
 	Latency    time.Duration
 	// Offered says that a request which did not run had reached the backend
-	// server all the same.
+	// server.
 	Offered bool
-	// Broken says that the connection broke while the request was in flight
-	// and nobody had cancelled it.
+	// Broken says that the connection broke while the request was in flight and
+	// the context had not ended.
 	Broken bool
-	// Crashed says that the connection broke and that nothing listens any
-	// more: the process is gone. A slow backend server never looks so.
+	// Crashed says that the connection broke and that the backend server
+	// refuses new connections: its process is gone. A slow backend server is
+	// never reported as crashed.
 	Crashed bool
 }
 
@@ -80,28 +81,29 @@
 	strays  atomic.Int64
 }
 
-// New returns a client. It follows no redirects, uses no proxy and leaves the
-// encoding of bodies alone.
+// New returns a Client. It follows no redirects, uses no proxy and does not
+// change the encoding of bodies.
 func New(cfg Config) *Client {
 	c := &Client{cfg: cfg, dialect: cfg.Dialect, pool: newPool(cfg)}
 	if c.dialect == nil {
-		c.dialect = ownDialect{}
+		c.dialect = nativeDialect{}
 	}
 	return c
 }
 
-// Close closes the idle connections.
+// Close closes the idle connections and keeps no others after use.
 func (c *Client) Close() { c.pool.close() }
 
-// CloseIdle closes the idle connections: those to a process that has ended would
-// put the next requests in doubt.
+// CloseIdle closes the idle connections. After the backend server has ended,
+// requests sent on them would get the verdict MayHaveRun.
 func (c *Client) CloseIdle() { c.pool.closeIdle() }
 
-// Strays is the number of answers that came to no request of theirs.
+// Strays returns the number of answers received that belonged to other
+// requests.
 func (c *Client) Strays() int64 { return c.strays.Load() }
 
-// Run sends the request once and waits for the whole answer, or for the end of
-// the context.
+// Run sends the request at most once and waits for the complete answer or the
+// end of the context.
 func (c *Client) Run(ctx context.Context, baseURL string, r Run) Result {
 	start := time.Now()
 	res := c.run(ctx, baseURL, r)
@@ -111,7 +113,7 @@
 
 func (c *Client) run(ctx context.Context, baseURL string, r Run) Result {
 	if r.Budget <= 0 {
-		return failed(verdict.Refuse(verdict.Deadline, "no time is left"))
+		return failed(verdict.Refuse(verdict.Deadline, "the deadline has passed"))
 	}
 	addr, path, err := splitURL(baseURL)
 	if err != nil {
@@ -129,14 +131,14 @@
 	return c.send(ctx, r, msg, head)
 }
 
-// send finds a connection that takes the request. One that was closed before a
-// byte of it left is replaced by a new one.
+// send sends the request on an idle or new connection. An idle connection on
+// which no byte could be written is replaced by another.
 func (c *Client) send(ctx context.Context, r Run, msg Message, head []byte) Result {
 	for {
-		if reason := ended(ctx); reason != verdict.None {
+		if reason := contextReason(ctx); reason != verdict.None {
 			return failed(verdict.Refuse(reason, "not handed to the backend server in time"))
 		}
-		conn, reused, err := c.pool.take(ctx, r.address, !r.Idempotent)
+		conn, reused, err := c.pool.get(ctx, r.address, !r.Idempotent)
 		if err != nil {
 			return failed(notHandedOver(ctx, err))
 		}
@@ -146,14 +148,14 @@
 			return res
 		}
 		if !reused {
-			return failed(notHandedOver(ctx, errors.New("the connection was closed at once")))
+			return failed(notHandedOver(ctx, errors.New("the new connection was closed before any byte was written")))
 		}
 	}
 }
 
-// notHandedOver is for a request of which no byte has left.
+// notHandedOver returns the error for a request of which no byte was sent.
 func notHandedOver(ctx context.Context, err error) *verdict.Error {
-	if reason := ended(ctx); reason != verdict.None {
+	if reason := contextReason(ctx); reason != verdict.None {
 		return verdict.Refuse(reason, "not handed to the backend server in time")
 	}
 	return verdict.Refuse(verdict.NoBackend, "%v", err)
@@ -172,7 +174,7 @@
 	return addr, path, nil
 }
 
-func (r Result) unusable(reason verdict.Reason, detail string) Result {
+func (r Result) withReason(reason verdict.Reason, detail string) Result {
 	r.Reason, r.Detail = reason, detail
 	return r
 }
@@ -181,8 +183,9 @@
 	return Result{Verdict: e.Verdict, Reason: e.Reason, Detail: e.Detail, RetryAfter: e.RetryAfter}
 }
 
-// ended names the reason for which the context is over, if it is.
-func ended(ctx context.Context) verdict.Reason {
+// contextReason returns the reason why the context has ended, or None if it has
+// not.
+func contextReason(ctx context.Context) verdict.Reason {
 	switch {
 	case ctx.Err() == nil:
 		return verdict.None
@@ -194,34 +197,34 @@
 }
 
 const (
-	// probes is how often a backend server that broke a connection is
-	// looked for.
-	probes = 2
-	// probeTimeout is short: a crash refuses at once, and one that is too
-	// busy to accept must not hold up the answer to its caller.
+	// crashProbes is the number of connection attempts after a connection
+	// broke.
+	crashProbes = 2
+	// probeTimeout is short: after a crash connections are refused at once, and
+	// a server too busy to accept must not delay the answer to the caller.
 	probeTimeout = 100 * time.Millisecond
 )
 
-// notice tells a crash from a backend server that broke one connection: after
-// a crash nothing listens. One look is not enough, because a process that is
-// being killed closes its sockets one by one.
-func (c *Client) notice(ctx context.Context, addr string, cn *conn, res *Result) {
-	res.Broken = cn.broken && ended(ctx) == verdict.None
+// detectCrash sets Broken, and Crashed if the backend server refuses new
+// connections. It probes more than once because a process that is being killed
+// closes its sockets one by one.
+func (c *Client) detectCrash(ctx context.Context, addr string, cn *conn, res *Result) {
+	res.Broken = cn.broken && contextReason(ctx) == verdict.None
 	if !res.Broken {
 		return
 	}
-	for i := range probes {
+	for i := range crashProbes {
 		if i > 0 {
 			time.Sleep(c.cfg.ProbeGap)
 		}
-		if gone(addr) {
+		if connectionRefused(addr) {
 			res.Crashed = true
 			return
 		}
 	}
 }
 
-func gone(addr string) bool {
+func connectionRefused(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, probeTimeout)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
--- a/backend/backend_test.go
+++ b/backend/backend_test.go
@@ -22,18 +22,19 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rawServer reads whole requests off TCP and lets the test do the rest. An
-// http.Server would hide when bytes and connections come and go.
+// rawServer reads complete requests from TCP connections and passes them to the
+// test. An http.Server would hide when bytes and connections come and go.
 type rawServer struct {
 	url    string
 	ln     net.Listener
 	answer func(s *rawServer, c net.Conn, r *http.Request) (end bool)
-	wait   sync.WaitGroup
+	wg     sync.WaitGroup
 	mu     sync.Mutex
-	seen   map[string]int // request ids
+	seen   map[string]int // requests received by request ID
 }
 
-// serve calls answer for each request; the connection ends when it says so.
+// serve starts a rawServer that calls answer for each request and closes the
+// connection when answer returns true.
 func serve(t *testing.T, answer func(s *rawServer, c net.Conn, r *http.Request) (end bool)) *rawServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,18 +42,18 @@
 		t.Fatal(err)
 	}
 	s := &rawServer{url: "http://" + ln.Addr().String(), ln: ln, answer: answer, seen: make(map[string]int)}
-	s.wait.Go(func() {
+	s.wg.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			s.wait.Go(func() { s.read(c) })
+			s.wg.Go(func() { s.read(c) })
 		}
 	})
 	t.Cleanup(func() {
 		ln.Close()
-		s.wait.Wait() // the client has closed its connections
+		s.wg.Wait() // ends because the client has closed its connections
 	})
 	return s
 }
@@ -74,13 +75,13 @@
 	}
 }
 
-func (s *rawServer) times(id string) int {
+func (s *rawServer) timesSeen(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.seen[id]
 }
 
-const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const completeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 func run(id string) Run {
 	return Run{Token: "t", Operation: "op", RequestID: id, Importance: importance.High, Budget: time.Minute}
@@ -124,10 +125,8 @@
 	is.Equal(res.Header, []call.Field{{Name: "X-A", Value: "1"}})
 }
 
-// The backend server takes a request on a kept connection and closes it without
-// an answer, as one does that crashes or that stops. net/http takes this for an
-// idle connection that was closed and may send the request again by itself: a
-// letter goes out twice. It must be sent once, with the verdict "may have run".
+// Guards against sending a request twice when the backend server closes a
+// reused connection without an answer, as net/http may.
 func TestNeverSentTwice(t *testing.T) {
 	for name, change := range map[string]func(*Run){
 		"no body":    func(*Run) {},
@@ -143,7 +142,7 @@
 				if r.Header.Get("Cassialoom-Request-Id") == "second" {
 					return true
 				}
-				io.WriteString(c, whole)
+				io.WriteString(c, completeAnswer)
 				return false
 			})
 			client := newClient(t)
@@ -151,22 +150,21 @@
 			r := run("second")
 			change(&r)
 			res := client.Run(context.Background(), s.url, r)
-			is.Equal(s.times("second"), 1)
+			is.Equal(s.timesSeen("second"), 1)
 			is.Equal(res.Verdict, verdict.MayHaveRun)
 			is.Equal(res.Reason, verdict.Lost)
 			is.True(res.Broken)
-			is.True(!res.Crashed) // it still listens
+			is.True(!res.Crashed) // the server still listens
 		})
 	}
 }
 
-// The backend server closes each connection right after its answer, just as the
-// next request is sent on it. Whatever wins: a request that was read is never
-// called "not run", and none is read twice.
-func TestClosedWhileSending(t *testing.T) {
+// The backend server closes each connection right after its answer. Guards
+// against "not run" for a request that was read, and against sending one twice.
+func TestConnectionClosedWhileSending(t *testing.T) {
 	is := is.New(t)
 	s := serve(t, func(_ *rawServer, c net.Conn, _ *http.Request) bool {
-		io.WriteString(c, whole)
+		io.WriteString(c, completeAnswer)
 		return true
 	})
 	client := newClient(t)
@@ -178,17 +176,17 @@
 		res := client.Run(context.Background(), s.url, r)
 		switch res.Verdict {
 		case verdict.Ran:
-			is.Equal(s.times(r.RequestID), 1)
+			is.Equal(s.timesSeen(r.RequestID), 1)
 		case verdict.NotRun:
-			is.Equal(s.times(r.RequestID), 0)
+			is.Equal(s.timesSeen(r.RequestID), 0)
 		default:
-			is.True(s.times(r.RequestID) <= 1)
+			is.True(s.timesSeen(r.RequestID) <= 1)
 		}
 	}
 }
 
-// Whatever a backend server answers, a request that it took is "ran" from the
-// head of an answer on, and what is not surely whole is not passed on.
+// A request is "ran" once the head of an answer has arrived; incomplete answers
+// are not forwarded.
 func TestVerdictOfAnswers(t *testing.T) {
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, c := range []struct {
@@ -197,11 +195,11 @@
 		reason       verdict.Reason
 		status       int
 	}{
-		{"whole", whole, verdict.Ran, verdict.None, 200},
+		{"whole", completeAnswer, verdict.Ran, verdict.None, 200},
 		{"its own failure", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", verdict.Ran, verdict.None, 500},
 		{"no content", "HTTP/1.1 204 No Content\r\n\r\n", verdict.Ran, verdict.None, 204},
 		{"redirect", "HTTP/1.1 307 Go\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n", verdict.Ran, verdict.None, 307},
-		{"hint before", "HTTP/1.1 103 Early Hints\r\n\r\n" + whole, verdict.Ran, verdict.None, 200},
+		{"hint before", "HTTP/1.1 103 Early Hints\r\n\r\n" + completeAnswer, verdict.Ran, verdict.None, 200},
 		{"chunks", chunked + "2\r\nok\r\n0\r\n\r\n", verdict.Ran, verdict.None, 200},
 		{"refused", "HTTP/1.1 503 No\r\nCassialoom-Verdict: not run\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n", verdict.NotRun, verdict.Shed, 0},
 		{"503 alone", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", verdict.Ran, verdict.None, 503},
@@ -231,7 +229,7 @@
 			is.Equal(res.Verdict, c.verdict)
 			is.Equal(res.Reason, c.reason)
 			is.Equal(res.Status, c.status)
-			is.Equal(s.times("r"), 1)
+			is.Equal(s.timesSeen("r"), 1)
 			if c.name == "refused" {
 				is.Equal(res.RetryAfter, 2*time.Second)
 			}
@@ -242,10 +240,9 @@
 	}
 }
 
-// A request crashes the backend server: the listening socket and the
-// connection go. That is told from one that breaks a connection or is slow,
-// because only a crash makes the requests in flight suspects.
-func TestCrash(t *testing.T) {
+// Guards against confusing a crash with a broken connection or a slow server:
+// only a crash makes the requests in flight suspects.
+func TestCrashIsDetected(t *testing.T) {
 	for _, part := range []string{"", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab"} {
 		is := is.New(t)
 		s := serve(t, func(s *rawServer, c net.Conn, _ *http.Request) bool {
@@ -258,20 +255,20 @@
 		is.True(res.Verdict != verdict.NotRun)
 
 		res = newClient(t).Run(context.Background(), s.url, run("later"))
-		is.Equal(res.Verdict, verdict.NotRun) // nothing listens: nothing was sent
+		is.Equal(res.Verdict, verdict.NotRun) // nothing listens, so nothing was sent
 		is.Equal(res.Reason, verdict.NoBackend)
-		is.True(!res.Broken && !res.Crashed) // and this request is no suspect
+		is.True(!res.Broken && !res.Crashed) // this request is not a suspect
 	}
 }
 
-// The backend server takes a request and stays silent. The deadline passes or
-// the caller cancels: it may have run, and the server has not crashed.
+// A request without an answer before the deadline or cancellation may have run,
+// and is not reported as a crash.
 func TestSlowIsNoCrash(t *testing.T) {
 	is := is.New(t)
 	taken := make(chan bool, 2)
 	s := serve(t, func(_ *rawServer, c net.Conn, _ *http.Request) bool {
 		taken <- true
-		io.Copy(io.Discard, c) // until the client gives up
+		io.Copy(io.Discard, c) // until the client closes the connection
 		return true
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
@@ -293,12 +290,12 @@
 	is.True(!res.Broken && !res.Crashed)
 }
 
-// What cannot be sent at all has not run, and the backend server has seen
-// nothing of it.
+// A request that cannot be sent has not run and never reaches the backend
+// server.
 func TestNotSent(t *testing.T) {
 	is := is.New(t)
 	s := serve(t, func(_ *rawServer, c net.Conn, _ *http.Request) bool {
-		io.WriteString(c, whole)
+		io.WriteString(c, completeAnswer)
 		return false
 	})
 	over, cancel := context.WithCancel(context.Background())
@@ -335,8 +332,8 @@
 	}
 }
 
-// BenchmarkRun is one request with a small body and answer on a kept
-// connection, the server's work included.
+// BenchmarkRun measures one request with a small body and answer on a reused
+// connection, including the server's work.
 func BenchmarkRun(b *testing.B) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(w, r.Body)
@@ -352,14 +349,12 @@
 	}
 }
 
-// The backend server forgets connections that were idle for a while, without
-// telling: what is sent next on one is reset. A request that must not run twice
-// goes on a new connection then, and gets its answer; the others learn from the
-// first loss to leave such connections alone.
-func TestForgottenConnections(t *testing.T) {
+// The backend server silently drops idle connections. Guards against losing
+// non-idempotent requests on them; other requests lower the reuse limit.
+func TestStaleIdleConnections(t *testing.T) {
 	is := is.New(t)
 	s := serve(t, func(_ *rawServer, c net.Conn, _ *http.Request) bool {
-		io.WriteString(c, whole)
+		io.WriteString(c, completeAnswer)
 		return false
 	})
 	client := newClient(t)
@@ -370,20 +365,20 @@
 	}
 	is.Equal(client.Run(context.Background(), s.url, run("first")).Verdict, verdict.Ran)
 	kept := client.pool.idle[0]
-	age(2 * onceIdle)
+	age(2 * maxNonIdempotentIdle)
 	is.Equal(client.Run(context.Background(), s.url, run("once")).Verdict, verdict.Ran)
-	is.Equal(len(client.pool.idle), 2) // the old one is kept for others
+	is.Equal(len(client.pool.idle), 2) // the old one is kept for idempotent requests
 	is.True(client.pool.idle[0] == kept)
 
 	r := run("idempotent")
 	r.Idempotent = true
-	age(2 * onceIdle)
+	age(2 * maxNonIdempotentIdle)
 	is.Equal(client.Run(context.Background(), s.url, r).Verdict, verdict.Ran)
-	is.Equal(len(client.pool.idle), 2) // it used one of them
+	is.Equal(len(client.pool.idle), 2) // it reused one of them
 
-	client.pool.distrust(time.Now(), 2*time.Second)
+	client.pool.reduceReuseIdle(time.Now(), 2*time.Second)
 	age(1500 * time.Millisecond)
 	is.Equal(client.Run(context.Background(), s.url, r).Verdict, verdict.Ran)
-	is.Equal(len(client.pool.idle), 1) // both were dropped for a new one
-	is.Equal(client.pool.trust(time.Now().Add(widenEvery)), 2*time.Second)
+	is.Equal(len(client.pool.idle), 1) // both were replaced by a new one
+	is.Equal(client.pool.reuseIdleLimit(time.Now().Add(reuseIdleGrowInterval)), 2*time.Second)
 }
--- a/backend/config.go
+++ b/backend/config.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// Config bounds the connections to one backend server and what it may answer.
+// Config holds the limits for connections to one backend server and for its
+// answers.
 type Config struct {
-	// Dialect is how the backend server is spoken to; nil for the project's
-	// own interface.
+	// Dialect is the interface of the backend server; nil for the default one.
 	Dialect Dialect
-	// DialTimeout is how long a connection may take to open. The backend
-	// server is on the same instance.
+	// DialTimeout is how long opening a connection may take. The backend server
+	// is on the same instance.
 	DialTimeout time.Duration
-	// MaxIdle is the number of idle connections that are kept.
+	// MaxIdle is the largest number of idle connections kept.
 	MaxIdle int
 	// IdleTimeout is how long an idle connection is kept. It must be shorter
-	// than the backend server's own: a request that is sent just as the
-	// other side closes the connection has the verdict "may have run".
+	// than the backend server's own timeout: a request sent just as the server
+	// closes the connection gets the verdict MayHaveRun.
 	IdleTimeout time.Duration
-	// MaxAnswer is the largest answer body in bytes; it is held whole.
+	// MaxAnswer is the largest answer body in bytes. Answers are held in memory
+	// whole.
 	MaxAnswer int64
-	// MaxHeader bounds the fields of an answer that travel, in bytes.
+	// MaxHeader is the largest total of an answer's forwarded header fields in
+	// bytes.
 	MaxHeader int
-	// ProbeGap is the pause before the second look whether a backend server
-	// still listens after a connection broke: a process that is being killed
-	// can lose its connections a moment before its listening socket.
+	// ProbeGap is the pause before the second connection attempt that tells a
+	// crash from a broken connection. A process that is being killed may close
+	// its connections shortly before its listening socket.
 	ProbeGap time.Duration
 }
 
-// DefaultConfig returns the limits of a node.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
-		DialTimeout: time.Second,           // loopback answers at once or not at all
-		MaxIdle:     512,                   // above the slots of the largest backend server (280)
-		IdleTimeout: 4 * time.Second,       // below the 5 s that common servers use
-		MaxAnswer:   1 << 20,               // as the callers' bodies
-		MaxHeader:   16 << 10,              // as the callers' fields
-		ProbeGap:    10 * time.Millisecond, // sockets of one process close within less
+		DialTimeout: time.Second,           // connecting on loopback succeeds or fails at once
+		MaxIdle:     512,                   // more than the slots of the largest backend server
+		IdleTimeout: 4 * time.Second,       // below the 5 s of common servers
+		MaxAnswer:   1 << 20,               // as for request bodies
+		MaxHeader:   16 << 10,              // as for request header fields
+		ProbeGap:    10 * time.Millisecond, // longer than a killed process takes to close its sockets
 	}
 }
--- a/backend/conn.go
+++ b/backend/conn.go
@@ -11,56 +11,57 @@
 	"time"
 )
 
-// conn is one connection to a backend server. It carries one request at a
-// time.
+// conn is one connection to a backend server. It carries one request at a time.
 type conn struct {
 	net.Conn
-	limited *io.LimitedReader
-	r       *bufio.Reader
-	// sent counts the bytes that left: "not run" may only be said when no
-	// byte of a request has.
+	readLimit *io.LimitedReader
+	r         *bufio.Reader
+	// sent counts the bytes written. NotRun may only be claimed for a request
+	// of which no byte was written.
 	sent int64
-	// broken says that the other side ended the connection.
+	// broken is set when the backend server ended the connection.
 	broken bool
-	// unusable says that something odd came: what comes next could belong to
-	// any request.
-	unusable bool
-	// idleFor is how long the other side keeps the connection idle.
+	// desynchronized is set when an unexpected answer arrived: later answers
+	// could belong to any request, so the connection must not be reused.
+	desynchronized bool
+	// idleFor is how long the connection may be idle and still be reused.
 	idleFor time.Duration
 	// idleSince is when the last answer was read.
 	idleSince time.Time
 }
 
-// readBuffer is the size of a connection's buffer in bytes: most answers fit.
+// readBuffer is the size of a connection's buffer in bytes. Most answers fit.
 const readBuffer = 4 << 10
 
 func newConn(c net.Conn, idleFor time.Duration) *conn {
-	limited := &io.LimitedReader{R: c}
-	return &conn{Conn: c, limited: limited, r: bufio.NewReaderSize(limited, readBuffer), idleFor: idleFor}
+	readLimit := &io.LimitedReader{R: c}
+	return &conn{Conn: c, readLimit: readLimit, r: bufio.NewReaderSize(readLimit, readBuffer), idleFor: idleFor}
 }
 
-// allow sets how many more bytes the other side may send.
-func (c *conn) allow(bytes int64) { c.limited.N = bytes }
+// setReadLimit sets how many more bytes may be read from the connection.
+func (c *conn) setReadLimit(bytes int64) { c.readLimit.N = bytes }
 
 func (c *conn) write(b []byte) error {
 	n, err := c.Conn.Write(b)
 	c.sent += int64(n)
-	c.note(err)
+	c.noteError(err)
 	return err
 }
 
-// note remembers that the other side ended the connection.
-func (c *conn) note(err error) {
+// noteError sets broken if err shows that the backend server ended the
+// connection.
+func (c *conn) noteError(err error) {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		c.broken = true
 	}
 }
 
-// silent reports whether a kept connection is still open and nothing came on
-// it. An answer that nobody asked for would otherwise be taken for that of the
-// next request, and a request sent on a closed connection be in doubt.
-func (c *conn) silent() bool {
+// openAndQuiet reports whether an idle connection is open and has no data to
+// read. An unsolicited answer would otherwise be taken for that of the next
+// request, and a request sent on a closed connection would get the verdict
+// MayHaveRun.
+func (c *conn) openAndQuiet() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -83,7 +84,8 @@
 	return readErr == syscall.EAGAIN
 }
 
-// pool keeps the idle connections to one address; the latest is used first.
+// pool holds the idle connections to one address. The most recently used one is
+// taken first.
 type pool struct {
 	cfg    Config
 	dialer net.Dialer
@@ -92,46 +94,48 @@
 	addr   string
 	idle   []*conn
 	closed bool
-	// trusted is how long a connection may have been idle to be used again.
-	trusted time.Duration
-	// widened is when it last changed.
-	widened time.Time
+	// maxReuseIdle is how long a connection may have been idle to be reused. It
+	// shrinks when an idle connection turns out to be stale.
+	maxReuseIdle time.Duration
+	// reuseIdleChanged is when maxReuseIdle last changed.
+	reuseIdleChanged time.Time
 }
 
 const (
-	// onceIdle is how long a connection may have been idle to carry a request
-	// that must not run twice. A backend server may have forgotten an idle
-	// connection, which only shows when the request is sent on it: the request
-	// is then in doubt, and its caller gets no answer. Under load connections
-	// are used again within milliseconds, so few new ones are opened for it.
-	onceIdle = time.Second
-	// forgotten is the part of the idle time of a connection that turned out
-	// to be forgotten that is still trusted, and widenEvery the time after
-	// which twice as much is tried again.
-	forgotten  = 0.5
-	widenEvery = 10 * time.Second
+	// maxNonIdempotentIdle is how long a connection may have been idle to carry
+	// a request that is not idempotent. The backend server may have dropped an
+	// idle connection, which only shows when a request sent on it gets no
+	// answer. Under load connections are reused within milliseconds, so this
+	// opens few new ones.
+	maxNonIdempotentIdle = time.Second
+	// reuseIdleBackoff is the fraction of a stale connection's idle time to
+	// which maxReuseIdle shrinks. After each reuseIdleGrowInterval it doubles
+	// again.
+	reuseIdleBackoff      = 0.5
+	reuseIdleGrowInterval = 10 * time.Second
 )
 
 func newPool(cfg Config) *pool {
-	return &pool{cfg: cfg, dialer: net.Dialer{Timeout: cfg.DialTimeout}, trusted: cfg.IdleTimeout}
+	return &pool{cfg: cfg, dialer: net.Dialer{Timeout: cfg.DialTimeout}, maxReuseIdle: cfg.IdleTimeout}
 }
 
-// take returns a connection to addr; reused says that it carried a request
-// before. once asks for one that has hardly been idle.
-func (p *pool) take(ctx context.Context, addr string, once bool) (c *conn, reused bool, err error) {
+// get returns a connection to addr; reused says that it carried a request
+// before. nonIdempotent asks for one that is new or has been idle for less than
+// maxNonIdempotentIdle.
+func (p *pool) get(ctx context.Context, addr string, nonIdempotent bool) (c *conn, reused bool, err error) {
 	now := time.Now()
-	limit := p.trust(now)
+	limit := p.reuseIdleLimit(now)
 	for {
 		c := p.pop(addr)
 		if c == nil {
 			break
 		}
 		idle := now.Sub(c.idleSince)
-		if once && idle >= onceIdle && idle < limit {
-			p.restore(c) // the others have been idle for longer
+		if nonIdempotent && idle >= maxNonIdempotentIdle && idle < limit {
+			p.putBack(c) // the other connections have been idle for longer
 			break
 		}
-		if idle < min(c.idleFor, limit) && c.silent() {
+		if idle < min(c.idleFor, limit) && c.openAndQuiet() {
 			return c, true, nil
 		}
 		c.Close()
@@ -148,32 +152,33 @@
 	return newConn(raw, p.cfg.IdleTimeout), nil
 }
 
-// trust returns how long a connection may have been idle, which grows again with
-// time.
-func (p *pool) trust(now time.Time) time.Duration {
+// reuseIdleLimit returns how long a connection may have been idle to be reused,
+// and first doubles the limit if it has not changed for reuseIdleGrowInterval.
+func (p *pool) reuseIdleLimit(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.trusted < p.cfg.IdleTimeout && now.Sub(p.widened) >= widenEvery {
-		p.trusted = min(2*p.trusted, p.cfg.IdleTimeout)
-		p.widened = now
+	if p.maxReuseIdle < p.cfg.IdleTimeout && now.Sub(p.reuseIdleChanged) >= reuseIdleGrowInterval {
+		p.maxReuseIdle = min(2*p.maxReuseIdle, p.cfg.IdleTimeout)
+		p.reuseIdleChanged = now
 	}
-	return p.trusted
+	return p.maxReuseIdle
 }
 
-// leastTrust is what is trusted at least: time for one request after the other.
-const leastTrust = 50 * time.Millisecond
+// minReuseIdle is the lower bound of maxReuseIdle. It lets consecutive requests
+// share a connection.
+const minReuseIdle = 50 * time.Millisecond
 
-// distrust notes that a connection which had been idle for a time was forgotten
-// by the other side.
-func (p *pool) distrust(now time.Time, idle time.Duration) {
+// reduceReuseIdle lowers the limit after the backend server had dropped a
+// connection that was idle for the given time.
+func (p *pool) reduceReuseIdle(now time.Time, idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.trusted = max(leastTrust, min(p.trusted, time.Duration(float64(idle)*forgotten)))
-	p.widened = now
+	p.maxReuseIdle = max(minReuseIdle, min(p.maxReuseIdle, time.Duration(float64(idle)*reuseIdleBackoff)))
+	p.reuseIdleChanged = now
 }
 
-// restore puts back a connection that was not used.
-func (p *pool) restore(c *conn) {
+// putBack returns an unused connection to the pool.
+func (p *pool) putBack(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -183,12 +188,13 @@
 	p.idle = append(p.idle, c)
 }
 
-// pop takes an idle connection. Those to an earlier address are closed.
+// pop removes the most recently used idle connection and returns it, nil if
+// there is none. Idle connections to another address are closed.
 func (p *pool) pop(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.addr != addr {
-		p.drop()
+		p.closeIdleLocked()
 		p.addr = addr
 	}
 	if len(p.idle) == 0 {
@@ -211,8 +217,8 @@
 	p.idle = append(p.idle, c)
 }
 
-// drop closes the idle connections; the caller holds the lock.
-func (p *pool) drop() {
+// closeIdleLocked closes the idle connections. The caller must hold p.mu.
+func (p *pool) closeIdleLocked() {
 	for _, c := range p.idle {
 		c.Close()
 	}
@@ -222,12 +228,12 @@
 func (p *pool) closeIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.drop()
+	p.closeIdleLocked()
 }
 
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	p.drop()
+	p.closeIdleLocked()
 }
--- a/backend/dialect.go
+++ b/backend/dialect.go
@@ -12,60 +12,63 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// Message is a request as it goes to the backend server.
+// Message is an HTTP request as sent to the backend server.
 type Message struct {
 	Method string
-	// Target is what stands in the request line: path and query.
+	// Target is the request target of the request line: path and query.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// Claim is what an answer says about the request that it answers.
+// Claim is what an answer says about its request.
 type Claim uint8
 
 const (
-	// Answered: the backend server ran the request, and this is its answer.
+	// Answered: the backend server ran the request and this is its answer.
 	Answered Claim = iota
 	// Declined: the backend server says that it did not run the request.
 	Declined
-	// Elsewhere: another backend server has the address; it ran nothing.
+	// Elsewhere: another backend server now has the address; it did not run the
+	// request.
 	Elsewhere
 	// Foreign: the answer belongs to another request.
 	Foreign
-	// Spoiled: the answer is not the backend server's own.
+	// Spoiled: the answer was not produced by the backend server.
 	Spoiled
 )
 
-// Dialect is how requests and answers of one kind of backend server look. Its
-// methods only translate; they must be safe for concurrent use.
+// Dialect translates requests and answers for one kind of backend server. It
+// must be safe for concurrent use.
 type Dialect interface {
-	// Message returns the request that stands for a run. basePath is the path
+	// Message returns the HTTP request for a run. host and basePath are those
 	// of the backend server's address.
 	Message(host, basePath string, r Run) (Message, error)
-	// Claim reads the head of an answer.
+	// Claim interprets the head of an answer. retryAfter is zero if the answer
+	// proposes no time.
 	Claim(r Run, resp *http.Response) (c Claim, retryAfter time.Duration)
-	// Unframed reports whether an answer may be ended by its connection
-	// alone.
+	// Unframed reports whether an answer may be delimited by the end of its
+	// connection alone.
 	Unframed() bool
-	// Fields returns the fields of an answer that travel to the caller.
+	// Fields returns the header fields of an answer that are forwarded to the
+	// caller. It fails if they hold more than maxBytes.
 	Fields(h http.Header, maxBytes int) ([]call.Field, error)
 }
 
-// ownDialect is the project's interface to backend servers: POST /OPERATION
-// with the call's data in fields of its own.
-type ownDialect struct{}
+// nativeDialect is the default interface to backend servers: POST /OPERATION
+// with the call's data in Cassialoom header fields.
+type nativeDialect struct{}
 
-var errSpace = errors.New("query: want it without spaces and control characters")
+var errTarget = errors.New("query: spaces and control characters are not allowed")
 
-func (ownDialect) Message(host, basePath string, r Run) (Message, error) {
+func (nativeDialect) Message(host, basePath string, r Run) (Message, error) {
 	target := basePath + "/" + url.PathEscape(r.Operation)
 	if r.Query != "" {
 		target += "?" + r.Query
 	}
 	if !plainTarget(target) {
-		return Message{}, errSpace
+		return Message{}, errTarget
 	}
 	h := make(http.Header, len(r.Header)+4)
 	headers.Apply(h, r.Header)
@@ -76,10 +79,11 @@
 	return Message{Method: http.MethodPost, Target: target, Host: host, Header: h, Body: r.Body}, nil
 }
 
-// Claim wants both signs of a refusal: a 503 alone can come from work that
-// failed halfway. A backend server need not name the request in its answer, and
-// one that passes on the answer to a call of its own names that call.
-func (ownDialect) Claim(_ Run, resp *http.Response) (Claim, time.Duration) {
+// Claim requires both the status 503 and the verdict "not run" for a refusal,
+// because a 503 alone can come from work that failed halfway. The request ID of
+// the answer is not checked: a backend server need not send one, and one that
+// forwards the answer to a call of its own sends that of the call.
+func (nativeDialect) Claim(_ Run, resp *http.Response) (Claim, time.Duration) {
 	if resp.StatusCode == http.StatusServiceUnavailable &&
 		verdict.Parse(resp.Header.Get(headers.Verdict)) == verdict.NotRun {
 		return Declined, retryAfter(resp.Header)
@@ -87,13 +91,14 @@
 	return Answered, 0
 }
 
-func (ownDialect) Unframed() bool { return false }
+func (nativeDialect) Unframed() bool { return false }
 
-func (ownDialect) Fields(h http.Header, maxBytes int) ([]call.Field, error) {
+func (nativeDialect) Fields(h http.Header, maxBytes int) ([]call.Field, error) {
 	return headers.Collect(h, maxBytes)
 }
 
-// plainTarget keeps out what would end the request line early.
+// plainTarget reports whether s is not empty and holds no byte that would end
+// the request target early.
 func plainTarget(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] == 0x7f {
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -14,38 +14,38 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// maxStray is the number of answers to other requests that are skipped on one
-// connection before it is given up.
-const maxStray = 4
+// maxStrayAnswers is the number of answers to other requests after which a
+// connection is given up.
+const maxStrayAnswers = 4
 
-// backgroundWrite is the size from which a body is written beside the reading
-// of the answer: a backend server that answers early and reads no further would
-// otherwise never be heard.
-const backgroundWrite = 16 << 10
+// asyncBodyThreshold is the body size in bytes from which the body is written
+// while the answer is read. A backend server may answer early and read no
+// further.
+const asyncBodyThreshold = 16 << 10
 
-// forgottenWithin tells a connection that was forgotten, on which a request is
-// reset at once, from one that broke while the backend server worked: the
-// shortest work takes longer.
-const forgottenWithin = 3 * time.Millisecond
+// staleResetLimit tells a stale connection, on which a request is reset at
+// once, from one that broke while the backend server worked.
+const staleResetLimit = 3 * time.Millisecond
 
 var (
-	errStray = errors.New("answers to other requests came")
-	errField = errors.New("a header field that HTTP forbids")
+	errStray = errors.New("received only answers to other requests")
+	errField = errors.New("invalid HTTP header field")
 )
 
-// exchange is one request on one connection.
+// exchange is one request and its answer on one connection.
 type exchange struct {
-	client *Client
-	conn   *conn
-	run    Run
-	msg    Message
-	reused bool // the connection carried a request before
-	sentAt time.Time
-	start  int64      // what had been sent on the connection before
-	writer chan error // of a body that is written beside the reading
+	client     *Client
+	conn       *conn
+	run        Run
+	msg        Message
+	reused     bool // the connection carried a request before
+	sentAt     time.Time
+	sentBefore int64      // bytes written to the connection before the request
+	bodyDone   chan error // result of writing a large body; nil for a small one
 }
 
-// encode returns the head of the request, and the body with it if it is small.
+// encode returns the encoded head of the request, followed by its body if that
+// is smaller than asyncBodyThreshold.
 func encode(m Message) ([]byte, error) {
 	for name, values := range m.Header {
 		for _, v := range values {
@@ -64,19 +64,20 @@
 		b.WriteString("Content-Length: " + strconv.Itoa(len(m.Body)) + "\r\n")
 	}
 	b.WriteString("\r\n")
-	if len(m.Body) < backgroundWrite {
+	if len(m.Body) < asyncBodyThreshold {
 		b.Write(m.Body)
 	}
 	return b.Bytes(), nil
 }
 
-// do sends the request and reads its answer. unsent says that no byte left.
+// do sends the request and reads its answer. unsent says that no byte was
+// written.
 func (x *exchange) do(ctx context.Context, head []byte) (res Result, unsent bool) {
-	x.start, x.sentAt = x.conn.sent, time.Now()
-	// The end of the context ends a read or write at once.
+	x.sentBefore, x.sentAt = x.conn.sent, time.Now()
+	// The end of the context aborts reads and writes at once.
 	stop := context.AfterFunc(ctx, func() { x.conn.SetDeadline(time.Unix(1, 0)) })
 	err := x.conn.write(head)
-	if err != nil && x.conn.sent == x.start {
+	if err != nil && x.conn.sent == x.sentBefore {
 		stop()
 		x.conn.Close()
 		return Result{}, true
@@ -84,7 +85,7 @@
 	if err == nil {
 		x.writeBody()
 	}
-	res, reusable := x.answer(ctx)
+	res, reusable := x.readAnswer(ctx)
 	reusable = x.bodyWritten() && reusable && err == nil
 	if stop() && reusable {
 		x.client.pool.put(x.conn, x.run.address)
@@ -95,61 +96,62 @@
 }
 
 func (x *exchange) writeBody() {
-	if len(x.msg.Body) < backgroundWrite {
+	if len(x.msg.Body) < asyncBodyThreshold {
 		return
 	}
-	x.writer = make(chan error, 1)
+	x.bodyDone = make(chan error, 1)
 	go func() {
 		_, err := x.conn.Conn.Write(x.msg.Body)
-		x.writer <- err
+		x.bodyDone <- err
 	}()
 }
 
-// bodyWritten ends the writing of the body and reports whether it is whole. A
-// connection on which the rest of a body is due must carry nothing else.
+// bodyWritten reports whether the body was written completely, and aborts
+// writing it if not. A connection with a partly written body must not be
+// reused.
 func (x *exchange) bodyWritten() bool {
-	if x.writer == nil {
+	if x.bodyDone == nil {
 		return true
 	}
 	select {
-	case err := <-x.writer:
+	case err := <-x.bodyDone:
 		return err == nil
 	default:
 	}
 	x.conn.Close()
-	<-x.writer
+	<-x.bodyDone
 	return false
 }
 
-// answer reads until the answer of this request has come.
-func (x *exchange) answer(ctx context.Context) (res Result, reusable bool) {
-	for range maxStray {
-		resp, err := x.head()
+// readAnswer reads answers until that of this request arrives.
+func (x *exchange) readAnswer(ctx context.Context) (res Result, reusable bool) {
+	for range maxStrayAnswers {
+		resp, err := x.readHead()
 		if err != nil {
 			return x.withoutAnswer(ctx, err), false
 		}
 		claim, after := x.client.dialect.Claim(x.run, resp)
 		if claim == Foreign {
-			x.conn.unusable = true
+			x.conn.desynchronized = true
 			x.client.strays.Add(1)
 			if _, err := x.body(resp); err != nil {
 				return x.withoutAnswer(ctx, err), false
 			}
 			continue
 		}
-		return x.judge(ctx, resp, claim, after)
+		return x.toResult(ctx, resp, claim, after)
 	}
 	return x.withoutAnswer(ctx, errStray), false
 }
 
-// head reads the head of the next final answer.
-func (x *exchange) head() (*http.Response, error) {
+// readHead reads the head of the next answer and skips informational ones.
+func (x *exchange) readHead() (*http.Response, error) {
 	cfg := &x.client.cfg
 	for {
-		x.conn.allow(2*int64(cfg.MaxHeader) + cfg.MaxAnswer + readBuffer)
+		x.conn.setReadLimit(2*int64(cfg.MaxHeader) + cfg.MaxAnswer + readBuffer)
 		resp, err := http.ReadResponse(x.conn.r, &http.Request{Method: x.msg.Method})
 		if err != nil {
-			x.conn.note(err)
+			x.conn.noteError(err)
 			return nil, err
 		}
 		if resp.StatusCode >= http.StatusOK || resp.StatusCode == http.StatusSwitchingProtocols {
@@ -158,30 +160,30 @@
 	}
 }
 
-// judge turns the answer into a result.
-func (x *exchange) judge(ctx context.Context, resp *http.Response, claim Claim, after time.Duration) (res Result, reusable bool) {
-	framed := !unbounded(resp)
+// toResult turns the answer into a Result.
+func (x *exchange) toResult(ctx context.Context, resp *http.Response, claim Claim, after time.Duration) (res Result, reusable bool) {
+	framed := !closeDelimited(resp)
 	switch claim {
 	case Declined, Elsewhere:
 		return x.refusal(resp, claim, after)
 	case Spoiled:
-		return failed(verdict.Doubt(verdict.Incomplete, "the answer (status %d) is not the backend server's own", resp.StatusCode)), false
+		return failed(verdict.Doubt(verdict.Incomplete, "the answer (status %d) was not produced by the backend server", resp.StatusCode)), false
 	}
 	res = Result{Verdict: verdict.Ran}
 	if !framed && (!x.client.dialect.Unframed() || resp.StatusCode == http.StatusSwitchingProtocols) {
-		// Without a length a cut-off answer looks like a whole one.
-		return res.unusable(verdict.Incomplete, "the answer has neither a length nor chunks"), false
+		// Without a length or chunks a truncated answer looks complete.
+		return res.withReason(verdict.Incomplete, "the answer has neither a length nor chunks"), false
 	}
 	body, err := x.body(resp)
 	if err != nil {
-		return x.cutOff(ctx, res, err), false
+		return x.incomplete(ctx, res, err), false
 	}
 	fields, err := x.client.dialect.Fields(resp.Header, x.client.cfg.MaxHeader)
 	if err != nil {
-		return res.unusable(verdict.TooLarge, "answer: "+err.Error()), false
+		return res.withReason(verdict.TooLarge, "answer: "+err.Error()), false
 	}
 	res.Status, res.Header, res.Body = resp.StatusCode, fields, body
-	return res, framed && x.keep(resp)
+	return res, framed && x.reusableAfter(resp)
 }
 
 func (x *exchange) refusal(resp *http.Response, claim Claim, after time.Duration) (Result, bool) {
@@ -191,33 +193,34 @@
 	}
 	res := failed(e)
 	res.Offered = true
-	if _, err := x.body(resp); err != nil || unbounded(resp) {
-		return res, false // what the refusal says stands without its body
+	if _, err := x.body(resp); err != nil || closeDelimited(resp) {
+		return res, false // the refusal is valid without its body
 	}
-	return res, claim == Declined && x.keep(resp)
+	return res, claim == Declined && x.reusableAfter(resp)
 }
 
-func (x *exchange) cutOff(ctx context.Context, res Result, err error) Result {
+func (x *exchange) incomplete(ctx context.Context, res Result, err error) Result {
 	switch {
 	case errors.Is(err, errTooLarge):
-		return res.unusable(verdict.TooLarge, fmt.Sprintf("the answer is larger than %d bytes", x.client.cfg.MaxAnswer))
-	case ended(ctx) != verdict.None:
-		return res.unusable(ended(ctx), "the answer did not end in time")
+		return res.withReason(verdict.TooLarge, fmt.Sprintf("the answer is larger than %d bytes", x.client.cfg.MaxAnswer))
+	case contextReason(ctx) != verdict.None:
+		return res.withReason(contextReason(ctx), "the answer was not complete in time")
 	}
-	res = res.unusable(verdict.Incomplete, fmt.Sprintf("the answer broke off: %v", err))
-	x.client.notice(ctx, x.run.address, x.conn, &res)
+	res = res.withReason(verdict.Incomplete, fmt.Sprintf("the answer is truncated: %v", err))
+	x.client.detectCrash(ctx, x.run.address, x.conn, &res)
 	return res
 }
 
 func (x *exchange) body(resp *http.Response) ([]byte, error) {
 	body, err := readAll(resp, x.client.cfg.MaxAnswer)
-	x.conn.note(err)
+	x.conn.noteError(err)
 	return body, err
 }
 
-// keep reports whether the connection may carry another request.
-func (x *exchange) keep(resp *http.Response) bool {
-	if resp.Close || x.conn.unusable || x.conn.r.Buffered() > 0 {
+// reusableAfter reports whether the connection may carry another request after
+// resp, and applies its Keep-Alive timeout.
+func (x *exchange) reusableAfter(resp *http.Response) bool {
+	if resp.Close || x.conn.desynchronized || x.conn.r.Buffered() > 0 {
 		return false
 	}
 	if idle, ok := keepAlive(resp.Header); ok {
@@ -226,9 +229,8 @@
 	return x.conn.idleFor > 0
 }
 
-// keepAliveMargin is how long before the time that the backend server states a
-// connection is given up: it is stated in whole seconds, and the server's timer
-// may run ahead of ours.
+// keepAliveMargin is subtracted from the Keep-Alive timeout of the backend
+// server, which has a resolution of one second and whose timer may be ahead.
 const keepAliveMargin = time.Second
 
 func keepAlive(h http.Header) (time.Duration, bool) {
@@ -241,15 +243,16 @@
 	return 0, false
 }
 
-// withoutAnswer is for a request that left and has no usable head of an answer.
+// withoutAnswer returns the result of a request that was sent and got no usable
+// answer head.
 func (x *exchange) withoutAnswer(ctx context.Context, err error) Result {
-	if reason := ended(ctx); reason != verdict.None {
+	if reason := contextReason(ctx); reason != verdict.None {
 		return failed(verdict.Doubt(reason, "no answer in time"))
 	}
-	if now := time.Now(); x.reused && x.conn.broken && now.Sub(x.sentAt) < forgottenWithin {
-		x.client.pool.distrust(now, x.sentAt.Sub(x.conn.idleSince))
+	if now := time.Now(); x.reused && x.conn.broken && now.Sub(x.sentAt) < staleResetLimit {
+		x.client.pool.reduceReuseIdle(now, x.sentAt.Sub(x.conn.idleSince))
 	}
 	res := failed(verdict.Doubt(verdict.Lost, "no answer: %v", err))
-	x.client.notice(ctx, x.run.address, x.conn, &res)
+	x.client.detectCrash(ctx, x.run.address, x.conn, &res)
 	return res
 }
--- a/backend/url.go
+++ b/backend/url.go
@@ -6,10 +6,10 @@
 	"net/url"
 )
 
-var errURL = errors.New("want http://IP:PORT or http://IP:PORT/PATH with an IP number on loopback")
+var errURL = errors.New("want http://IP:PORT or http://IP:PORT/PATH with a loopback IP address")
 
-// CheckURL checks the address at which a backend server announces itself. It
-// has to be on loopback: the node is the only way in to its backend server.
+// CheckURL checks the address that a backend server announces. It must be on
+// loopback, so that requests reach the backend server only through the node.
 func CheckURL(s string) error {
 	u, err := url.Parse(s)
 	if err != nil {
