--- a/local/local.go
+++ b/local/local.go
@@ -1,6 +1,6 @@
-// Package local is the interface that a node offers to its own backend server
-// on the instance's loopback: the backend server announces itself there and
-// sends its own calls to other services there.
+// Package local is the HTTP interface of a node for its own backend server, on
+// the instance's loopback address. There the backend server announces itself
+// and makes its calls to other services.
 package local
 
 import (
@@ -16,40 +16,43 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// maxAnnouncement bounds the body of an announcement, in bytes.
-const maxAnnouncement = 4 << 10
+// maxAnnouncementBytes is the largest body of an announcement.
+const maxAnnouncementBytes = 4 << 10
 
-// Doer makes a call for the running call that token names. A token that it
-// does not know is refused by it. It must be safe for concurrent use.
+// Doer makes calls on behalf of the running call that token identifies. It
+// refuses unknown tokens. It must be safe for concurrent use.
 type Doer interface {
 	Call(ctx context.Context, token string, in entry.Incoming) call.Outcome
 }
 
-// Backends hears about the backend server. An error refuses the announcement
-// and is shown to the backend server.
+// Backends receives announcements of the backend server. Announce returns an
+// error to reject the announcement; the backend server gets its text. It must
+// be safe for concurrent use.
 type Backends interface {
 	Announce(now time.Time, url, state, boot string) error
 	Leave(boot string)
 }
 
-// Announcement is what a backend server says about itself, when it starts,
-// when its state changes, and every few seconds.
+// Announcement is what a backend server sends when it starts, when its state
+// changes, and every few seconds.
 type Announcement struct {
-	// URL is where it serves its operations, on loopback.
+	// URL is the loopback address at which the backend server serves its
+	// operations.
 	URL string `json:"url"`
 	// State is ready or draining.
 	State string `json:"state"`
-	// Boot is drawn at random by each start of the backend server: another
-	// one tells that it crashed or was restarted.
+	// Boot identifies the backend incarnation; the backend server draws it at
+	// random when it starts. A new value means that it crashed or was
+	// restarted.
 	Boot string `json:"boot"`
 }
 
-// Departure is the last word of a backend server.
+// Departure is the message that a backend server sends before it ends.
 type Departure struct {
 	Boot string `json:"boot"`
 }
 
-// New returns the interface:
+// New returns the handler of the interface:
 //
 //	POST /call/{service}/{operation}  with the header Cassialoom-Call
 //	POST /backend/announce
@@ -72,7 +75,7 @@
 	tokens := r.Header[headers.Call]
 	if len(tokens) != 1 || tokens[0] == "" {
 		entry.Refuse(cfg, w, r, verdict.Refuse(verdict.BadRequest,
-			"%s: want the value that came with the running call, once", headers.Call))
+			"%s: want exactly one, with the value received with the running call", headers.Call))
 		return
 	}
 	entry.Exchange(cfg, w, r, func(ctx context.Context, in entry.Incoming) call.Outcome {
@@ -83,7 +86,7 @@
 func announce(cfg entry.Config, w http.ResponseWriter, r *http.Request, b Backends) {
 	var a Announcement
 	if decode(cfg, w, r, &a) {
-		finish(cfg, w, r, b.Announce(time.Now(), a.URL, a.State, a.Boot))
+		respond(cfg, w, r, b.Announce(time.Now(), a.URL, a.State, a.Boot))
 	}
 }
 
@@ -91,12 +94,12 @@
 	var d Departure
 	if decode(cfg, w, r, &d) {
 		b.Leave(d.Boot)
-		finish(cfg, w, r, nil)
+		respond(cfg, w, r, nil)
 	}
 }
 
 func decode(cfg entry.Config, w http.ResponseWriter, r *http.Request, v any) bool {
-	body, refusal := entry.ReadSmall(cfg, w, r, maxAnnouncement)
+	body, refusal := entry.ReadSmall(cfg, w, r, maxAnnouncementBytes)
 	if refusal != nil {
 		entry.Refuse(cfg, w, r, refusal)
 		return false
@@ -110,7 +113,7 @@
 	return true
 }
 
-func finish(cfg entry.Config, w http.ResponseWriter, r *http.Request, err error) {
+func respond(cfg entry.Config, w http.ResponseWriter, r *http.Request, err error) {
 	if err != nil {
 		entry.Refuse(cfg, w, r, verdict.Refuse(verdict.BadRequest, "announcement: %v", err))
 		return
--- a/local/local_test.go
+++ b/local/local_test.go
@@ -16,12 +16,12 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// fakeNode notes what it hears.
+// fakeNode records the calls and announcements that it receives.
 type fakeNode struct {
-	token string
-	in    entry.Incoming
-	heard []string
-	err   error
+	token    string
+	in       entry.Incoming
+	received []string
+	err      error
 }
 
 func (n *fakeNode) Call(_ context.Context, token string, in entry.Incoming) call.Outcome {
@@ -33,11 +33,11 @@
 }
 
 func (n *fakeNode) Announce(_ time.Time, url, state, boot string) error {
-	n.heard = append(n.heard, "announce "+url+" "+state+" "+boot)
+	n.received = append(n.received, "announce "+url+" "+state+" "+boot)
 	return n.err
 }
 
-func (n *fakeNode) Leave(boot string) { n.heard = append(n.heard, "leave "+boot) }
+func (n *fakeNode) Leave(boot string) { n.received = append(n.received, "leave "+boot) }
 
 func post(n *fakeNode, path, body string, tokens ...string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
@@ -47,7 +47,7 @@
 	return w
 }
 
-func TestCallNeedsItsToken(t *testing.T) {
+func TestCallRequiresOneKnownToken(t *testing.T) {
 	is := is.New(t)
 	n := &fakeNode{}
 	w := post(n, "/call/stationlog/history?since=1", "body", "known")
@@ -62,7 +62,7 @@
 		is.Equal(w.Code, 400)
 		is.Equal(w.Header().Get("Cassialoom-Verdict"), "not run")
 	}
-	is.Equal(n.token, "other") // only a token that stands once is looked up
+	is.Equal(n.token, "other") // a token given twice is never looked up
 }
 
 func TestAnnouncements(t *testing.T) {
@@ -70,18 +70,18 @@
 	n := &fakeNode{}
 	is.Equal(post(n, "/backend/announce", `{"url":"http://127.0.0.1:1","state":"ready","boot":"b"}`).Code, 204)
 	is.Equal(post(n, "/backend/leave", `{"boot":"b"}`).Code, 204)
-	is.Equal(n.heard, []string{"announce http://127.0.0.1:1 ready b", "leave b"})
+	is.Equal(n.received, []string{"announce http://127.0.0.1:1 ready b", "leave b"})
 
 	n = &fakeNode{err: errors.New("url: want another")}
 	w := post(n, "/backend/announce", `{"url":"x","state":"ready","boot":"b"}`)
 	is.Equal(w.Code, 400)
-	is.True(strings.Contains(w.Body.String(), "want another")) // the backend server's log shows why
+	is.True(strings.Contains(w.Body.String(), "want another")) // the backend server can log the reason
 
 	n = &fakeNode{}
-	for _, body := range []string{"", "{", `{"boots":"b"}`, `{"boot":1}`, `"` + strings.Repeat("x", maxAnnouncement) + `"`} {
+	for _, body := range []string{"", "{", `{"boots":"b"}`, `{"boot":1}`, `"` + strings.Repeat("x", maxAnnouncementBytes) + `"`} {
 		for _, path := range []string{"/backend/announce", "/backend/leave"} {
 			is.True(post(n, path, body).Code >= 400)
 		}
 	}
-	is.Equal(len(n.heard), 0)
+	is.Equal(len(n.received), 0)
 }
