--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,9 +1,8 @@
-// Package entry is the callers' HTTP interface of a node: it turns an HTTP
-// request into one call, and the outcome of the call into one whole answer.
+// Package entry is the HTTP interface of a node for callers. It turns an HTTP
+// request into one call and the outcome of the call into one complete answer.
 //
-// The request's method is not passed on: whatever it was, the backend server
-// gets a POST, and the operation's declaration alone says whether it is
-// idempotent.
+// The request's method is not forwarded: the backend server always gets a POST,
+// and only the operation's declaration says whether it is idempotent.
 package entry
 
 import (
@@ -18,16 +17,17 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// Incoming is one request as it arrived.
+// Incoming is one received request.
 type Incoming struct {
-	// RequestID is the caller's, or minted here when it gave none.
+	// RequestID is the caller's, or a random one if the caller sent none.
 	RequestID string
 	Service   string
 	Operation string
-	// Importance is nil when the caller left it to the declaration.
+	// Importance is nil if the caller sent none; the operation's declaration
+	// then applies.
 	Importance *importance.Importance
-	// Budget is the time that the caller gave, counted from Received; zero
-	// leaves it to the declaration.
+	// Budget is the caller's deadline as a duration from Received; zero if the
+	// caller sent none, and the declaration then applies.
 	Budget time.Duration
 	// Key is the idempotency key, empty for none.
 	Key      string
@@ -35,27 +35,28 @@
 	Query    string
 	Body     []byte
 	Received time.Time
-	// HTTP is the request as it came, for routes by host and path.
+	// HTTP is the request as received, for routes by host and path.
 	HTTP call.HTTP
-	// Credentials are the header fields that bear the caller's key. They are no part of
-	// Header, so that none travels by oversight.
+	// Credentials are the header fields that carry the caller's key. They are
+	// kept out of Header so that they are not forwarded by mistake.
 	Credentials []call.Field
-	// WorkspaceKey is the key in them, empty for none.
+	// WorkspaceKey is the key in Credentials, empty for none.
 	WorkspaceKey string
-	// Parent is the request that this one says it is a call of, empty for
-	// none. It is a hint: the node believes it only while that request runs
-	// at its own backend server.
+	// Parent is the ID of the request that this one claims to be a call of,
+	// empty for none. It is not trusted: the node uses it only while that
+	// request runs at its own backend server.
 	Parent string
 }
 
-// Doer runs requests and mints idempotency keys; the node implements it. It
-// must be safe for concurrent use. The context ends when the caller goes away.
+// Doer runs requests and mints idempotency keys. It must be safe for concurrent
+// use. The context ends when the caller disconnects. Mint returns a key and how
+// long it is held.
 type Doer interface {
 	Do(ctx context.Context, in Incoming) call.Outcome
 	Mint(ctx context.Context, service, operation string) (key string, held time.Duration, err error)
 }
 
-// New returns the callers' interface:
+// New returns the handler of the callers' interface:
 //
 //	{GET,POST,PUT,PATCH,DELETE} /call/{service}/{operation}
 //	POST                        /key/{service}/{operation}
@@ -70,8 +71,8 @@
 	return r
 }
 
-// NewRouter returns a router whose own refusals carry a verdict. It cleans no
-// paths: a redirect would be an answer without one.
+// NewRouter returns a router whose own refusals carry a verdict. It does not
+// clean paths, because a redirect would be an answer without a verdict.
 func NewRouter(cfg Config) *mux.Router {
 	r := mux.NewRouter().SkipClean(true)
 	r.NotFoundHandler = refuseRoute(cfg, http.StatusNotFound, "no such path")
@@ -86,7 +87,7 @@
 	})
 }
 
-// Exchange reads one call, has it done and writes its outcome.
+// Exchange reads one call, runs it with do and writes its outcome.
 func Exchange(cfg Config, w http.ResponseWriter, r *http.Request, do func(context.Context, Incoming) call.Outcome) {
 	in, refusal := read(cfg, w, r, time.Now())
 	if refusal != nil {
@@ -97,14 +98,14 @@
 	write(cfg, w, in.RequestID, do(r.Context(), in))
 }
 
-// Refuse ends a request that is no call.
+// Refuse answers a request that is not a call with the error e.
 func Refuse(cfg Config, w http.ResponseWriter, r *http.Request, e *verdict.Error) {
 	DropBody(w, r)
 	writeError(cfg, w, e.Reason.Status(), "", e)
 }
 
-// minted is the answer to a request for a key.
-type minted struct {
+// mintedKey is the answer to a request for a key.
+type mintedKey struct {
 	Key    string `json:"key"`
 	HeldMs int64  `json:"held_ms"`
 }
@@ -118,9 +119,9 @@
 	key, held, err := d.Mint(r.Context(), vars["service"], vars["operation"])
 	if err != nil {
 		e := *verdict.From(err)
-		e.Verdict = verdict.NotRun // a key alone runs nothing
+		e.Verdict = verdict.NotRun // minting a key runs nothing
 		Refuse(cfg, w, r, &e)
 		return
 	}
-	writeJSON(cfg, w, http.StatusOK, minted{Key: key, HeldMs: held.Milliseconds()})
+	writeJSON(cfg, w, http.StatusOK, mintedKey{Key: key, HeldMs: held.Milliseconds()})
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -24,18 +24,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeDoer answers with out and keeps what it was asked.
+// fakeDoer returns out for each call and sends received requests to seen.
 type fakeDoer struct {
 	out  call.Outcome
 	err  error
 	seen chan Incoming
-	// hold, if set, keeps each call until its context ends.
-	hold bool
+	// block, if set, makes Do wait until its context ends and then close seen.
+	block bool
 }
 
 func (d *fakeDoer) Do(ctx context.Context, in Incoming) call.Outcome {
 	d.seen <- in
-	if d.hold {
+	if d.block {
 		<-ctx.Done()
 		close(d.seen)
 	}
@@ -67,8 +67,8 @@
 	return ln.Addr().String()
 }
 
-// exchange sends raw bytes, ends the sending side if hangUp is set, and reads
-// one answer; nil if there is none.
+// exchange sends raw bytes, closes the sending side if hangUp is set, and
+// returns one answer with its body, nil if there is none.
 func exchange(t *testing.T, addr, raw string, hangUp bool) (*http.Response, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -95,21 +95,21 @@
 	return resp, string(body)
 }
 
-// ask starts a node's interface for one request.
-func ask(t *testing.T, d *fakeDoer, raw string) (*http.Response, string) {
+// startAndExchange serves d and sends it one request.
+func startAndExchange(t *testing.T, d *fakeDoer, raw string) (*http.Response, string) {
 	t.Helper()
 	return exchange(t, start(t, DefaultConfig(), d), raw, false)
 }
 
 const get = "GET /call/s/o HTTP/1.1\r\nHost: x\r\nCassialoom-Request-Id: r\r\n\r\n"
 
-func TestCallIsPassedOnWhole(t *testing.T) {
+func TestCallAndAnswerArePassedOnComplete(t *testing.T) {
 	is := is.New(t)
 	d := &fakeDoer{out: call.Outcome{
 		Verdict: verdict.Ran, Status: 201, Body: []byte("filed"), KeyHeld: 1500 * time.Microsecond,
 		Header: []call.Field{{Name: "X-Own", Value: "1"}, {Name: "Content-Length", Value: "99"}, {Name: "cassialoom-verdict", Value: "not run"}},
 	}}
-	resp, body := ask(t, d, "PUT /call/fieldlog/file?a=1&b=%20 HTTP/1.1\r\nHost: x\r\n"+
+	resp, body := startAndExchange(t, d, "PUT /call/fieldlog/file?a=1&b=%20 HTTP/1.1\r\nHost: x\r\n"+
 		"cassialoom-deadline-ms: 250\r\nCassialoom-Importance: high\r\nCassialoom-Request-Id: r:1\r\n"+
 		"Idempotency-Key: k 1\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-Kept: a\r\nX-Kept: b\r\n"+
 		"Cassialoom-Other: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
@@ -132,29 +132,29 @@
 	is.Equal(resp.Header.Get("X-Own"), "1")
 }
 
-func TestAbsentFieldsAreLeftToTheDeclaration(t *testing.T) {
+func TestAbsentFieldsStayUnset(t *testing.T) {
 	is := is.New(t)
 	d := &fakeDoer{out: call.Outcome{Verdict: verdict.Ran, Status: 204}}
-	resp, _ := ask(t, d, "GET /call/s/o HTTP/1.1\r\nHost: x\r\n\r\n")
+	resp, _ := startAndExchange(t, d, "GET /call/s/o HTTP/1.1\r\nHost: x\r\n\r\n")
 	in := <-d.seen
 	is.True(in.Importance == nil && in.Budget == 0 && in.Key == "" && in.Body == nil)
 	is.Equal(len(in.RequestID), 32) // minted
 	is.Equal(resp.Header.Get("Cassialoom-Request-Id"), in.RequestID)
 }
 
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestRefusalHasRetryAfter(t *testing.T) {
 	is := is.New(t)
 	d := &fakeDoer{out: call.Failed(verdict.Refuse(verdict.Shed, "level 3").After(1200 * time.Millisecond))}
-	resp, body := ask(t, d, get)
+	resp, body := startAndExchange(t, d, get)
 	is.Equal(resp.StatusCode, 503)
-	is.Equal(resp.Header.Get("Retry-After"), "2") // never earlier than asked
+	is.Equal(resp.Header.Get("Retry-After"), "2") // rounded up
 	is.Equal(resp.Header.Get("Cassialoom-Retry-After-Ms"), "1200")
 	is.Equal(body, `{"verdict":"not run","reason":"shed","detail":"level 3","retry_after_ms":1200,"request_id":"r"}`+"\n")
 }
 
-// What is wrong with a request is told at once, with the verdict "not run",
-// and the node is never asked.
-func TestWrongRequestsNeverReachTheNode(t *testing.T) {
+// An invalid request is refused at once as "not run" and never reaches the
+// Doer.
+func TestInvalidRequestsAreNotRun(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxBody = 8
 	cfg.MaxHeader = 2048
@@ -224,11 +224,10 @@
 	}
 }
 
-// A caller goes away while its call runs: the context of the call ends, so
-// that the work that it caused can be cancelled.
-func TestCallerGoesAway(t *testing.T) {
+// Guards against work that continues after its caller has disconnected.
+func TestCallerDisconnectEndsContext(t *testing.T) {
 	is := is.New(t)
-	d := &fakeDoer{hold: true}
+	d := &fakeDoer{block: true}
 	c, err := net.Dial("tcp", start(t, DefaultConfig(), d))
 	is.NoErr(err)
 	_, err = io.WriteString(c, "POST /call/s/o HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\na")
@@ -239,10 +238,9 @@
 	is.True(!open)
 }
 
-// A request is refused with its body unread, then another comes on the same
-// connection or a new one: a context that ended with the first would cancel
-// every later call on that connection.
-func TestRefusalLeavesLaterRequestsAlone(t *testing.T) {
+// Guards against a refusal with an unread body that ends the context of later
+// requests on the same connection.
+func TestRefusalDoesNotCancelLaterRequests(t *testing.T) {
 	is := is.New(t)
 	d := &fakeDoer{out: call.Outcome{Verdict: verdict.Ran, Status: 200}}
 	addr := start(t, DefaultConfig(), d)
@@ -268,10 +266,9 @@
 	is.True(resp.Close)
 }
 
-// The connection fails halfway through an answer. What the caller has got must
-// not look complete: the handler aborts instead of ending the exchange, so
-// that the announced length is never reached.
-func TestAnswerCutOffIsAborted(t *testing.T) {
+// Guards against a truncated answer that looks complete: the handler aborts
+// when writing fails.
+func TestTruncatedAnswerIsAborted(t *testing.T) {
 	for _, fail := range []string{"write", "flush"} {
 		t.Run(fail, func(t *testing.T) {
 			is := is.New(t)
@@ -302,7 +299,7 @@
 func TestOutcomeWithoutFinalStatus(t *testing.T) {
 	is := is.New(t)
 	for _, status := range []int{0, 101, 1000, -1} {
-		resp, _ := ask(t, &fakeDoer{out: call.Outcome{Verdict: verdict.MayHaveRun, Status: status}}, get)
+		resp, _ := startAndExchange(t, &fakeDoer{out: call.Outcome{Verdict: verdict.MayHaveRun, Status: status}}, get)
 		is.Equal(resp.StatusCode, http.StatusBadGateway)
 		is.Equal(resp.Header.Get(headers.Verdict), "may have run")
 	}
@@ -311,19 +308,18 @@
 func TestMint(t *testing.T) {
 	is := is.New(t)
 	d := &fakeDoer{}
-	resp, body := ask(t, d, "POST /key/s/o HTTP/1.1\r\nHost: x\r\n\r\n")
+	resp, body := startAndExchange(t, d, "POST /key/s/o HTTP/1.1\r\nHost: x\r\n\r\n")
 	is.Equal(resp.StatusCode, 200)
 	is.Equal(body, `{"key":"key-of-s-o","held_ms":90000}`+"\n")
 	d.err = fmt.Errorf("mint: %w", verdict.Doubt(verdict.NoBackend, "none"))
-	resp, _ = ask(t, d, "POST /key/s/o HTTP/1.1\r\nHost: x\r\n\r\n")
+	resp, _ = startAndExchange(t, d, "POST /key/s/o HTTP/1.1\r\nHost: x\r\n\r\n")
 	is.Equal(resp.StatusCode, 503)
-	is.Equal(resp.Header.Get(headers.Verdict), "not run") // a key runs nothing
+	is.Equal(resp.Header.Get(headers.Verdict), "not run") // minting a key runs nothing
 }
 
-// A node stops as planned while a caller keeps a connection that it uses only now
-// and then. Its next request is answered, with the end of the connection, and
-// the node closes nothing before; new connections are refused at once.
-func TestLastCallWaitsForKeptConnections(t *testing.T) {
+// During a planned stop a caller's kept connection gets its next answer before
+// it is closed, and new connections are refused at once.
+func TestLastCallWaitsForOpenConnections(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -363,11 +359,9 @@
 	<-done
 }
 
-// A planned stop ends new connections first and shuts the server down after the
-// last call. The server then closes the listener as well, unless its own loop has
-// seen the end before: the process ended with status 1 although every request had
-// its answer.
-func TestShutdownAfterTheLastCallIsNoFailure(t *testing.T) {
+// Guards against a planned stop that fails because the server closes the
+// listener a second time.
+func TestCloseAfterLastCallReturnsNoError(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -19,26 +19,25 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// echo answers with the request's own body and objects to what the interface
-// should have refused.
-type echo struct{ t testing.TB }
+// echoDoer answers with the request's own body and fails the test if an invalid
+// request reaches it.
+type echoDoer struct{ t testing.TB }
 
-func (e echo) Do(_ context.Context, in Incoming) call.Outcome {
+func (e echoDoer) Do(_ context.Context, in Incoming) call.Outcome {
 	cfg := DefaultConfig()
 	if !validRequestID(in.RequestID) || in.Key != "" && !validKey(in.Key) || in.Service == "" || in.Operation == "" ||
 		in.Budget < 0 || in.Budget > cfg.MaxDeadline || int64(len(in.Body)) > cfg.MaxBody {
-		e.t.Errorf("not checked: %+v", in)
+		e.t.Errorf("invalid request reached Do: %+v", in)
 	}
 	return call.Outcome{Verdict: verdict.Ran, Status: http.StatusOK, Header: in.Header, Body: in.Body}
 }
 
-func (e echo) Mint(context.Context, string, string) (string, time.Duration, error) {
+func (e echoDoer) Mint(context.Context, string, string) (string, time.Duration, error) {
 	return "", 0, errors.New("none")
 }
 
-// FuzzBytes sends arbitrary bytes to the callers' interface. Whatever they
-// are, each answer is whole and says whether the request may have run, and the
-// connection ends.
+// FuzzBytes sends arbitrary bytes to the callers' interface. Each answer must
+// be complete and carry a verdict, and the connection must end.
 func FuzzBytes(f *testing.F) {
 	const call = "POST /call/s/o HTTP/1.1\r\nHost: x\r\n"
 	for _, seed := range []string{
@@ -58,36 +57,36 @@
 	}
 	cfg := DefaultConfig()
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		checkAnswers(t, talk(t, cfg, raw))
+		checkAnswers(t, serveBytes(t, cfg, raw))
 	})
 }
 
-// script is a connection whose caller sends raw, ends its side and reads all
-// that comes back. A fuzzer would run out of real ones.
-type script struct {
-	net.Conn // one end of a pipe, for deadlines and addresses
+// scriptedConn is a connection whose caller sends raw, closes its sending side
+// and reads all answers. Fuzzing would run out of real connections.
+type scriptedConn struct {
+	net.Conn // one end of a pipe; provides deadlines and addresses
 	raw      *bytes.Reader
 	answers  bytes.Buffer
 	closed   chan struct{}
 	once     sync.Once
 }
 
-func (c *script) Read(p []byte) (int, error)  { return c.raw.Read(p) }
-func (c *script) Write(p []byte) (int, error) { return c.answers.Write(p) }
+func (c *scriptedConn) Read(p []byte) (int, error)  { return c.raw.Read(p) }
+func (c *scriptedConn) Write(p []byte) (int, error) { return c.answers.Write(p) }
 
-func (c *script) Close() error {
+func (c *scriptedConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return nil
 }
 
-// oneConn is a listener that has one connection to give.
-type oneConn struct {
+// singleConnListener is a listener that accepts one connection.
+type singleConnListener struct {
 	net.Listener
-	conn *script
+	conn *scriptedConn
 	used bool
 }
 
-func (l *oneConn) Accept() (net.Conn, error) {
+func (l *singleConnListener) Accept() (net.Conn, error) {
 	if l.used {
 		<-l.conn.closed
 		return nil, net.ErrClosed
@@ -96,12 +95,12 @@
 	return l.conn, nil
 }
 
-func (l *oneConn) Close() error { return nil }
+func (l *singleConnListener) Close() error { return nil }
 
-func talk(t *testing.T, cfg Config, raw []byte) []byte {
+func serveBytes(t *testing.T, cfg Config, raw []byte) []byte {
 	pipe, _ := net.Pipe()
-	c := &script{Conn: pipe, raw: bytes.NewReader(raw), closed: make(chan struct{})}
-	NewServer(cfg, New(cfg, echo{t})).Serve(Listener(&oneConn{conn: c}))
+	c := &scriptedConn{Conn: pipe, raw: bytes.NewReader(raw), closed: make(chan struct{})}
+	NewServer(cfg, New(cfg, echoDoer{t})).Serve(Listener(&singleConnListener{conn: c}))
 	return c.answers.Bytes() // the server has closed the connection
 }
 
@@ -113,7 +112,7 @@
 		}
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
-			t.Fatalf("answer cannot be read: %v\n%q", err, answers)
+			t.Fatalf("cannot read answer: %v\n%q", err, answers)
 		}
 		if resp.StatusCode == http.StatusContinue {
 			continue
@@ -122,15 +121,15 @@
 			t.Fatalf("answer without a verdict\n%q", answers)
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			t.Fatalf("answer is not whole: %v\n%q", err, answers)
+			t.Fatalf("answer is incomplete: %v\n%q", err, answers)
 		}
 	}
 }
 
-// BenchmarkCall is reading one call and writing its answer, without connection
-// and without the call itself.
+// BenchmarkCall measures reading one call and writing its answer, without a
+// connection and without running the call.
 func BenchmarkCall(b *testing.B) {
-	h := New(DefaultConfig(), echo{b})
+	h := New(DefaultConfig(), echoDoer{b})
 	r := httptest.NewRequest(http.MethodPost, "/call/fieldlog/file?a=1", nil)
 	r.Header.Set("Content-Type", "text/plain")
 	r.Header.Set("Cassialoom-Deadline-Ms", "500")
--- a/entry/headers/headers.go
+++ b/entry/headers/headers.go
@@ -1,5 +1,5 @@
-// Package headers names the header fields that cassialoom speaks over HTTP and
-// decides which of the other fields travel with a call.
+// Package headers defines the HTTP header fields of cassialoom and decides
+// which other fields are forwarded with a call.
 package headers
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cassialoom/cassialoom/call"
 )
 
-// The fields of the callers' and of the backend servers' interface.
+// The fields of the interfaces for callers and for backend servers.
 const (
 	DeadlineMs     = "Cassialoom-Deadline-Ms"
 	Importance     = "Cassialoom-Importance"
@@ -24,18 +24,17 @@
 	RetryAfter     = "Retry-After"
 )
 
-// prefix marks the fields that belong to cassialoom: what a caller or a
-// backend server sets under it never travels further.
+// prefix marks the fields that belong to cassialoom. Fields with it that a
+// caller or a backend server sets are never forwarded.
 const prefix = "Cassialoom-"
 
-// xIdempotencyKey is listed with the hop-by-hop fields for the same reason as
-// IdempotencyKey.
+// xIdempotencyKey is not forwarded for the same reason as IdempotencyKey.
 const xIdempotencyKey = "X-Idempotency-Key"
 
-// hopByHop are the fields that concern one connection. The two key fields are
-// among them because net/http sends a request with either of them a second
-// time by itself when a connection breaks: a non-idempotent request could run
-// twice.
+// hopByHop holds the fields that are not forwarded because they concern one
+// connection. The two idempotency-key fields are included because net/http may
+// send a request with either of them again when a connection breaks, and a
+// non-idempotent request could run twice.
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Content-Length":      true,
@@ -53,14 +52,14 @@
 	xIdempotencyKey:       true,
 }
 
-// Collect returns the fields that travel with a call or an answer. It fails
-// when their names and values hold more than maxBytes.
+// Collect returns the fields of h that are forwarded with a call or an answer.
+// It fails if their names and values exceed maxBytes in total.
 func Collect(h http.Header, maxBytes int) ([]call.Field, error) {
 	dropped := connectionFields(h)
 	fields := make([]call.Field, 0, len(h))
 	size := 0
 	for name, values := range h {
-		if !travels(name) || dropped[name] {
+		if !forwardable(name) || dropped[name] {
 			continue
 		}
 		for _, v := range values {
@@ -74,21 +73,22 @@
 	return fields, nil
 }
 
-// Apply adds the fields that may travel to a request's h; a peer's message is
-// checked again, so that no node depends on another one's filter. A field that
-// cannot be written stays: net/http refuses the whole request, which must not
-// run without what its caller sent.
+// Apply adds the forwardable fields to the header h of a request. It filters
+// them again so that no node depends on the filter of another. Invalid fields
+// are kept: net/http refuses to send such a request, which must not run without
+// a field that its caller sent.
 func Apply(h http.Header, fields []call.Field) {
 	for _, f := range fields {
 		name := http.CanonicalHeaderKey(f.Name)
-		if travels(name) {
+		if forwardable(name) {
 			h[name] = append(h[name], f.Value)
 		}
 	}
 }
 
-// ApplyAnswer is Apply for an answer, without the fields that cannot be
-// written: the request has run, and its caller must be able to read the rest.
+// ApplyAnswer adds the forwardable fields to the header h of an answer, without
+// invalid ones: the request has run and its caller must be able to read the
+// rest.
 func ApplyAnswer(h http.Header, fields []call.Field) {
 	for _, f := range fields {
 		if validName(f.Name) && validValue(f.Value) {
@@ -97,21 +97,21 @@
 	}
 }
 
-// Valid reports whether a field can be written as it is.
+// Valid reports whether a field with this name and value is valid in HTTP.
 func Valid(name, value string) bool { return validName(name) && validValue(value) }
 
-// nameExtra are the characters besides letters and digits that a field's name
-// may have (RFC 9110, 5.6.2).
-const nameExtra = "!#$%&'*+-.^_`|~"
+// nameSymbols holds the characters other than letters and digits that a field
+// name may contain (RFC 9110, 5.6.2).
+const nameSymbols = "!#$%&'*+-.^_`|~"
 
-// validName and validValue keep out what would make the answer unreadable for
-// the caller: net/http writes a name or value as it is.
+// validName and validValue reject what would make an answer unreadable for the
+// caller, because net/http writes names and values unchanged.
 func validName(name string) bool {
 	for i := range len(name) {
 		c := name[i]
 		letter := 'a' <= c|0x20 && c|0x20 <= 'z'
 		digit := '0' <= c && c <= '9'
-		if !letter && !digit && !strings.ContainsRune(nameExtra, rune(c)) {
+		if !letter && !digit && !strings.ContainsRune(nameSymbols, rune(c)) {
 			return false
 		}
 	}
@@ -127,12 +127,12 @@
 	return true
 }
 
-func travels(name string) bool {
+func forwardable(name string) bool {
 	return !hopByHop[name] && !strings.HasPrefix(name, prefix)
 }
 
-// connectionFields returns the fields that the Connection field declares to
-// concern this connection only.
+// connectionFields returns the canonical names of the fields that the
+// Connection field declares as hop-by-hop.
 func connectionFields(h http.Header) map[string]bool {
 	values := h["Connection"]
 	if len(values) == 0 {
--- a/entry/listener.go
+++ b/entry/listener.go
@@ -15,45 +15,45 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// Listener wraps ln for a server from NewServer. net/http answers what it
-// cannot read as a request (malformed fields, a head that is too large) by
-// itself and without a verdict, and a head that does not arrive in time not at
-// all: the caller would have to take a request that reached no handler for one
-// that may have run. The connections of this listener add what is missing.
+// Listener wraps ln for a server from NewServer. net/http itself answers
+// malformed or oversized heads without a verdict, and closes the connection
+// without an answer if a head does not arrive in time. The caller would then
+// have to assume that the request may have run. The connections of this
+// listener add the missing verdicts.
 func Listener(ln net.Listener) *Connections { return &Connections{Listener: ln} }
 
-// Connections is a listener that knows how many of its connections are open.
+// Connections is a listener that counts its open connections.
 type Connections struct {
 	net.Listener
 	open   atomic.Int64
 	closed sync.Once
 }
 
-// Close implements net.Listener. It may be called again, as a server does that is
-// shut down after the last call: the error of the second close would be reported
-// as a failed stop.
+// Close implements net.Listener. Further calls do nothing and return nil:
+// http.Server.Shutdown closes the listener again after LastCall, and its error
+// would be reported as a failed stop.
 func (l *Connections) Close() (err error) {
 	l.closed.Do(func() { err = l.Listener.Close() })
 	return err
 }
 
-// lastCallPoll is the pause between two looks at the open connections.
-const lastCallPoll = 10 * time.Millisecond
+// drainPollInterval is the time between two checks of the open connections.
+const drainPollInterval = 10 * time.Millisecond
 
-// LastCall takes no new connections and waits, for a limited time, until the
-// callers have given up the ones that they keep. A server that is draining
-// answers each request with the end of its connection; one that is closed from
-// this side instead may just be carrying a request, whose caller then hears
-// nothing and cannot know whether it was taken.
+// LastCall stops accepting connections and waits until callers have closed the
+// open ones, at most for limit or until ctx ends. A draining server closes each
+// connection after its next answer. Closing idle connections from this side
+// instead could interrupt a request that is just being sent, whose caller could
+// not know whether it ran.
 func (l *Connections) LastCall(ctx context.Context, limit time.Duration) {
-	l.Close() // refuses new connections; there is nothing else to end
+	l.Close() // the error does not matter: no new connections are accepted
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for l.open.Load() > 0 {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(lastCallPoll):
+		case <-time.After(drainPollInterval):
 		}
 	}
 }
@@ -64,36 +64,36 @@
 		return nil, err
 	}
 	l.open.Add(1)
-	return &conn{Conn: c, of: l}, nil
+	return &conn{Conn: c, listener: l}, nil
 }
 
-// conn knows whether a handler has taken the request that is being read. Only
-// before that can an answer be net/http's own; that is enough to never touch
-// the bytes of a handler's answer.
+// conn records whether a handler has taken the current request. An answer
+// written before that is net/http's own and gets a verdict; answers of handlers
+// are not changed.
 type conn struct {
 	net.Conn
-	of      *Connections
-	closed  atomic.Bool
-	handled atomic.Bool
-	// begun says that a part of the next request has arrived.
-	begun atomic.Bool
+	listener *Connections
+	closed   atomic.Bool
+	handled  atomic.Bool
+	// receiving is set when a part of the next request has arrived.
+	receiving atomic.Bool
 }
 
 var (
-	statusLine = []byte("HTTP/1.")
-	endOfLine  = []byte("\r\n")
-	notRun     = []byte(headers.Verdict + ": " + verdict.NotRun.String() + "\r\n" +
+	statusLine   = []byte("HTTP/1.")
+	endOfLine    = []byte("\r\n")
+	notRunFields = []byte(headers.Verdict + ": " + verdict.NotRun.String() + "\r\n" +
 		headers.Reason + ": " + string(verdict.BadRequest) + "\r\n")
-	headTimedOut = []byte("HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+	headTimeoutAnswer = []byte("HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 )
 
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.begun.Store(true)
+		c.receiving.Store(true)
 	}
-	if errors.Is(err, os.ErrDeadlineExceeded) && c.begun.Load() && !c.handled.Load() {
-		c.Write(headTimedOut) // the connection is closed in any case
+	if errors.Is(err, os.ErrDeadlineExceeded) && c.receiving.Load() && !c.handled.Load() {
+		c.Write(headTimeoutAnswer) // the server closes the connection in any case
 	}
 	return n, err
 }
@@ -106,7 +106,7 @@
 	if !found {
 		return c.Conn.Write(p)
 	}
-	answer := bytes.Join([][]byte{line, endOfLine, notRun, rest}, nil)
+	answer := bytes.Join([][]byte{line, endOfLine, notRunFields, rest}, nil)
 	if _, err := c.Conn.Write(answer); err != nil {
 		return 0, err
 	}
@@ -116,13 +116,13 @@
 // Close implements net.Conn.
 func (c *conn) Close() error {
 	if !c.closed.Swap(true) {
-		c.of.open.Add(-1)
+		c.listener.open.Add(-1)
 	}
 	return c.Conn.Close()
 }
 
-// CloseWrite lets the server end its side first, so that a caller that still
-// sends gets to read its refusal.
+// CloseWrite closes the sending side of the connection. net/http uses it so
+// that a caller that is still sending can read its refusal.
 func (c *conn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -139,10 +139,11 @@
 	return ctx
 }
 
-// awaitRequest is told when a connection begins to wait for its next request.
-func awaitRequest(c net.Conn, state http.ConnState) {
+// resetWhenIdle is an http.Server.ConnState hook that prepares a connection for
+// its next request.
+func resetWhenIdle(c net.Conn, state http.ConnState) {
 	if own, ok := c.(*conn); ok && state == http.StateIdle {
-		own.begun.Store(false)
+		own.receiving.Store(false)
 		own.handled.Store(false)
 	}
 }
--- a/entry/read.go
+++ b/entry/read.go
@@ -20,14 +20,16 @@
 	maxRequestID = 128
 	maxKey       = 256
 	maxName      = 128
-	// requestIDBytes of randomness make a collision negligible.
+	// requestIDBytes is the number of random bytes in a minted request ID,
+	// enough to make a collision negligible.
 	requestIDBytes = 16
-	// firstRead is what is set aside for a body of unknown length.
-	firstRead = 4 << 10
+	// initialBuffer is the initial buffer in bytes for a body.
+	initialBuffer = 4 << 10
 )
 
-// read checks the head before the body: a request that is refused anyway is
-// refused at once. The request id is set also in a refusal.
+// read reads one request. It checks the head before the body so that invalid
+// requests are refused at once. The request ID is set also if the request is
+// refused.
 func read(cfg Config, w http.ResponseWriter, r *http.Request, now time.Time) (Incoming, *verdict.Error) {
 	in := Incoming{Received: now, Query: r.URL.RawQuery}
 	if refusal := readHead(cfg, r, &in); refusal != nil {
@@ -130,8 +132,8 @@
 	return nil
 }
 
-// single returns the value of a field that may stand once at most: of two
-// values, each reader on the way could take another one.
+// single returns the value of a field that may occur at most once. Repeated
+// fields are refused because different readers could use different values.
 func single(r *http.Request, name string) (value string, given bool, refusal *verdict.Error) {
 	values := r.Header[name]
 	switch len(values) {
@@ -183,7 +185,8 @@
 	return hex.EncodeToString(b[:])
 }
 
-// ReadBody reads the whole body, within the limit and in time.
+// ReadBody reads the complete body into in.Body, within MaxBody and before the
+// deadline of the request.
 func ReadBody(cfg Config, w http.ResponseWriter, r *http.Request, in *Incoming) *verdict.Error {
 	body, refusal := readWithin(w, r, cfg.MaxBody, in.Received.Add(bodyTimeout(cfg, in.Budget)))
 	if refusal != nil {
@@ -203,13 +206,14 @@
 	return cfg.BodyTimeout
 }
 
-// ReadSmall reads the body of a request that is no call.
+// ReadSmall reads the body of a request that is not a call, at most limit
+// bytes.
 func ReadSmall(cfg Config, w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *verdict.Error) {
 	return readWithin(w, r, limit, time.Now().Add(cfg.BodyTimeout))
 }
 
-// readWithin reads the whole body. A caller that stops halfway would otherwise
-// hold a goroutine and its memory for ever.
+// readWithin reads the complete body, at most limit bytes and before deadline,
+// so that a caller that stops sending does not hold a goroutine and its memory.
 func readWithin(w http.ResponseWriter, r *http.Request, limit int64, deadline time.Time) ([]byte, *verdict.Error) {
 	if r.ContentLength == 0 {
 		return nil, nil
@@ -220,28 +224,29 @@
 	rc := http.NewResponseController(w)
 	rc.SetReadDeadline(deadline)
 	body, err := readUpTo(r.Body, r.ContentLength, limit)
-	// The server goes on reading to notice that the caller went away; with
-	// the deadline left in place that read would fail and end the request.
+	// The server keeps reading to notice when the caller disconnects. With the
+	// deadline in place that read would fail and end the request's context.
 	rc.SetReadDeadline(time.Time{})
 	switch {
 	case errors.Is(err, errTooLarge):
 		return nil, tooLarge(limit)
 	case err != nil:
-		return nil, verdict.Refuse(verdict.BadRequest, "the body did not arrive whole: %d bytes came", len(body))
+		return nil, verdict.Refuse(verdict.BadRequest, "the body is incomplete: received %d bytes", len(body))
 	}
 	return body, nil
 }
 
 var errTooLarge = errors.New("body too large")
 
-// readUpTo reads to the end; size is -1 when it is not known.
+// readUpTo reads to the end of r. size is the expected length, -1 if unknown.
+// More than limit bytes give errTooLarge.
 func readUpTo(r io.Reader, size, limit int64) ([]byte, error) {
 	if size < 0 {
 		size = limit
 	}
-	// Memory follows what arrives: a caller that announces a large body and
-	// sends nothing holds no more than the first block.
-	buf := make([]byte, 0, min(size, firstRead)+1)
+	// Memory grows with the received data: a caller that announces a large body
+	// and sends nothing holds only the initial buffer.
+	buf := make([]byte, 0, min(size, initialBuffer)+1)
 	for {
 		n, err := r.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
@@ -259,7 +264,8 @@
 	}
 }
 
-// grow doubles the room, but for no more than size bytes and the end.
+// grow returns buf with doubled capacity, at most size bytes plus one for
+// detecting the end.
 func grow(buf []byte, size int64) []byte {
 	room := min(2*int64(len(buf)), size+1)
 	larger := make([]byte, len(buf), max(room, int64(len(buf))+1))
@@ -271,10 +277,10 @@
 	return verdict.Refuse(verdict.TooLarge, "the body is too large: at most %d bytes are allowed", limit)
 }
 
-// DropBody makes the server stop reading the request: it would otherwise wait
-// for the rest of a body that nobody needs, before the answer or after it. The
-// connection is closed after the answer, because the read that fails also ends
-// the context of every later request on it.
+// DropBody makes the server stop reading the request's body, for which it would
+// otherwise wait before or after the answer. The connection is closed after the
+// answer, because the failed read also ends the context of later requests on
+// it.
 func DropBody(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength == 0 {
 		return
--- a/entry/write.go
+++ b/entry/write.go
@@ -11,8 +11,9 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// failure is the body of an answer that is not the backend server's own.
-type failure struct {
+// errorBody is the JSON body of an answer that does not come from the backend
+// server.
+type errorBody struct {
 	Verdict      string         `json:"verdict"`
 	Reason       verdict.Reason `json:"reason"`
 	Detail       string         `json:"detail,omitempty"`
@@ -20,7 +21,7 @@
 	RequestID    string         `json:"request_id,omitempty"`
 }
 
-// write sends the outcome as one whole answer.
+// write sends the outcome as one complete answer.
 func write(cfg Config, w http.ResponseWriter, requestID string, out call.Outcome) {
 	if out.KeyHeld > 0 {
 		setMs(w.Header(), headers.KeyHeldMs, out.KeyHeld)
@@ -40,8 +41,8 @@
 	return &verdict.Error{Verdict: out.Verdict, Reason: out.Reason, Detail: out.Detail, RetryAfter: out.RetryAfter}
 }
 
-// finalStatus reports whether s can end an exchange; net/http panics on
-// others or would wait for more.
+// finalStatus reports whether s is a final HTTP status. net/http panics on
+// statuses out of range and treats 1xx as informational.
 func finalStatus(s int) bool { return s >= 200 && s <= 999 }
 
 func writeAnswer(cfg Config, w http.ResponseWriter, requestID string, out call.Outcome) {
@@ -55,7 +56,7 @@
 	Send(cfg, w, out.Status, out.Body)
 }
 
-// writeError sends an answer that is not the backend server's own.
+// writeError sends an answer that does not come from the backend server.
 func writeError(cfg Config, w http.ResponseWriter, status int, requestID string, e *verdict.Error) {
 	h := w.Header()
 	h.Set(headers.Verdict, e.Verdict.String())
@@ -66,7 +67,7 @@
 	if e.RetryAfter > 0 {
 		setRetryAfter(h, e.RetryAfter)
 	}
-	writeJSON(cfg, w, status, failure{
+	writeJSON(cfg, w, status, errorBody{
 		Verdict:      e.Verdict.String(),
 		Reason:       e.Reason,
 		Detail:       e.Detail,
@@ -75,19 +76,19 @@
 	})
 }
 
-// writeJSON sends v as one whole answer.
+// writeJSON sends v as one complete JSON answer.
 func writeJSON(cfg Config, w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		panic(http.ErrAbortHandler) // cut off rather than answer half
+		panic(http.ErrAbortHandler) // close the connection rather than send a partial answer
 	}
 	w.Header().Set("Content-Type", "application/json")
 	Send(cfg, w, status, append(body, '\n'))
 }
 
-// Send writes the whole answer and pushes it out at once. When that fails
-// halfway the connection is cut: an answer that ends early must not look
-// complete, and the announced length shows it as well.
+// Send writes the complete answer and flushes it. If that fails halfway it
+// aborts the handler, which closes the connection: a truncated answer must not
+// look complete.
 func Send(cfg Config, w http.ResponseWriter, status int, body []byte) {
 	if !bodyAllowed(status) {
 		body = nil
@@ -97,8 +98,8 @@
 	if cfg.Draining != nil && cfg.Draining() {
 		w.Header().Set("Connection", "close")
 	}
-	// A caller that stops reading would hold the answer for ever. The server
-	// lifts the deadline after the answer.
+	// A caller that stops reading must not hold the answer without limit. The
+	// server resets the deadline after the answer.
 	rc := http.NewResponseController(w)
 	rc.SetWriteDeadline(time.Now().Add(cfg.WriteTimeout))
 	w.WriteHeader(status)
@@ -119,7 +120,8 @@
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// setRetryAfter rounds up: a caller that comes back early is refused again.
+// setRetryAfter rounds up because a caller that retries too early is refused
+// again.
 func setRetryAfter(h http.Header, d time.Duration) {
 	h.Set(headers.RetryAfter, strconv.FormatInt(ceilDiv(d, time.Second), 10))
 	setMs(h, headers.RetryAfterMs, d)
