--- a/transport/config.go
+++ b/transport/config.go
@@ -45,8 +45,10 @@
 	// refused, so that installations which reach each other by mistake don't
 	// mix.
 	Cluster string
-	ID      wire.NodeID
-	Addr    string
+	// ID identifies this incarnation.
+	ID wire.NodeID
+	// Addr is the address at which this node accepts connections from peers.
+	Addr string
 	// DataCentre is sent to peers in the hello.
 	DataCentre string
 	// DialTimeout bounds the connection attempt and the exchange of hellos. It
--- a/verdict/reason.go
+++ b/verdict/reason.go
@@ -13,23 +13,36 @@
 	TooLarge         Reason = "too-large"
 	UnknownService   Reason = "unknown-service"
 	UnknownOperation Reason = "unknown-operation"
-	UndeclaredCall   Reason = "undeclared-call"
-	NoConfiguration  Reason = "no-configuration"
-	NoBackend        Reason = "no-backend"
-	Shed             Reason = "shed"
-	Deadline         Reason = "deadline"
-	Canceled         Reason = "canceled"
-	Draining         Reason = "draining"
-	Lost             Reason = "lost"
-	Incomplete       Reason = "incomplete-answer"
-	Poison           Reason = "poison"
-	Duplicate        Reason = "duplicate"
-	KeyInvalid       Reason = "key-invalid"
-	KeyExpired       Reason = "key-expired"
-	KeyHolderGone    Reason = "key-holder-gone"
-	KeyNotBound      Reason = "key-not-bound"
-	AnswerDropped    Reason = "answer-dropped"
-	TooDeep          Reason = "too-deep"
+	// UndeclaredCall: the calling operation does not declare the call.
+	UndeclaredCall  Reason = "undeclared-call"
+	NoConfiguration Reason = "no-configuration"
+	NoBackend       Reason = "no-backend"
+	// Shed: rejected because of overload.
+	Shed     Reason = "shed"
+	Deadline Reason = "deadline"
+	Canceled Reason = "canceled"
+	// Draining: the node is leaving.
+	Draining Reason = "draining"
+	// Lost: the connection ended without an answer.
+	Lost Reason = "lost"
+	// Incomplete: the answer is truncated or has no certain end.
+	Incomplete Reason = "incomplete-answer"
+	// Poison: requests with the same content crashed backend servers.
+	Poison Reason = "poison"
+	// Duplicate: too many copies of a request wait for the result of one.
+	Duplicate Reason = "duplicate"
+	// KeyInvalid: the idempotency key is malformed or was used for another request.
+	KeyInvalid Reason = "key-invalid"
+	// KeyExpired: the idempotency key is too old to know whether it was used.
+	KeyExpired Reason = "key-expired"
+	// KeyHolderGone: the node that remembers the idempotency key is not available.
+	KeyHolderGone Reason = "key-holder-gone"
+	// KeyNotBound: the idempotency key is not bound to this node.
+	KeyNotBound Reason = "key-not-bound"
+	// AnswerDropped: the request has run, but its answer is no longer stored.
+	AnswerDropped Reason = "answer-dropped"
+	// TooDeep: the chain of nested calls is too long.
+	TooDeep Reason = "too-deep"
 	// Unauthorized: the request's key belongs to no workspace.
 	Unauthorized Reason = "unauthorized"
 	// OverQuota: the workspace has used up its quota of requests.
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -18,14 +18,23 @@
 	KindCancel
 	KindMembership
 	KindConfig
+	// KindMint: request for an idempotency key.
 	KindMint
+	// KindMinted: answer to KindMint.
 	KindMinted
+	// KindPoison: notice about requests that may crash backend servers.
 	KindPoison
+	// KindRoutes: version or content of the routes in force.
 	KindRoutes
+	// KindOpened: the dialling end received the hello.
 	KindOpened
+	// KindLevels: admission levels.
 	KindLevels
+	// KindQuotaAsk: quota request to the node that owns the quota.
 	KindQuotaAsk
+	// KindQuotaAnswer: answer to KindQuotaAsk.
 	KindQuotaAnswer
+	// KindQuotaClaim: claim of a node to own quotas.
 	KindQuotaClaim
 )
 
