--- a/backend/backend_test.go
+++ b/backend/backend_test.go
@@ -263,7 +263,7 @@
 
 // A request without an answer before the deadline or cancellation may have run,
 // and is not reported as a crash.
-func TestSlowIsNoCrash(t *testing.T) {
+func TestSlowServerIsNotACrash(t *testing.T) {
 	is := is.New(t)
 	taken := make(chan bool, 2)
 	s := serve(t, func(_ *rawServer, c net.Conn, _ *http.Request) bool {
@@ -292,7 +292,7 @@
 
 // A request that cannot be sent has not run and never reaches the backend
 // server.
-func TestNotSent(t *testing.T) {
+func TestUnsentRequestIsNotRun(t *testing.T) {
 	is := is.New(t)
 	s := serve(t, func(_ *rawServer, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, completeAnswer)
--- a/entry/listener.go
+++ b/entry/listener.go
@@ -58,6 +58,7 @@
 	}
 }
 
+// Accept implements net.Listener.
 func (l *Connections) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
--- a/entry/read.go
+++ b/entry/read.go
@@ -51,7 +51,7 @@
 }
 
 func readRequestID(_ Config, r *http.Request, in *Incoming) *verdict.Error {
-	value, given, refusal := single(r, headers.RequestID)
+	value, given, refusal := singleValue(r, headers.RequestID)
 	switch {
 	case refusal != nil:
 		return refusal
@@ -79,7 +79,7 @@
 }
 
 func readBudget(cfg Config, r *http.Request, in *Incoming) *verdict.Error {
-	value, given, refusal := single(r, headers.DeadlineMs)
+	value, given, refusal := singleValue(r, headers.DeadlineMs)
 	if refusal != nil || !given {
 		return refusal
 	}
@@ -98,7 +98,7 @@
 }
 
 func readImportance(_ Config, r *http.Request, in *Incoming) *verdict.Error {
-	value, given, refusal := single(r, headers.Importance)
+	value, given, refusal := singleValue(r, headers.Importance)
 	if refusal != nil || !given {
 		return refusal
 	}
@@ -111,7 +111,7 @@
 }
 
 func readKey(_ Config, r *http.Request, in *Incoming) *verdict.Error {
-	value, given, refusal := single(r, headers.IdempotencyKey)
+	value, given, refusal := singleValue(r, headers.IdempotencyKey)
 	if refusal != nil || !given {
 		return refusal
 	}
@@ -132,9 +132,9 @@
 	return nil
 }
 
-// single returns the value of a field that may occur at most once. Repeated
+// singleValue returns the value of a field that may occur at most once. Repeated
 // fields are refused because different readers could use different values.
-func single(r *http.Request, name string) (value string, given bool, refusal *verdict.Error) {
+func singleValue(r *http.Request, name string) (value string, given bool, refusal *verdict.Error) {
 	values := r.Header[name]
 	switch len(values) {
 	case 0:
@@ -259,14 +259,14 @@
 			return buf, err
 		}
 		if len(buf) == cap(buf) {
-			buf = grow(buf, size)
+			buf = growBuffer(buf, size)
 		}
 	}
 }
 
-// grow returns buf with doubled capacity, at most size bytes plus one for
+// growBuffer returns buf with doubled capacity, at most size bytes plus one for
 // detecting the end.
-func grow(buf []byte, size int64) []byte {
+func growBuffer(buf []byte, size int64) []byte {
 	room := min(2*int64(len(buf)), size+1)
 	larger := make([]byte, len(buf), max(room, int64(len(buf))+1))
 	copy(larger, buf)
--- a/transport/conn.go
+++ b/transport/conn.go
@@ -116,7 +116,7 @@
 		return nil, fmt.Errorf("message of %d bytes: at most %d", len(data), wire.MaxMessageBytes)
 	}
 	d := &Delivery{}
-	if err := c.out.put(outgoing{data: data, delivery: d}); err != nil {
+	if err := c.out.put(queuedMessage{data: data, delivery: d}); err != nil {
 		return nil, err
 	}
 	return d, nil
--- a/transport/outbox.go
+++ b/transport/outbox.go
@@ -17,7 +17,7 @@
 // does not prove that the message arrived.
 func (d *Delivery) Written() bool { return d.written.Load() }
 
-type outgoing struct {
+type queuedMessage struct {
 	data     []byte
 	delivery *Delivery
 }
@@ -30,12 +30,13 @@
 // and shrinks with the queue because most connections are idle.
 type outbox struct {
 	limit int
-	// wake is signalled when the queue or closed changes. Its capacity of one
-	// is enough because the writer checks the queue again after each receive.
+	// wake is signalled when a message is queued or the outbox is closed. Its
+	// capacity of one is enough because the writer checks the queue again after
+	// each receive.
 	wake chan struct{}
 
 	mu     sync.Mutex
-	queue  []outgoing // queued messages start at head
+	queue  []queuedMessage // queued messages start at head
 	head   int
 	closed bool
 	// writing is set while a message returned by next is being written.
@@ -47,7 +48,7 @@
 }
 
 // put queues a message. After an error next never returns it.
-func (o *outbox) put(m outgoing) error {
+func (o *outbox) put(m queuedMessage) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed {
@@ -70,7 +71,7 @@
 // takes: otherwise a closed connection could report "not written" while its
 // writer is about to write the message, and a caller could be told "not run"
 // about a call that runs.
-func (o *outbox) next() (m outgoing, ok bool) {
+func (o *outbox) next() (m queuedMessage, ok bool) {
 	for {
 		if m, ok, closed := o.tryNext(); ok || closed {
 			return m, ok
@@ -79,16 +80,16 @@
 	}
 }
 
-func (o *outbox) tryNext() (m outgoing, ok, closed bool) {
+func (o *outbox) tryNext() (m queuedMessage, ok, closed bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.writing = false
 	if o.closed || o.head == len(o.queue) {
-		return outgoing{}, false, o.closed
+		return queuedMessage{}, false, o.closed
 	}
 	o.writing = true
 	m = o.queue[o.head]
-	o.queue[o.head] = outgoing{}
+	o.queue[o.head] = queuedMessage{}
 	o.head++
 	if o.head == len(o.queue) {
 		o.reset()
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -148,7 +148,7 @@
 
 // Guards against a call that is reported as not written when its connection
 // closes, but that the writer still sends.
-func TestNothingIsWrittenAfterDone(t *testing.T) {
+func TestNothingIsWrittenAfterClose(t *testing.T) {
 	is := is.New(t)
 	b := startPeer(t, "c")
 	cfg := DefaultConfig()
@@ -208,7 +208,7 @@
 	next := byte(0) // oldest queued message
 	for n := range byte(100) {
 		d := &Delivery{}
-		for o.put(outgoing{data: []byte{n}, delivery: d}) != nil {
+		for o.put(queuedMessage{data: []byte{n}, delivery: d}) != nil {
 			m, ok := o.next()
 			is.True(ok)
 			is.True(m.delivery.Written())
--- a/wire/fuzz_test.go
+++ b/wire/fuzz_test.go
@@ -13,8 +13,8 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// examples holds one message of every kind that another package defines, with
-// all its fields set.
+// examples holds messages that other packages define, by kind. They are the
+// seeds of the fuzzer and give the type to decode a kind into.
 var examples = map[wire.Kind]any{
 	wire.KindHello: transport.Hello{Cluster: "c", Version: 1, ID: wire.NodeID{1}, Addr: "127.0.0.1:1"},
 	wire.KindCall: call.Request{From: wire.NodeID{1}, Seq: 1, To: wire.NodeID{2}, RequestID: "r", Service: "s", Operation: "o",
