--- a/internal/replay/ablation_test.go
+++ b/internal/replay/ablation_test.go
@@ -9,10 +9,11 @@
 	"github.com/cassialoom/cassialoom/serve"
 )
 
-// without lists the mechanisms of the decision, each switched off alone.
-func without() []Policy {
+// ablations lists the production policy and variants of it, each with one mechanism
+// switched off.
+func ablations() []Policy {
 	return []Policy{
-		Ours(),
+		Production(),
 		variant("levels at the entry", func(p *Policy) { p.Dispatch.NoAdmission = true }),
 		variant("less time first", func(p *Policy) { p.Serve.Queue.SoonerShare = 0 }),
 		variant("windows of attempts", func(p *Policy) { p.Dispatch.Budget.Window = 0 }),
@@ -27,25 +28,25 @@
 	}
 }
 
-// Prints what each mechanism is worth: served of all requests in the trouble, of the
-// most important, and the share of the tries let in that broke.
+// Prints the effect of each mechanism: the share of requests served under stress, by
+// class and in total, and the share of admitted tries that failed.
 func TestAblation(t *testing.T) {
 	if os.Getenv("ABLATION") == "" {
-		t.Skip("by hand, with ABLATION=1")
+		t.Skip("set ABLATION=1 to run")
 	}
 	for _, d := range []Deployment{Council(), Savukartta(), Hallwyl()} {
-		for name, trouble := range map[string]func(*Phase){
+		for name, condition := range map[string]func(*Phase){
 			"twice the slots asked for": func(p *Phase) { p.Load = 2 },
-			"two of three lost":         func(p *Phase) { p.Load, p.Lost = 0.8, 2 },
-			"one slow":                  func(p *Phase) { p.Load, p.Slow = 0.8, 6 },
-			"half declined":             func(p *Phase) { p.Load, p.Decline = 0.6, 0.55 },
+			"two of three lost":         func(p *Phase) { p.Load, p.LostServers = 0.8, 2 },
+			"one slow":                  func(p *Phase) { p.Load, p.SlowFactor = 0.8, 6 },
+			"half declined":             func(p *Phase) { p.Load, p.RejectShare = 0.6, 0.55 },
 		} {
-			for _, p := range without() {
+			for _, p := range ablations() {
 				t.Run(d.Name+"/"+name+"/"+p.Name, func(t *testing.T) {
 					t.Parallel()
-					day := burst(d, 1)
-					trouble(&day.Phases[1])
-					plays(t, day, p)
+					scenario := burst(d, 1)
+					condition(&scenario.Phases[1])
+					runTwice(t, scenario, p)
 				})
 			}
 		}
--- a/internal/replay/backend.go
+++ b/internal/replay/backend.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// usualSpread is the coefficient of variation of the work of one class, as stated
-// for most classes of the deployments.
-const usualSpread = 0.5
+// defaultSpread is the coefficient of variation of the work of a class that states
+// none.
+const defaultSpread = 0.5
 
-// backend models one backend server. Its methods block in modelled time.
+// backend models one backend server. Its methods block in simulated time.
 type backend struct {
 	service *Service
 	speed   float64
@@ -22,30 +22,32 @@
 	rng     *rand.Rand
 	busy    int
 	waiting []chan struct{}
-	// slow multiplies all work, decline is the share of requests that are
-	// turned away without having run; gone takes none and answers none.
-	slow, decline float64
-	gone          bool
-	// mute is the share of requests that it does not answer, errors of those that
-	// it answers with a failure.
-	mute, errors float64
+	// slowFactor multiplies all work. rejectShare is the share of requests that are
+	// rejected before they run. A stopped backend server accepts and answers no
+	// request.
+	slowFactor, rejectShare float64
+	stopped                 bool
+	// silentShare is the share of requests that get no answer; errorShare is the share
+	// that are answered with a failure.
+	silentShare, errorShare float64
 }
 
 func newBackend(s *Service, speed float64, seed uint64) *backend {
-	return &backend{service: s, speed: speed, slow: 1, rng: rand.New(rand.NewPCG(seed, 7))}
+	return &backend{service: s, speed: speed, slowFactor: 1, rng: rand.New(rand.NewPCG(seed, 7))}
 }
 
-// set changes the backend server's condition.
-func (b *backend) set(change func(*backend)) {
+// update changes the condition of the backend server.
+func (b *backend) update(change func(*backend)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change(b)
 }
 
-// take waits for a slot; false if the request is declined or its context ends.
-func (b *backend) take(ctx context.Context) bool {
+// acquireSlot waits for a free slot. It returns false if the request is rejected or
+// ctx ends first.
+func (b *backend) acquireSlot(ctx context.Context) bool {
 	b.mu.Lock()
-	if b.gone || b.rng.Float64() < b.decline {
+	if b.stopped || b.rng.Float64() < b.rejectShare {
 		b.mu.Unlock()
 		return false
 	}
@@ -58,35 +60,35 @@
 		b.mu.Unlock()
 		return false
 	}
-	turn := make(chan struct{})
-	b.waiting = append(b.waiting, turn)
+	granted := make(chan struct{})
+	b.waiting = append(b.waiting, granted)
 	b.mu.Unlock()
 	select {
-	case <-turn:
+	case <-granted:
 		return true
 	case <-ctx.Done():
-		return b.abandon(turn)
+		return b.leaveBacklog(granted)
 	}
 }
 
-// abandon takes a request out of the backlog. Its turn may just have come: then it
-// holds a slot, which goes to the next.
-func (b *backend) abandon(turn chan struct{}) bool {
+// leaveBacklog removes a request from the backlog. If the request has received a slot
+// in the meantime, the slot goes to the next request.
+func (b *backend) leaveBacklog(granted chan struct{}) bool {
 	b.mu.Lock()
-	for i, w := range b.waiting {
-		if w == turn {
+	for i, waiter := range b.waiting {
+		if waiter == granted {
 			b.waiting = append(b.waiting[:i:i], b.waiting[i+1:]...)
 			b.mu.Unlock()
 			return false
 		}
 	}
 	b.mu.Unlock()
-	b.leave()
+	b.releaseSlot()
 	return false
 }
 
-// leave frees a slot.
-func (b *backend) leave() {
+// releaseSlot passes the slot to the next request of the backlog, or frees it.
+func (b *backend) releaseSlot() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.waiting) == 0 {
@@ -97,42 +99,42 @@
 	b.waiting = b.waiting[1:]
 }
 
-// work is the time that a piece of work of a class takes now.
+// work draws the time that a request of class c takes at the current load.
 func (b *backend) work(c *Class) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	took := c.Work.Seconds() * b.slow / b.speed * b.lognormal(cmp.Or(c.Spread, usualSpread))
+	took := c.Work.Seconds() * b.slowFactor / b.speed * b.lognormal(cmp.Or(c.Spread, defaultSpread))
 	if b.service.Knee > 0 && float64(b.busy) > b.service.Knee*float64(b.service.Slots) {
 		took *= b.service.KneeFactor
 	}
 	return time.Duration(took * float64(time.Second))
 }
 
-// ending is how a backend server ends a piece of work.
-type ending uint8
+// workResult is how the work of a backend server on a request ends.
+type workResult uint8
 
 const (
-	answers ending = iota
-	silent
-	fails
+	workSucceeds workResult = iota
+	workSilent
+	workFails
 )
 
-// end draws how the next piece of work ends.
-func (b *backend) end() ending {
+// drawResult draws the result of the next request.
+func (b *backend) drawResult() workResult {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	x := b.rng.Float64()
 	switch {
-	case x < b.mute:
-		return silent
-	case x < b.mute+b.errors:
-		return fails
+	case x < b.silentShare:
+		return workSilent
+	case x < b.silentShare+b.errorShare:
+		return workFails
 	default:
-		return answers
+		return workSucceeds
 	}
 }
 
-// lognormal has a mean of one and the given coefficient of variation.
+// lognormal draws a value with a mean of one and the given coefficient of variation.
 func (b *backend) lognormal(spread float64) float64 {
 	sigma2 := math.Log(1 + spread*spread)
 	return math.Exp(math.Sqrt(sigma2)*b.rng.NormFloat64() - sigma2/2)
--- a/internal/replay/caller.go
+++ b/internal/replay/caller.go
@@ -12,61 +12,61 @@
 )
 
 const (
-	// usualReturns is how often a caller tries again at most.
-	usualReturns = 3
-	// heedShare of the time left is the longest that a caller waits when it is
-	// told when to come back.
-	heedShare = 1.0 / 3
-	// hardPause is the pause of a caller that does not heed.
-	hardPause = 20 * time.Millisecond
-	// backoff is the pause after a failure that names no time.
+	// defaultMaxRetries is how often a caller retries a request at most.
+	defaultMaxRetries = 3
+	// maxRetryAfterShare is the share of the remaining deadline that a compliant
+	// caller waits at most when a refusal names a time to retry.
+	maxRetryAfterShare = 1.0 / 3
+	// eagerPause is the pause of a caller that ignores Retry-After.
+	eagerPause = 20 * time.Millisecond
+	// backoff is the pause after a failure that names no time to retry.
 	backoff = 100 * time.Millisecond
 )
 
 // request is one request of a caller with all its tries.
 type request struct {
-	world *world
-	class *Class
-	phase int
-	start time.Time
-	hard  bool
-	rng   *rand.Rand
+	simulation *simulation
+	class      *Class
+	phase      int
+	start      time.Time
+	eager      bool
+	rng        *rand.Rand
 }
 
 func (r *request) send() {
 	deadline := r.start.Add(r.class.Deadline)
-	returns := cmp.Or(r.class.Returns, usualReturns)
+	maxRetries := cmp.Or(r.class.MaxRetries, defaultMaxRetries)
 	for try := 0; ; try++ {
-		id := fmt.Sprint("r", r.world.nextID())
-		n := r.world.all[r.rng.IntN(len(r.world.all))]
+		id := fmt.Sprint("r", r.simulation.nextID())
+		n := r.simulation.nodeList[r.rng.IntN(len(r.simulation.nodeList))]
 		ctx, stop := context.WithDeadline(context.Background(), deadline)
 		out := n.enter(ctx, r.class, id, deadline)
 		stop()
 		if out.Verdict == verdict.Ran && out.Status == statusOK && time.Now().Before(deadline) {
-			r.world.report.good(r, id)
+			r.simulation.report.succeeded(r, id)
 			return
 		}
-		r.world.report.bad(out, try)
-		pause, again := r.pause(out, time.Until(deadline))
-		if !again || try == returns {
+		r.simulation.report.failed(out, try)
+		pause, retry := r.pause(out, time.Until(deadline))
+		if !retry || try == maxRetries {
 			return
 		}
 		time.Sleep(pause)
 	}
 }
 
-// pause is how long the caller waits for its next try. A request that is not
-// idempotent is only sent again if it has not run.
-func (r *request) pause(out call.Outcome, left time.Duration) (time.Duration, bool) {
+// pause returns the time to wait before the next try, and whether there is one. A
+// request that is not idempotent is retried only if it has not run.
+func (r *request) pause(out call.Outcome, remaining time.Duration) (time.Duration, bool) {
 	if out.Verdict != verdict.NotRun && !r.class.Idempotent {
 		return 0, false
 	}
 	wait := backoff
 	switch {
-	case r.hard:
-		wait = hardPause
+	case r.eager:
+		wait = eagerPause
 	case out.RetryAfter > 0:
-		wait = min(out.RetryAfter, time.Duration(heedShare*float64(left)))
+		wait = min(out.RetryAfter, time.Duration(maxRetryAfterShare*float64(remaining)))
 	}
-	return wait, wait < left
+	return wait, wait < remaining
 }
--- a/internal/replay/day.go
+++ b/internal/replay/day.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// Phase is a time with a steady load and steady troubles at the deepest service.
+// Phase is a period with a constant load and constant faults at the bottleneck
+// service.
 type Phase struct {
-	Name string
-	For  time.Duration
-	// Load is a multiple of what fills the deepest service.
+	Name     string
+	Duration time.Duration
+	// Load is a multiple of the request rate that fills the bottleneck service.
 	Load float64
-	// Slow multiplies the work of its first backend server, Decline is the
-	// share that all of them turn away, and Lost of them are gone for good.
-	Slow    float64
-	Decline float64
-	Lost    int
-	// Grey of its backend servers do not answer the share Mute of their requests
-	// and answer the share Errors with a failure, though all look healthy.
-	Grey   int
-	Mute   float64
-	Errors float64
+	// SlowFactor multiplies the work of the first backend server. RejectShare is the
+	// share of requests that every backend server rejects. The first LostServers
+	// backend servers stop and don't return.
+	SlowFactor  float64
+	RejectShare float64
+	LostServers int
+	// The first FaultyServers backend servers leave the share SilentShare of their
+	// requests without an answer and answer the share ErrorShare with a failure. Their
+	// health checks pass.
+	FaultyServers int
+	SilentShare   float64
+	ErrorShare    float64
 }
 
-// Day is one run.
-type Day struct {
+// Scenario is the input of one run.
+type Scenario struct {
 	Deployment Deployment
 	Phases     []Phase
-	// Hard is the share of callers that come back at once, whatever they are
-	// told.
-	Hard float64
-	Seed uint64
+	// EagerShare is the share of callers that ignore Retry-After and retry at once.
+	EagerShare float64
+	Seed       uint64
 }
--- a/internal/replay/members.go
+++ b/internal/replay/members.go
@@ -8,7 +8,7 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// members is the view that all nodes share of who takes work.
+// members is the membership view that all nodes share.
 type members struct {
 	mu         sync.Mutex
 	candidates map[string][]balancer.Candidate
@@ -22,19 +22,20 @@
 	return m.candidates[service], m.version
 }
 
-// Known implements dispatch.Members; no node ends.
+// Known implements dispatch.Members. Nodes never stop.
 func (m *members) Known(wire.NodeID) bool { return true }
 
-func (m *members) join(service, centre string, id wire.NodeID) {
+// add adds a backend server to the candidates of its service.
+func (m *members) add(service, centre string, id wire.NodeID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.candidates[service] = append(m.candidates[service], balancer.Candidate{ID: id, DataCentre: centre})
 	m.version++
 }
 
-// leave takes a backend server out of service: its node has told the others, as
-// after a planned stop or a missed heartbeat.
-func (m *members) leave(service string, id wire.NodeID) {
+// remove takes a backend server out of service, as after a planned stop or a missed
+// heartbeat.
+func (m *members) remove(service string, id wire.NodeID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.candidates[service] = slices.DeleteFunc(slices.Clone(m.candidates[service]), func(c balancer.Candidate) bool { return c.ID == id })
--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -19,26 +19,26 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// node is one node with its backend server. It does what package node does with
-// the decisions of serve and dispatch, without a network.
+// node is one node with its backend server. It applies the decisions of serve and
+// dispatch as package node does, without a network.
 type node struct {
-	world    *world
-	id       wire.NodeID
-	service  *Service
-	centre   string
-	backend  *backend
-	dispatch *dispatch.Dispatcher
+	simulation *simulation
+	id         wire.NodeID
+	service    *Service
+	centre     string
+	backend    *backend
+	dispatch   *dispatch.Dispatcher
 
-	// arrived counts attempts sent here, refused ones too.
-	arrived atomic.Int64
+	// attempts counts the attempts sent to this node, including refused ones.
+	attempts atomic.Int64
 
 	mu     sync.Mutex
 	callee *serve.Server
-	// running are the tasks at the backend server, by task.
+	// running holds the tasks at the backend server by task ID.
 	running map[uint64]*run
-	// book holds what requests that entered here have reached, calls the same
-	// of the backend server's own calls.
-	book, calls *reach.Book
+	// entryReach holds the services that requests entering here reach; callReach
+	// holds those that the backend server's own calls reach.
+	entryReach, callReach *reach.Book
 }
 
 // run is one task at the backend server.
@@ -51,56 +51,56 @@
 	used        []call.Use
 }
 
-// rest is what a node keeps of its decisions here; nobody reads it.
-var rest = explain.Config{Notable: 1, Ordinary: 1}
+// minimalExplain limits the records of decisions, which nothing reads here.
+var minimalExplain = explain.Config{Notable: 1, Ordinary: 1}
 
-func newNode(w *world, s *Service, speed float64, centre string, id wire.NodeID) *node {
+func newNode(w *simulation, s *Service, speed float64, centre string, id wire.NodeID) *node {
 	n := &node{
-		world: w, id: id, service: s, centre: centre,
-		backend: newBackend(s, speed, w.seed()),
-		running: make(map[uint64]*run),
-		book:    reach.New(reach.DefaultConfig()),
-		calls:   reach.New(reach.DefaultConfig()),
+		simulation: w, id: id, service: s, centre: centre,
+		backend:    newBackend(s, speed, w.nextSeed()),
+		running:    make(map[uint64]*run),
+		entryReach: reach.New(reach.DefaultConfig()),
+		callReach:  reach.New(reach.DefaultConfig()),
 	}
 	dc := w.policy.Dispatch
-	dc.Self, dc.Seed, dc.DataCentre = id, w.seed(), centre
-	n.dispatch = dispatch.New(dc, linker{n}, w.members, explain.New(rest))
+	dc.Self, dc.Seed, dc.DataCentre = id, w.nextSeed(), centre
+	n.dispatch = dispatch.New(dc, linker{n}, w.members, explain.New(minimalExplain))
 	sc := w.policy.Serve
-	sc.Self, sc.Service, sc.Seed = id, s.Name, w.seed()
+	sc.Self, sc.Service, sc.Seed = id, s.Name, w.nextSeed()
 	now := time.Now()
 	n.callee = serve.New(sc, [once.SecretLen]byte{}, now)
 	n.callee.SetReady(now, true)
-	if !w.policy.Blind {
+	if !w.policy.HideSlots {
 		n.callee.SetSlots(now, s.Slots)
 	}
 	return n
 }
 
-// linker finds the way to other nodes.
+// linker implements dispatch.Linker with simulated connections.
 type linker struct{ n *node }
 
 // Link implements dispatch.Linker.
 func (l linker) Link(_ context.Context, id wire.NodeID) (dispatch.Link, error) {
-	return link{from: l.n, to: l.n.world.nodes[id]}, nil
+	return link{from: l.n, to: l.n.simulation.nodes[id]}, nil
 }
 
-// link is a connection that never ends.
+// link is a simulated connection. It never breaks.
 type link struct{ from, to *node }
 
 func (l link) delay() time.Duration {
 	if l.from == l.to {
 		return 0
 	}
-	d := l.from.world.deployment
-	if d.Near > 0 && l.from.centre == l.to.centre {
-		return d.Near
+	d := l.from.simulation.deployment
+	if d.LocalDelay > 0 && l.from.centre == l.to.centre {
+		return d.LocalDelay
 	}
 	return d.Delay
 }
 
 func (l link) Call(req call.Request) (func() bool, error) {
 	if l.from.centre != l.to.centre {
-		l.from.world.report.far.Add(1)
+		l.from.simulation.report.remoteAttempts.Add(1)
 	}
 	time.AfterFunc(l.delay(), func() { l.to.arrive(req) })
 	return func() bool { return true }, nil
@@ -108,7 +108,7 @@
 
 func (l link) Cancel(c call.Cancel) {
 	time.AfterFunc(l.delay(), func() {
-		l.to.do(func(now time.Time, s *serve.Server) serve.Effects { return s.Cancel(now, c) })
+		l.to.apply(func(now time.Time, s *serve.Server) serve.Effects { return s.Cancel(now, c) })
 	})
 }
 
@@ -124,10 +124,10 @@
 	})
 }
 
-// enter takes a caller's request.
+// enter handles a request of a caller.
 func (n *node) enter(ctx context.Context, c *Class, id string, deadline time.Time) call.Outcome {
-	op := n.world.operations[c]
-	patience := time.Until(deadline)
+	op := n.simulation.operations[c]
+	remaining := time.Until(deadline)
 	if c.Timeout > 0 {
 		if limit := time.Now().Add(c.Timeout); limit.Before(deadline) {
 			deadline = limit
@@ -135,12 +135,12 @@
 	}
 	p := dispatch.Params{
 		RequestID: id, Operation: op, Importance: c.Importance, Deadline: deadline,
-		Ledger: retry.New(uint32(op.ExtraAttempts)), Fanout: 1, Entering: true, Patience: patience,
+		Ledger: retry.New(uint32(op.ExtraAttempts)), Fanout: 1, Entering: true, Patience: remaining,
 		Reach: n.reach(c),
 	}
 	out := n.dispatch.Call(ctx, p)
 	if out.Verdict == verdict.Ran {
-		n.learn(c, call.Names(out.Used))
+		n.learnReach(c, call.Names(out.Used))
 	}
 	return out
 }
@@ -148,41 +148,41 @@
 func (n *node) reach(c *Class) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.book.Reach(c.Name)
+	return n.entryReach.Reach(c.Name)
 }
 
-func (n *node) learn(c *Class, reached []string) {
+func (n *node) learnReach(c *Class, reached []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.book.Learn(time.Now(), c.Name, append(reached, c.Service))
+	n.entryReach.Learn(time.Now(), c.Name, append(reached, c.Service))
 }
 
-// call makes a call for a task; false if it failed.
+// call makes a call for a task and reports whether it succeeded.
 func (n *node) call(r *run, c *Class) bool {
-	op := n.world.operations[c]
+	op := n.simulation.operations[c]
 	req := &r.task.Request
 	deadline := time.Now().Add(c.Deadline)
 	if r.task.Deadline.Before(deadline) {
 		deadline = r.task.Deadline
 	}
 	out := n.dispatch.Call(r.ctx, dispatch.Params{
-		RequestID: n.world.nextID(), Operation: op, Importance: req.Importance, Deadline: deadline,
+		RequestID: n.simulation.nextID(), Operation: op, Importance: req.Importance, Deadline: deadline,
 		Ledger: retry.New(uint32(op.ExtraAttempts)), Fanout: 1,
 		Root: req.RootID(), Bars: req.Bars, Admitted: true, Repeat: req.Repeat, Depth: req.Depth + 1,
 	})
 	n.used(r, c.Service, out)
-	n.world.report.called(c.Service, out)
+	n.simulation.report.callEnded(c.Service, out)
 	return out.Verdict == verdict.Ran && out.Status == statusOK
 }
 
-// used notes what a call of the backend server has reached and used.
+// used records the services that a call of the backend server reached and used.
 func (n *node) used(r *run, service string, out call.Outcome) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r.used = out.AddUses(r.used, service)
 	r.callsFailed = r.callsFailed || !out.Served()
-	if n.calls.Learn(time.Now(), "", call.Names(r.used)) {
-		n.dispatch.PassOn(n.calls.Reach(""))
+	if n.callReach.Learn(time.Now(), "", call.Names(r.used)) {
+		n.dispatch.PassOn(n.callReach.Reach(""))
 	}
 }
 
@@ -192,15 +192,15 @@
 )
 
 func (n *node) arrive(req call.Request) {
-	c := n.world.classes[req.Operation]
-	n.arrived.Add(1)
-	n.do(func(now time.Time, s *serve.Server) serve.Effects {
-		return s.Arrive(now, req, n.world.operations[c], true)
+	c := n.simulation.classes[req.Operation]
+	n.attempts.Add(1)
+	n.apply(func(now time.Time, s *serve.Server) serve.Effects {
+		return s.Arrive(now, req, n.simulation.operations[c], true)
 	})
 }
 
-// do calls f on the callee's decisions and does what follows.
-func (n *node) do(f func(now time.Time, s *serve.Server) serve.Effects) {
+// apply runs f on the callee's state and carries out the effects.
+func (n *node) apply(f func(now time.Time, s *serve.Server) serve.Effects) {
 	now := time.Now()
 	n.mu.Lock()
 	e := f(now, n.callee)
@@ -211,31 +211,31 @@
 	}
 	var started []*run
 	for _, t := range e.Start {
-		r := &run{task: t, class: n.world.classes[t.Request.Operation]}
+		r := &run{task: t, class: n.simulation.classes[t.Request.Operation]}
 		r.ctx, r.stop = context.WithDeadline(context.Background(), t.Deadline)
 		n.running[t.ID] = r
 		started = append(started, r)
 	}
-	own := n.callee.Level(now)
+	ownLevel := n.callee.Level(now)
 	n.mu.Unlock()
 	for _, r := range started {
 		go n.run(r)
 	}
 	for _, r := range e.Replies {
-		n.reply(now, r, own)
+		n.reply(now, r, ownLevel)
 	}
 }
 
-func (n *node) reply(now time.Time, r call.Reply, own uint16) {
+func (n *node) reply(now time.Time, r call.Reply, ownLevel uint16) {
 	r.Levels = n.dispatch.Levels(now)
-	if own > 0 {
-		r.Levels = append(r.Levels, call.Level{Service: n.service.Name, Priority: own})
+	if ownLevel > 0 {
+		r.Levels = append(r.Levels, call.Level{Service: n.service.Name, Priority: ownLevel})
 	}
-	to := n.world.nodes[r.To]
+	to := n.simulation.nodes[r.To]
 	time.AfterFunc(link{from: n, to: to}.delay(), func() { to.dispatch.Reply(n.id, r) })
 }
 
-// run has the backend server work on a task.
+// run runs a task at the backend server.
 func (n *node) run(r *run) {
 	defer r.stop()
 	started := time.Now()
@@ -246,34 +246,35 @@
 	result.Used = r.used
 	result.CallsFailed = r.callsFailed
 	n.mu.Unlock()
-	n.do(func(now time.Time, s *serve.Server) serve.Effects { return s.Done(now, r.task.ID, result) })
+	n.apply(func(now time.Time, s *serve.Server) serve.Effects { return s.Done(now, r.task.ID, result) })
 }
 
 func (n *node) work(r *run) serve.Result {
-	if !n.backend.take(r.ctx) {
+	if !n.backend.acquireSlot(r.ctx) {
 		return serve.Result{Verdict: verdict.NotRun, Reason: verdict.Shed, Offered: true}
 	}
-	held := time.Now()
+	acquired := time.Now()
 	ok := pause.For(r.ctx, n.backend.work(r.class)) && n.callAll(r)
-	n.backend.leave()
-	n.world.report.used(n.service, r.task.Request.RootID(), time.Since(held))
+	n.backend.releaseSlot()
+	n.simulation.report.addSlotTime(n.service, r.task.Request.RootID(), time.Since(acquired))
 	if !ok {
 		return serve.Result{Verdict: verdict.Ran, Status: statusFailed}
 	}
-	switch n.backend.end() {
-	case silent:
+	switch n.backend.drawResult() {
+	case workSilent:
 		<-r.ctx.Done()
 		return serve.Result{Verdict: verdict.MayHaveRun, Reason: verdict.Deadline}
-	case fails:
+	case workFails:
 		return serve.Result{Verdict: verdict.Ran, Status: statusFailed}
 	default:
 		return serve.Result{Verdict: verdict.Ran, Status: statusOK}
 	}
 }
 
-// callAll makes the calls of a task until one fails.
+// callAll makes the calls of a task. It stops at the first failure unless the calls
+// are concurrent.
 func (n *node) callAll(r *run) bool {
-	if !r.class.Together {
+	if !r.class.Concurrent {
 		for _, c := range r.class.Calls {
 			if !n.call(r, c) {
 				return false
@@ -281,13 +282,13 @@
 		}
 		return true
 	}
-	ended := make(chan bool, len(r.class.Calls))
+	results := make(chan bool, len(r.class.Calls))
 	for _, c := range r.class.Calls {
-		go func() { ended <- n.call(r, c) }()
+		go func() { results <- n.call(r, c) }()
 	}
 	ok := true
 	for range r.class.Calls {
-		ok = <-ended && ok
+		ok = <-results && ok
 	}
 	return ok
 }
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -10,35 +10,36 @@
 	"github.com/cassialoom/cassialoom/serve"
 )
 
-// Policy is what the nodes do about load.
+// Policy is the overload policy of the nodes.
 type Policy struct {
 	Name     string
 	Serve    serve.Config
 	Dispatch dispatch.Config
-	// Blind nodes do not know the slots of their backend servers.
-	Blind bool
+	// HideSlots withholds the slots of the backend servers from their nodes, which then
+	// derive a limit from latencies.
+	HideSlots bool
 }
 
-// bounds of extra attempts on both deployments: a fifth of the requests, and the
-// slack of a window.
+// bounds limits the extra attempts in all deployments.
 var bounds = platform.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 60}
 
-// Ours is the policy that runs on the platform.
-func Ours() Policy {
+// Production returns the policy of the platform.
+func Production() Policy {
 	cfg := production.DefaultConfig()
 	daemon.LoadPolicy(&cfg, bounds)
 	return Policy{Name: "cassialoom", Serve: cfg.Serve, Dispatch: cfg.Dispatch}
 }
 
-// Naive passes everything on at once, to each backend server in turn.
+// Naive returns a policy without admission control and retries, which forwards every
+// request at once to the backend servers in turn.
 func Naive() Policy {
-	p := Ours()
+	p := Production()
 	p.Name = "naive"
 	p.Serve.Policy = serve.PolicyNone
 	p.Dispatch.NoAdmission = true
 	p.Dispatch.RoundRobin = true
 	p.Dispatch.Reroutes, p.Dispatch.Reoffers, p.Dispatch.Hedge = 0, 0, false
 	p.Dispatch.Budget.Ratio, p.Dispatch.Budget.Burst = 0, 0
-	p.Blind = true
+	p.HideSlots = true
 	return p
 }
--- a/internal/replay/random_test.go
+++ b/internal/replay/random_test.go
@@ -10,36 +10,35 @@
 	"github.com/matryer/is"
 )
 
-// The caller sees: a policy that serves the three deployments that it was tried on,
-// and not its own. On deployments that nobody chose, more callers must be served in a
-// burst than where everything is passed on at once, and of the tries that are let in
-// few may break.
+// Guards against a policy that only works for the three fixed deployments: in a burst
+// it serves more than the naive policy, and few admitted tries fail.
 func TestRandomDeployments(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	day := shortBurst(Random(0))
-	ours, naive := play(t, day, Ours()), play(t, day, Naive())
+	scenario := shortBurst(Random(0))
+	ours, naive := runScenario(t, scenario, Production()), runScenario(t, scenario, Naive())
 	is.True(ours.During().ServedAll() > naive.During().ServedAll()+0.1)
-	is.True(ours.Broken() < 0.2)
+	is.True(ours.FailedShare() < 0.2)
 }
 
-// shortBurst asks for half as much again as the slots allow, for three seconds.
-func shortBurst(d Deployment) Day {
-	day := burst(d, 1.5)
+// shortBurst is a scenario that asks for 1.5 times the capacity for three seconds.
+func shortBurst(d Deployment) Scenario {
+	scenario := burst(d, 1.5)
 	for i, length := range []time.Duration{2, 3, 2} {
-		day.Phases[i].For = length * time.Second
+		scenario.Phases[i].Duration = length * time.Second
 	}
-	return day
+	return scenario
 }
 
-// Compares the latest choices on many random deployments, by hand, with RANDOM=100.
+// Compares policies on many random deployments. The environment variable RANDOM sets
+// their number.
 func TestManyRandomDeployments(t *testing.T) {
 	n, err := strconv.ParseUint(os.Getenv("RANDOM"), 10, 16)
 	if err != nil {
-		t.Skip("by hand, with RANDOM=100")
+		t.Skip("set RANDOM=100 to run")
 	}
 	variants := []Policy{
-		Ours(),
+		Production(),
 		variant("less time first", func(p *Policy) { p.Serve.Queue.SoonerShare = 0 }),
 		Naive(),
 	}
@@ -47,8 +46,8 @@
 		for _, p := range variants {
 			t.Run(fmt.Sprintf("%d/%s", seed, p.Name), func(t *testing.T) {
 				t.Parallel()
-				r := play(t, shortBurst(Random(seed)), p)
-				t.Logf("RANDOM %d %q %.4f %.4f", seed, p.Name, r.During().ServedAll(), r.Broken())
+				r := runScenario(t, shortBurst(Random(seed)), p)
+				t.Logf("RANDOM %d %q %.4f %.4f", seed, p.Name, r.During().ServedAll(), r.FailedShare())
 			})
 		}
 	}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -16,26 +16,26 @@
 
 const seed = 20261202
 
-// play runs a day in modelled time.
-func play(t *testing.T, day Day, policy Policy) (r *Report) {
+// runScenario runs a scenario in simulated time and logs its report.
+func runScenario(t *testing.T, scenario Scenario, policy Policy) (r *Report) {
 	t.Helper()
-	synctest.Test(t, func(*testing.T) { r = Play(day, policy) })
+	synctest.Test(t, func(*testing.T) { r = Run(scenario, policy) })
 	t.Log(r.Row())
 	return r
 }
 
-// burst is a day whose middle asks for load times what the slots allow.
-func burst(d Deployment, load float64) Day {
-	return Day{Deployment: d, Seed: seed, Phases: []Phase{
-		{Name: "before", For: 3 * time.Second, Load: 0.5},
-		{Name: "during", For: 5 * time.Second, Load: load},
-		{Name: "after", For: 5 * time.Second, Load: 0.5},
+// burst is a scenario whose second phase asks for load times the capacity.
+func burst(d Deployment, load float64) Scenario {
+	return Scenario{Deployment: d, Seed: seed, Phases: []Phase{
+		{Name: "before", Duration: 3 * time.Second, Load: 0.5},
+		{Name: "during", Duration: 5 * time.Second, Load: load},
+		{Name: "after", Duration: 5 * time.Second, Load: 0.5},
 	}}
 }
 
-// variant is the policy of the platform with one choice taken back.
+// variant is the production policy with one change.
 func variant(name string, change func(*Policy)) Policy {
-	p := Ours()
+	p := Production()
 	p.Name = name
 	change(&p)
 	return p
@@ -43,8 +43,8 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// both runs a test for each deployment; without PROVE=1 for the smaller one alone.
-func both(t *testing.T, test func(t *testing.T, d Deployment)) {
+// forEachDeployment runs a test for Savukartta and, with PROVE set, for Hallwyl.
+func forEachDeployment(t *testing.T, test func(t *testing.T, d Deployment)) {
 	t.Parallel()
 	deployments := []Deployment{Savukartta()}
 	if os.Getenv("PROVE") != "" {
@@ -58,64 +58,58 @@
 	}
 }
 
-// The caller sees: its request fails in a burst after it was worked on for half a
-// second, and fails on for seconds after the burst. More requests come than the
-// deepest service can carry; one failed call of four to eight fails a request and
-// wastes the rest. Whole requests are turned away where they enter instead, the
-// least important first, and those admitted end well.
+// Guards against requests that fail after partial work in a burst: requests are rejected
+// at the entry, the least important first, and most admitted ones succeed.
 func TestBurst(t *testing.T) {
 	t.Parallel()
 	for _, load := range []float64{1.25, 2} {
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
-			both(t, func(t *testing.T, d Deployment) {
+			forEachDeployment(t, func(t *testing.T, d Deployment) {
 				is := is.New(t)
-				naive := play(t, burst(d, load), Naive())
-				ours := play(t, burst(d, load), Ours())
+				naive := runScenario(t, burst(d, load), Naive())
+				ours := runScenario(t, burst(d, load), Production())
 				is.True(ours.During().Goodput() > 0.82)
 				is.True(ours.During().Goodput() > 1.8*naive.During().Goodput())
 				is.True(ours.During().Served(importance.Critical) > 0.985)
-				is.True(ours.Wasted() < 0.02)
+				is.True(ours.WastedShare() < 0.02)
 				is.True(ours.Recovery <= 4*time.Second)
 			})
 		})
 	}
 }
 
-// The caller sees: a refusal although slots stand idle. A request reaches the
-// deepest service half a second after its entry. A level that brings the queue there
-// to its target within 0.3 s answers to what was admitted before it: it swings, and
-// the queue, of a call or two, is empty between the swings.
-func TestLevelWaitsForWhatIsUnderWay(t *testing.T) {
-	both(t, func(t *testing.T, d Deployment) {
+// Guards against refusals while slots are idle: an admission level that reacts faster
+// than admitted requests reach the bottleneck service oscillates and drains its queue.
+func TestLevelIsStableWithAdmittedRequestsUnderWay(t *testing.T) {
+	forEachDeployment(t, func(t *testing.T, d Deployment) {
 		is := is.New(t)
-		hasty := variant("level in 0.3 s, short queue", func(p *Policy) { p.Serve.Gate.Queue, p.Serve.Gate.Settle = 1, 6 })
+		fastLevel := variant("level in 0.3 s, short queue", func(p *Policy) { p.Serve.Gate.Queue, p.Serve.Gate.Settle = 1, 6 })
 		gain := 0.0
 		for k := range uint64(2) {
-			day := burst(d, 1.25)
-			day.Seed += k
-			gain += (play(t, day, Ours()).During().Goodput() - play(t, day, hasty).During().Goodput()) / 2
+			scenario := burst(d, 1.25)
+			scenario.Seed += k
+			gain += (runScenario(t, scenario, Production()).During().Goodput() - runScenario(t, scenario, fastLevel).During().Goodput()) / 2
 		}
 		is.True(gain > 0)
 	})
 }
 
-// The caller sees: its request fails half way, though it was admitted. Where the
-// nodes beside the deepest backend servers shed as well, a call of four to eight is
-// turned away and the whole request with it.
+// Guards against failures of admitted requests: rejecting single calls at the bottleneck
+// service fails requests that need all of their calls.
 func TestCallsUnderWayAreNotShed(t *testing.T) {
-	both(t, func(t *testing.T, d Deployment) {
+	forEachDeployment(t, func(t *testing.T, d Deployment) {
 		is := is.New(t)
-		everywhere := variant("levels at every node", func(p *Policy) { p.Serve.TellOnly = false })
+		shedAll := variant("levels at every node", func(p *Policy) { p.Serve.TellOnly = false })
 		var shed, ours struct{ critical, normal, broken float64 }
-		const days = 3
-		for k := range uint64(days) {
-			day := burst(d, 2)
-			day.Seed += k
-			for policy, sum := range map[*Policy]*struct{ critical, normal, broken float64 }{&everywhere: &shed, ptr(Ours()): &ours} {
-				r := play(t, day, *policy)
-				sum.critical += r.During().Served(importance.Critical) / days
-				sum.normal += r.During().Served(importance.Normal) / days
-				sum.broken += r.Broken() / days
+		const runs = 3
+		for k := range uint64(runs) {
+			scenario := burst(d, 2)
+			scenario.Seed += k
+			for policy, sum := range map[*Policy]*struct{ critical, normal, broken float64 }{&shedAll: &shed, ptr(Production()): &ours} {
+				r := runScenario(t, scenario, *policy)
+				sum.critical += r.During().Served(importance.Critical) / runs
+				sum.normal += r.During().Served(importance.Normal) / runs
+				sum.broken += r.FailedShare() / runs
 			}
 		}
 		is.True(ours.critical >= shed.critical)
@@ -125,195 +119,180 @@
 	})
 }
 
-// The caller sees: slow answers, then failures, below the load that the service can
-// carry. Its backend servers differ by more than two in speed: equal shares fill the
-// slow ones, whose queues then take the time of every call that lands there.
+// Guards against long queues at slow backend servers below capacity: backend servers of
+// different speeds get calls by speed and not in equal shares.
 func TestPlacementBySpeed(t *testing.T) {
-	both(t, func(t *testing.T, d Deployment) {
+	forEachDeployment(t, func(t *testing.T, d Deployment) {
 		is := is.New(t)
-		turns := variant("each in turn", func(p *Policy) { p.Dispatch.RoundRobin = true })
-		inTurn := play(t, burst(d, 0.85), turns)
-		ours := play(t, burst(d, 0.85), Ours())
+		roundRobin := variant("each in turn", func(p *Policy) { p.Dispatch.RoundRobin = true })
+		equalShares := runScenario(t, burst(d, 0.85), roundRobin)
+		ours := runScenario(t, burst(d, 0.85), Production())
 		is.True(ours.During().Served(importance.Normal) > 0.99)
-		is.True(ours.During().Goodput() > inTurn.During().Goodput()+0.05)
+		is.True(ours.During().Goodput() > equalShares.During().Goodput()+0.05)
 	})
 }
 
-// The caller sees: everything slower by a third just when the service is full. Above
-// 95% of its slots a backend server slows down, so the last slots cost more than they
-// bring. The calls for them wait beside it instead.
+// Guards against the slowdown of a full backend server: above 95% of its slots work takes
+// longer, so calls wait at the node instead of occupying the last slots.
 func TestLastSlotsStayFree(t *testing.T) {
-	both(t, func(t *testing.T, d Deployment) {
+	forEachDeployment(t, func(t *testing.T, d Deployment) {
 		is := is.New(t)
-		all := variant("all slots", func(p *Policy) { p.Serve.SlotShare = 1 })
-		ours := play(t, burst(d, 1.25), Ours())
-		is.True(ours.During().Goodput() > play(t, burst(d, 1.25), all).During().Goodput()+0.03)
+		allSlots := variant("all slots", func(p *Policy) { p.Serve.SlotShare = 1 })
+		ours := runScenario(t, burst(d, 1.25), Production())
+		is.True(ours.During().Goodput() > runScenario(t, burst(d, 1.25), allSlots).During().Goodput()+0.03)
 	})
 }
 
-// The caller sees: requests fail in a burst that the time they have would allow to
-// wait out. The deepest calls have 700 ms for a tenth of it in work: up to 300 ms of
-// queue beside the backend server, the oldest first, carry them through the chance
-// peaks; a queue of 100 ms drops them, and their requests with them.
-func TestCallsWaitBesideTheBackendServer(t *testing.T) {
-	both(t, func(t *testing.T, d Deployment) {
+// Guards against needless failures in a burst: a queue of up to 300 ms at the node absorbs
+// peaks that a queue of 100 ms drops, together with their requests.
+func TestCallsWaitAtTheNode(t *testing.T) {
+	forEachDeployment(t, func(t *testing.T, d Deployment) {
 		is := is.New(t)
-		short := variant("queue of 100 ms", func(p *Policy) { p.Serve.Queue = queue.DefaultConfig() })
-		dropped := play(t, burst(d, 1.25), short)
-		ours := play(t, burst(d, 1.25), Ours())
+		shortQueue := variant("queue of 100 ms", func(p *Policy) { p.Serve.Queue = queue.DefaultConfig() })
+		dropped := runScenario(t, burst(d, 1.25), shortQueue)
+		ours := runScenario(t, burst(d, 1.25), Production())
 		is.True(ours.During().Goodput() > dropped.During().Goodput()+0.02)
-		is.True(dropped.Wasted() > 2*ours.Wasted())
+		is.True(dropped.WastedShare() > 2*ours.WastedShare())
 	})
 }
 
-// The caller sees: refusals at a fraction of what the backend servers can do. A limit
-// that is found from latencies mistakes the time that calls wait for calls of their
-// own; the slots that a backend server states are used instead.
+// Guards against refusals far below capacity: a limit derived from latencies counts
+// waiting calls as load, so the stated slots of the backend server are used.
 func TestStatedSlots(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
 	d := Savukartta()
-	measured := variant("measured limit", func(p *Policy) { p.Blind = true })
-	ours := play(t, burst(d, 1.25), Ours())
-	is.True(ours.During().Goodput() > play(t, burst(d, 1.25), measured).During().Goodput()+0.02)
+	measured := variant("measured limit", func(p *Policy) { p.HideSlots = true })
+	ours := runScenario(t, burst(d, 1.25), Production())
+	is.True(ours.During().Goodput() > runScenario(t, burst(d, 1.25), measured).During().Goodput()+0.02)
 }
 
-// The caller sees: one call in three takes four times as long, and its request comes
-// too late. One of three backend servers of the deepest service has become slow: it
-// is left to a few probes, and the others have room for the rest.
-func TestSlowBackendServerIsLeft(t *testing.T) {
+// Guards against late requests when one of three backend servers becomes slow: it gets
+// only probes, and the others carry the load.
+func TestSlowBackendServerGetsOnlyProbes(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
-	day := burst(Savukartta(), 0.7)
-	day.Phases[1].Slow = 4
-	turns := variant("each in turn", func(p *Policy) { p.Dispatch.RoundRobin = true })
-	ours := play(t, day, Ours())
+	scenario := burst(Savukartta(), 0.7)
+	scenario.Phases[1].SlowFactor = 4
+	roundRobin := variant("each in turn", func(p *Policy) { p.Dispatch.RoundRobin = true })
+	ours := runScenario(t, scenario, Production())
 	is.True(ours.During().Served(importance.Normal) > 0.98)
 	is.True(ours.During().Served(importance.Critical) > 0.99)
-	is.True(play(t, day, turns).During().Served(importance.Normal) < 0.9)
+	is.True(runScenario(t, scenario, roundRobin).During().Served(importance.Normal) < 0.9)
 }
 
-// The caller sees: hardly any request succeeds once a third of the deepest service is
-// gone for good, while its slots are full of work that comes to nothing. What the
-// others can carry ends well, the important first.
+// Guards against collapse after the loss of a third of the bottleneck service: the
+// remaining slots do useful work, for the most important requests first.
 func TestLossOfAThird(t *testing.T) {
-	both(t, func(t *testing.T, d Deployment) {
+	forEachDeployment(t, func(t *testing.T, d Deployment) {
 		is := is.New(t)
-		day := burst(d, 0.8)
-		day.Phases[1].Lost, day.Phases[2].Lost = 1, 1
-		naive := play(t, day, Naive())
-		ours := play(t, day, Ours())
+		scenario := burst(d, 0.8)
+		scenario.Phases[1].LostServers, scenario.Phases[2].LostServers = 1, 1
+		naive := runScenario(t, scenario, Naive())
+		ours := runScenario(t, scenario, Production())
 		is.True(ours.During().Goodput() > 0.8)
 		is.True(ours.During().Served(importance.Critical) > 0.98)
 		is.True(naive.During().Goodput() < 0.7)
 	})
 }
 
-// The caller sees: its request, among the most important, is admitted and runs out of
-// time. Two of three deepest backend servers are gone, the fastest with them, and not
-// even the most important requests fit. Levels let in what the one that is left can
-// end; where all is passed on, its time goes into requests that fail.
+// Guards against admitted requests that time out when not even the most important ones
+// fit: admission levels admit what the remaining backend server can finish.
 func TestLossOfTwoThirds(t *testing.T) {
-	both(t, func(t *testing.T, d Deployment) {
+	forEachDeployment(t, func(t *testing.T, d Deployment) {
 		is := is.New(t)
-		s := d.service(d.Deepest)
+		s := d.service(d.Bottleneck)
 		s.Speeds = []float64{s.Speeds[2], s.Speeds[1], s.Speeds[0]}
-		var ours, critical, other float64
-		const days = 3
-		for k := range uint64(days) {
-			day := burst(d, 0.8)
-			day.Seed += k
-			day.Phases[1].Lost, day.Phases[2].Lost = 2, 2
-			during := play(t, day, Ours()).During()
-			ours += during.Goodput() / days
-			critical += during.Served(importance.Critical) / days
-			other += play(t, day, Naive()).During().Goodput() / days
+		var ours, critical, naive float64
+		const runs = 3
+		for k := range uint64(runs) {
+			scenario := burst(d, 0.8)
+			scenario.Seed += k
+			scenario.Phases[1].LostServers, scenario.Phases[2].LostServers = 2, 2
+			during := runScenario(t, scenario, Production()).During()
+			ours += during.Goodput() / runs
+			critical += during.Served(importance.Critical) / runs
+			naive += runScenario(t, scenario, Naive()).During().Goodput() / runs
 		}
 		is.True(ours > 0.85)
 		is.True(critical > 0.75)
-		is.True(ours > other+0.3)
+		is.True(ours > naive+0.3)
 	})
 }
 
-// The caller sees: its important request fails although a few more tries would have
-// carried it. All backend servers of the deepest service turn away half of what they
-// get, whatever the load. The extra attempts, a fifth of the calls, go to the most
-// important requests, and several to one call; spread over all, they finish none.
+// Guards against extra attempts spread over all requests when backend servers reject half
+// of their calls: the most important requests get several attempts for a call.
 func TestExtraAttemptsByRank(t *testing.T) {
-	both(t, func(t *testing.T, d Deployment) {
+	forEachDeployment(t, func(t *testing.T, d Deployment) {
 		is := is.New(t)
-		day := burst(d, 0.6)
-		day.Phases[1].Decline = 0.55
-		several := variant("tried at once", func(p *Policy) { p.Dispatch.Outlook = admission.OutlookConfig{} })
+		scenario := burst(d, 0.6)
+		scenario.Phases[1].RejectShare = 0.55
+		manyAttempts := variant("tried at once", func(p *Policy) { p.Dispatch.Outlook = admission.OutlookConfig{} })
 		once := variant("one more attempt a call", func(p *Policy) {
 			p.Dispatch.Outlook = admission.OutlookConfig{}
 			p.Dispatch.Reoffers = 0
 		})
-		ours := play(t, day, several)
-		is.True(ours.During().Served(importance.Critical) > 1.2*play(t, day, once).During().Served(importance.Critical))
+		ours := runScenario(t, scenario, manyAttempts)
+		is.True(ours.During().Served(importance.Critical) > 1.2*runScenario(t, scenario, once).During().Served(importance.Critical))
 		is.Equal(ours.Recovery, time.Duration(0))
 	})
 }
 
-// The caller sees: its request, which it may not send again, failed half way, a moment
-// before the trouble was over. All backend servers of the deepest service turn away
-// half of what they get for a few seconds, whatever the load, and hardly any request
-// of eight calls ends well. Callers that have time are told that their request has not
-// run and when to come back.
+// Guards against partial runs when a short fault makes most requests fail: callers with
+// time left are asked to retry later, while their request has not run.
 func TestRequestsThatWouldFailAreDeferred(t *testing.T) {
-	both(t, func(t *testing.T, d Deployment) {
+	forEachDeployment(t, func(t *testing.T, d Deployment) {
 		is := is.New(t)
-		day := burst(d, 0.6)
-		day.Phases[1].Decline = 0.55
-		tried := variant("tried at once", func(p *Policy) { p.Dispatch.Outlook = admission.OutlookConfig{} })
-		at := play(t, day, tried)
-		ours := play(t, day, Ours())
-		is.True(ours.During().Served(importance.Critical) > at.During().Served(importance.Critical)+0.12)
+		scenario := burst(d, 0.6)
+		scenario.Phases[1].RejectShare = 0.55
+		immediateRetry := variant("tried at once", func(p *Policy) { p.Dispatch.Outlook = admission.OutlookConfig{} })
+		immediate := runScenario(t, scenario, immediateRetry)
+		ours := runScenario(t, scenario, Production())
+		is.True(ours.During().Served(importance.Critical) > immediate.During().Served(importance.Critical)+0.12)
 		is.True(ours.During().Served(importance.Critical) > 0.36)
-		is.True(ours.Wasted() < at.Wasted())
+		is.True(ours.WastedShare() < immediate.WastedShare())
 	})
 }
 
-// The caller sees: others that come back at once, whatever they are told, are served
-// in its place. Four in ten callers do so in a burst. They gain nothing over callers
-// that heed: each try ranks anew, and refusals cost next to nothing.
-func TestHardCallersGainNothing(t *testing.T) {
+// Guards against an advantage for callers that ignore Retry-After: each try is ranked
+// anew, and refusals are cheap.
+func TestCallersIgnoringRetryAfterGainNothing(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
-	day := burst(Savukartta(), 1.5)
-	day.Hard = 0.4
-	ours := play(t, day, Ours())
+	scenario := burst(Savukartta(), 1.5)
+	scenario.EagerShare = 0.4
+	ours := runScenario(t, scenario, Production())
 	is.True(ours.During().Goodput() > 0.78)
 	is.True(ours.During().Served(importance.Critical) > 0.98)
-	is.True(ours.During().HardServed() < ours.During().HeedingServed()+0.1)
+	is.True(ours.During().EagerServed() < ours.During().CompliantServed()+0.1)
 }
 
-// trial is one play to be made.
-type trial struct {
-	day    Day
-	policy Policy
+// input is the input of one run.
+type input struct {
+	scenario Scenario
+	policy   Policy
 }
 
-// playAll makes plays beside each other; their reports come in the same order.
-func playAll(t *testing.T, trials []trial) []*Report {
+// runAll runs the inputs in parallel and returns their reports in the same order.
+func runAll(t *testing.T, inputs []input) []*Report {
 	t.Helper()
-	reports := make([]*Report, len(trials))
+	reports := make([]*Report, len(inputs))
 	t.Run("plays", func(t *testing.T) {
-		for i, r := range trials {
-			t.Run(fmt.Sprint(r.policy.Name, r.day.Seed), func(t *testing.T) {
+		for i, r := range inputs {
+			t.Run(fmt.Sprint(r.policy.Name, r.scenario.Seed), func(t *testing.T) {
 				t.Parallel()
-				reports[i] = play(t, r.day, r.policy)
+				reports[i] = runScenario(t, r.scenario, r.policy)
 			})
 		}
 	})
 	return reports
 }
 
-// plays runs a day with two seeds.
-func plays(t *testing.T, day Day, p Policy) []*Report {
-	first := play(t, day, p)
-	day.Seed++
-	return []*Report{first, play(t, day, p)}
+// runTwice runs a scenario with two seeds.
+func runTwice(t *testing.T, scenario Scenario, p Policy) []*Report {
+	first := runScenario(t, scenario, p)
+	scenario.Seed++
+	return []*Report{first, runScenario(t, scenario, p)}
 }
 
 func mean(reports []*Report, figure func(*Report) float64) (sum float64) {
@@ -323,40 +302,37 @@
 	return sum
 }
 
-func servedInTrouble(r *Report) float64 { return r.During().ServedAll() }
+func servedDuring(r *Report) float64 { return r.During().ServedAll() }
 
-// The caller sees: its request fails at the fourth of four calls, since its route leaves
-// little time and each call waits behind long reads that have much. Twice the slots are
-// asked for. With those that have less time first in the queue more callers are served.
-func TestLessTimeFirstServesMore(t *testing.T) {
+// Guards against calls with a short remaining deadline that time out behind calls with a
+// long one: with the shortest remaining deadline first, more requests are served.
+func TestShortestDeadlineFirstServesMore(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	const days = 12 // one day alone varies by as much as the order of waiting brings
-	inOrder := variant("in order of arrival", func(p *Policy) { p.Serve.Queue.SoonerShare = 0 })
-	var trials []trial
-	for _, policy := range []Policy{Ours(), inOrder} {
-		for k := range uint64(days) {
-			day := burst(Council(), 2)
-			day.Seed += k
-			trials = append(trials, trial{day, policy})
+	const runs = 12 // the spread of single runs is as large as the effect
+	arrivalOrder := variant("in order of arrival", func(p *Policy) { p.Serve.Queue.SoonerShare = 0 })
+	var inputs []input
+	for _, policy := range []Policy{Production(), arrivalOrder} {
+		for k := range uint64(runs) {
+			scenario := burst(Council(), 2)
+			scenario.Seed += k
+			inputs = append(inputs, input{scenario, policy})
 		}
 	}
-	reports := playAll(t, trials)
-	is.True(mean(reports[:days], servedInTrouble) > mean(reports[days:], servedInTrouble))
+	reports := runAll(t, inputs)
+	is.True(mean(reports[:runs], servedDuring) > mean(reports[runs:], servedDuring))
 }
 
-// The caller sees: of a hundred requests twenty fail, at once and for as long as the
-// fault lasts, in a service with room to spare. One of three backend servers answers two
-// of five requests with a failure, looks healthy, and is as fast as the others. The node
-// beside it tells the callers' nodes, which leave it but for probes.
-func TestFailuresThatHealthDoesNotShow(t *testing.T) {
+// Guards against a backend server that fails requests although its health checks pass:
+// its node reports the failures, and other nodes send it only probes.
+func TestFailuresWithPassingHealthChecks(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	day := burst(Savukartta(), 0.6)
-	day.Phases[1].Grey = 1
-	day.Phases[1].Errors = 0.4
-	blind := variant("failures are not told", func(p *Policy) { p.Dispatch.Balancer.LeaveFaults = 1 })
-	reports := playAll(t, []trial{{day, Ours()}, {day, blind}})
+	scenario := burst(Savukartta(), 0.6)
+	scenario.Phases[1].FaultyServers = 1
+	scenario.Phases[1].ErrorShare = 0.4
+	noFaultReports := variant("failures are not told", func(p *Policy) { p.Dispatch.Balancer.LeaveFaults = 1 })
+	reports := runAll(t, []input{{scenario, Production()}, {scenario, noFaultReports}})
 	is.True(reports[0].During().Credit() > 0.95)
 	is.True(reports[1].During().Credit() < 0.8)
 }
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -14,139 +14,143 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// counts of one phase by importance; requests count by their start.
+// counts holds the requests of one phase by importance. A request belongs to the phase
+// in which it starts.
 type counts [importance.Count]int
 
-// PhaseReport is what one phase gave.
+// PhaseReport holds the results of one phase.
 type PhaseReport struct {
 	Name    string
 	Offered counts
-	// Good were answered with success before their deadline.
-	Good counts
-	// Useful is the work of the deepest service, at speed one, in requests that
-	// ended well during the phase, its first second left out; Best is the most
-	// that its slots allow in that time, or all that was asked for.
-	Useful, Best time.Duration
-
-	hard, heeding, hardGood, heedingGood int
-	offered, good                        map[string]int // by class
-	// owed is the worth of all offered requests, earned that of those that were
-	// served, late ones for their share.
-	owed, earned float64
+	// Succeeded counts the requests that succeeded before their deadline.
+	Succeeded counts
+	// UsefulWork is the work of the bottleneck service, at speed one, for requests that
+	// succeeded during the phase after settleTime. MaxUsefulWork is the most that its
+	// slots or the offered load allow in that time.
+	UsefulWork, MaxUsefulWork time.Duration
+
+	eager, compliant, eagerServed, compliantServed int
+	offered, succeeded                             map[string]int // by class
+	// offeredWorth is the worth of all offered requests; earnedWorth is that of the
+	// served ones, with late ones weighted by LateShare.
+	offeredWorth, earnedWorth float64
 }
 
-// Report is what one run gave.
+// Report holds the results of one run.
 type Report struct {
 	Policy string
 	Phases []PhaseReport
-	// Recovery is the time from the start of the last phase until requests
-	// succeed again as before.
+	// Recovery is the time from the start of the last phase until the success rate
+	// stays at recoveredShare.
 	Recovery time.Duration
-	// Busiest is the most that a backend server of the deepest service was sent
-	// of what its speed gives it.
-	Busiest float64
-
-	day    *Day
-	start  time.Time
-	mu     sync.Mutex
-	spent  map[string]time.Duration // slot time at the deepest service, by request
-	useful time.Duration
-	// whole and broken are the tries that were let in and ended well, and that
-	// ended badly after they had run.
-	whole, broken int
-	// far counts attempts sent to another data centre.
-	far atomic.Int64
-	// refusals are tries that were told that they have not run, again those of
-	// callers that had come back.
-	refusals, again int
-	// failures of calls under way, by service and reason.
-	failures map[failure]int
-	calls    map[string]int
-	binGood  []int
-	binAll   []int
+	// MaxRelativeLoad is the highest relative load of a backend server of the bottleneck
+	// service: its share of the attempts divided by its share of the total speed.
+	MaxRelativeLoad float64
+
+	scenario          *Scenario
+	start             time.Time
+	mu                sync.Mutex
+	slotTimeByRequest map[string]time.Duration // at the bottleneck service, by request ID
+	useful            time.Duration
+	// succeededTries counts the admitted tries that succeeded; failedTries counts those
+	// that failed after they had run or may have run.
+	succeededTries, failedTries int
+	// remoteAttempts counts attempts sent to another data centre.
+	remoteAttempts atomic.Int64
+	// refusals counts the tries that have not run; refusedRetries counts the retries
+	// among them.
+	refusals, refusedRetries int
+	// failures counts failed calls between services; calls counts all of them by
+	// service.
+	failures       map[failure]int
+	calls          map[string]int
+	succeededByBin []int
+	offeredByBin   []int
 }
 
-// failure is how a call under way ended badly.
+// failure is the kind of a failed call between services.
 type failure struct {
 	service string
 	reason  verdict.Reason
 }
 
-// bin is the resolution of the recovery time, recovered the share of a bin's
-// requests that must succeed.
+// bin is the resolution of the recovery time. recoveredShare is the share of the
+// requests of a bin that must succeed.
 const (
-	bin       = 250 * time.Millisecond
-	recovered = 0.95
+	bin            = 250 * time.Millisecond
+	recoveredShare = 0.95
 )
 
-func newReport(day *Day, policy string) *Report {
-	r := &Report{Policy: policy, day: day, start: time.Now(), spent: make(map[string]time.Duration),
+func newReport(scenario *Scenario, policy string) *Report {
+	r := &Report{Policy: policy, scenario: scenario, start: time.Now(), slotTimeByRequest: make(map[string]time.Duration),
 		failures: make(map[failure]int), calls: make(map[string]int)}
 	var whole time.Duration
-	for _, p := range day.Phases {
-		whole += p.For
-		r.Phases = append(r.Phases, PhaseReport{Name: p.Name, Best: day.Deployment.best(&p),
-			offered: make(map[string]int), good: make(map[string]int)})
+	for _, p := range scenario.Phases {
+		whole += p.Duration
+		r.Phases = append(r.Phases, PhaseReport{Name: p.Name, MaxUsefulWork: scenario.Deployment.maxUsefulWork(&p),
+			offered: make(map[string]int), succeeded: make(map[string]int)})
 	}
 	bins := int(whole/bin) + 1
-	r.binGood, r.binAll = make([]int, bins), make([]int, bins)
+	r.succeededByBin, r.offeredByBin = make([]int, bins), make([]int, bins)
 	return r
 }
 
 func (r *Report) bin(at time.Time) int { return int(at.Sub(r.start) / bin) }
 
+// offered records a request that starts.
 func (r *Report) offered(q *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := &r.Phases[q.phase]
 	p.Offered[q.class.Importance]++
 	p.offered[q.class.Name]++
-	p.owed += q.class.worth()
-	if q.hard {
-		p.hard++
+	p.offeredWorth += q.class.worth()
+	if q.eager {
+		p.eager++
 	} else {
-		p.heeding++
+		p.compliant++
 	}
-	r.binAll[r.bin(q.start)]++
+	r.offeredByBin[r.bin(q.start)]++
 }
 
-func (r *Report) good(q *request, id string) {
+// succeeded records a try that succeeded.
+func (r *Report) succeeded(q *request, id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := &r.Phases[q.phase]
-	p.Good[q.class.Importance]++
-	p.good[q.class.Name]++
-	p.earned += q.class.credit(time.Since(q.start))
-	r.whole++
-	if q.hard {
-		p.hardGood++
+	p.Succeeded[q.class.Importance]++
+	p.succeeded[q.class.Name]++
+	p.earnedWorth += q.class.credit(time.Since(q.start))
+	r.succeededTries++
+	if q.eager {
+		p.eagerServed++
 	} else {
-		p.heedingGood++
+		p.compliantServed++
 	}
-	if now, settled := r.phaseNow(); settled {
-		now.Useful += r.day.Deployment.slotTime(q.class)
+	if current, settled := r.currentPhase(); settled {
+		current.UsefulWork += r.scenario.Deployment.slotTime(q.class)
 	}
-	r.binGood[r.bin(q.start)]++
-	r.useful += r.spent[id]
-	delete(r.spent, id)
+	r.succeededByBin[r.bin(q.start)]++
+	r.useful += r.slotTimeByRequest[id]
+	delete(r.slotTimeByRequest, id)
 }
 
-// bad notes a try that did not end well.
-func (r *Report) bad(out call.Outcome, returned int) {
+// failed records a try that failed or was refused, after that many retries.
+func (r *Report) failed(out call.Outcome, retries int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if out.Verdict != verdict.NotRun {
-		r.broken++
+		r.failedTries++
 		return
 	}
 	r.refusals++
-	if returned > 0 {
-		r.again++
+	if retries > 0 {
+		r.refusedRetries++
 	}
 }
 
-// called notes how a call under way ended.
-func (r *Report) called(service string, out call.Outcome) {
+// callEnded records the outcome of a call between services.
+func (r *Report) callEnded(service string, out call.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls[service]++
@@ -157,18 +161,18 @@
 
 func (c *Class) worth() float64 { return cmp.Or(c.Worth, 1) }
 
-// credit is what an answer after so long is worth to its caller.
-func (c *Class) credit(took time.Duration) float64 {
-	if c.Aim > 0 && took > c.Aim {
+// credit returns the worth of an answer after that response time.
+func (c *Class) credit(elapsed time.Duration) float64 {
+	if c.TargetLatency > 0 && elapsed > c.TargetLatency {
 		return c.worth() * c.LateShare
 	}
 	return c.worth()
 }
 
-// Credit is the share of the phase's worth that was earned.
-func (p *PhaseReport) Credit() float64 { return p.earned / max(p.owed, 1) }
+// Credit returns the earned share of the worth of all requests of the phase.
+func (p *PhaseReport) Credit() float64 { return p.earnedWorth / max(p.offeredWorth, 1) }
 
-// Details lists failures of calls under way by service and reason, and refusals.
+// Details lists failed calls between services by service and reason, and refusals.
 func (r *Report) Details() string {
 	var lines []string
 	for f, n := range r.failures {
@@ -176,115 +180,116 @@
 	}
 	slices.Sort(lines)
 	return fmt.Sprintf("%s; refusals %d, of those that came back %d; busiest of %s %.2f of its share", strings.Join(lines, ", "),
-		r.refusals, r.again, r.day.Deployment.Deepest, r.Busiest)
+		r.refusals, r.refusedRetries, r.scenario.Deployment.Bottleneck, r.MaxRelativeLoad)
 }
 
-// Broken is the share of the tries that were let in which ended badly after they
-// had run.
-func (r *Report) Broken() float64 {
-	return float64(r.broken) / float64(max(1, r.broken+r.whole))
+// FailedShare returns the share of the admitted tries that failed after they had run or
+// may have run.
+func (r *Report) FailedShare() float64 {
+	return float64(r.failedTries) / float64(max(1, r.failedTries+r.succeededTries))
 }
 
-// ServedOf is the share of the offered requests of one class that ended well.
+// ServedOf returns the share of the offered requests of one class that succeeded.
 func (p *PhaseReport) ServedOf(class string) float64 {
 	if p.offered[class] == 0 {
 		return 1
 	}
-	return float64(p.good[class]) / float64(p.offered[class])
+	return float64(p.succeeded[class]) / float64(p.offered[class])
 }
 
-// ServedAll is the share of all offered requests that ended well.
+// ServedAll returns the share of all offered requests that succeeded.
 func (p *PhaseReport) ServedAll() float64 {
-	offered, good := 0, 0
+	offered, succeeded := 0, 0
 	for name, n := range p.offered {
 		offered += n
-		good += p.good[name]
+		succeeded += p.succeeded[name]
 	}
-	return float64(good) / float64(max(1, offered))
+	return float64(succeeded) / float64(max(1, offered))
 }
 
-// settle is the time from the start of a phase that is not measured: requests that
-// end then were sent before it.
-const settle = time.Second
+// settleTime is the start of a phase that is not measured: requests that end in it
+// were sent in the phase before.
+const settleTime = time.Second
 
-// phaseNow is the phase that it is, and whether it has settled; the last one once
-// all are over.
-func (r *Report) phaseNow() (p *PhaseReport, settled bool) {
+// currentPhase returns the current phase, and whether settleTime has passed in it. After
+// the end it returns the last phase and false.
+func (r *Report) currentPhase() (p *PhaseReport, settled bool) {
 	at := time.Since(r.start)
-	for i, p := range r.day.Phases {
-		if at < p.For {
-			return &r.Phases[i], at >= settle
+	for i, p := range r.scenario.Phases {
+		if at < p.Duration {
+			return &r.Phases[i], at >= settleTime
 		}
-		at -= p.For
+		at -= p.Duration
 	}
 	return &r.Phases[len(r.Phases)-1], false
 }
 
-// used counts slot time of a request at the deepest service.
-func (r *Report) used(s *Service, id string, d time.Duration) {
-	if s.Name != r.day.Deployment.Deepest {
+// addSlotTime adds slot time of a request at the bottleneck service.
+func (r *Report) addSlotTime(s *Service, id string, d time.Duration) {
+	if s.Name != r.scenario.Deployment.Bottleneck {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spent[id] += d
+	r.slotTimeByRequest[id] += d
 }
 
-// finish sums up once every caller has ended.
-func (r *Report) finish() {
-	last := len(r.day.Phases) - 1
+// computeRecovery sets Recovery after all callers have ended.
+func (r *Report) computeRecovery() {
+	last := len(r.scenario.Phases) - 1
 	var from time.Duration
-	for _, p := range r.day.Phases[:last] {
-		from += p.For
+	for _, p := range r.scenario.Phases[:last] {
+		from += p.Duration
 	}
 	first := int(from / bin)
 	bad := first - 1
-	for i := first; i < int((from+r.day.Phases[last].For)/bin); i++ {
-		if float64(r.binGood[i]) < recovered*float64(r.binAll[i]) {
+	for i := first; i < int((from+r.scenario.Phases[last].Duration)/bin); i++ {
+		if float64(r.succeededByBin[i]) < recoveredShare*float64(r.offeredByBin[i]) {
 			bad = i
 		}
 	}
 	r.Recovery = time.Duration(bad+1-first) * bin
 }
 
-// Wasted is the share of the deepest service's slot time that went into requests
-// which then failed.
-func (r *Report) Wasted() float64 {
-	var lost time.Duration
-	for _, d := range r.spent {
-		lost += d
+// WastedShare returns the share of the slot time of the bottleneck service that was spent on
+// requests that failed.
+func (r *Report) WastedShare() float64 {
+	var wasted time.Duration
+	for _, d := range r.slotTimeByRequest {
+		wasted += d
 	}
-	if lost+r.useful == 0 {
+	if wasted+r.useful == 0 {
 		return 0
 	}
-	return lost.Seconds() / (lost + r.useful).Seconds()
+	return wasted.Seconds() / (wasted + r.useful).Seconds()
 }
 
-// Goodput is the share of the best that a phase reached.
-func (p *PhaseReport) Goodput() float64 { return p.Useful.Seconds() / p.Best.Seconds() }
+// Goodput returns the useful work of the phase as a share of the possible maximum.
+func (p *PhaseReport) Goodput() float64 { return p.UsefulWork.Seconds() / p.MaxUsefulWork.Seconds() }
 
-// Served is the share of the offered requests of one importance that ended well.
+// Served returns the share of the offered requests of one importance that succeeded.
 func (p *PhaseReport) Served(imp importance.Importance) float64 {
 	if p.Offered[imp] == 0 {
 		return 1
 	}
-	return float64(p.Good[imp]) / float64(p.Offered[imp])
+	return float64(p.Succeeded[imp]) / float64(p.Offered[imp])
 }
 
-// HardServed is the share that ended well of the requests whose callers come back
-// at once, HeedingServed that of the others.
-func (p *PhaseReport) HardServed() float64 { return float64(p.hardGood) / float64(max(p.hard, 1)) }
+// EagerServed returns the share of requests that succeeded of the callers that ignore
+// Retry-After.
+func (p *PhaseReport) EagerServed() float64 { return float64(p.eagerServed) / float64(max(p.eager, 1)) }
 
-// HeedingServed is described with HardServed.
-func (p *PhaseReport) HeedingServed() float64 {
-	return float64(p.heedingGood) / float64(max(p.heeding, 1))
+// CompliantServed returns the share of requests that succeeded of the callers that obey
+// Retry-After.
+func (p *PhaseReport) CompliantServed() float64 {
+	return float64(p.compliantServed) / float64(max(p.compliant, 1))
 }
 
-// During is the second phase, the one with the trouble.
+// During returns the second phase, the one with the overload or the faults.
 func (r *Report) During() *PhaseReport { return &r.Phases[1] }
 
-// Row prints the run on one line: goodput of each phase as a share of the best, and
-// what was served of the most important and of the usual requests.
+// Row formats the report as one line: goodput and served shares of each phase, then the
+// results of the second phase by class and the totals of the run.
 func (r *Report) Row() string {
 	row := fmt.Sprintf("%-26s", r.Policy)
 	for i := range r.Phases {
@@ -293,9 +298,9 @@
 			100*p.Served(importance.Critical), 100*p.Served(importance.Normal))
 	}
 	p := r.During()
-	for _, c := range r.day.Deployment.Classes {
+	for _, c := range r.scenario.Deployment.Classes {
 		row += fmt.Sprintf("  %s %.2f", c.Name, p.ServedOf(c.Name))
 	}
-	row += fmt.Sprintf("  all %.3f  credit %.3f  broken %4.1f%%", p.ServedAll(), p.Credit(), 100*r.Broken())
-	return row + fmt.Sprintf("  wasted %4.1f%%, recovery %.2fs", 100*r.Wasted(), r.Recovery.Seconds())
+	row += fmt.Sprintf("  all %.3f  credit %.3f  broken %4.1f%%", p.ServedAll(), p.Credit(), 100*r.FailedShare())
+	return row + fmt.Sprintf("  wasted %4.1f%%, recovery %.2fs", 100*r.WastedShare(), r.Recovery.Seconds())
 }
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -13,16 +13,16 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// world is a Day while it runs.
-type world struct {
+// simulation is the state of one run.
+type simulation struct {
 	deployment *Deployment
 	policy     *Policy
-	day        *Day
+	scenario   *Scenario
 	rng        *rand.Rand
 	ids        atomic.Uint64
 	seeds      uint64
 	nodes      map[wire.NodeID]*node // fixed once the day begins
-	all        []*node
+	nodeList   []*node
 	members    *members
 	classes    map[string]*Class
 	operations map[*Class]*graph.Operation
@@ -30,120 +30,122 @@
 	callers    sync.WaitGroup
 }
 
-// Play runs a day under a policy. It must be called in a bubble of synctest.
-func Play(day Day, policy Policy) *Report {
-	w := &world{
-		deployment: &day.Deployment, policy: &policy, day: &day,
-		rng:        rand.New(rand.NewPCG(day.Seed, 1)),
+// Run runs a scenario under a policy. It must be called in a bubble of synctest.
+func Run(scenario Scenario, policy Policy) *Report {
+	w := &simulation{
+		deployment: &scenario.Deployment, policy: &policy, scenario: &scenario,
+		rng:        rand.New(rand.NewPCG(scenario.Seed, 1)),
 		nodes:      make(map[wire.NodeID]*node),
 		members:    newMembers(),
 		classes:    make(map[string]*Class),
 		operations: make(map[*Class]*graph.Operation),
 	}
-	w.report = newReport(&day, policy.Name)
-	for _, c := range day.Deployment.Classes {
-		w.know(c)
+	w.report = newReport(&scenario, policy.Name)
+	for _, c := range scenario.Deployment.Classes {
+		w.register(c)
 	}
-	w.build()
+	w.buildNodes()
 	stop := make(chan struct{})
-	for _, n := range w.all {
+	for _, n := range w.nodeList {
 		go n.tick(stop)
 		if policy.Dispatch.News.Interval > 0 {
-			go n.tellLevels(stop, rand.New(rand.NewPCG(w.seed(), 5)))
+			go n.gossipLevels(stop, rand.New(rand.NewPCG(w.nextSeed(), 5)))
 		}
 	}
-	for i := range day.Phases {
-		w.play(i)
+	for i := range scenario.Phases {
+		w.runPhase(i)
 	}
 	w.callers.Wait()
-	// A call that its caller has given up may still be at work, and its cancel on
-	// the way. Nothing outlives the longest deadline; what is blocked when the
-	// bubble ends, where time no longer moves, is a deadlock to it.
+	// A call may still run after its caller gave up. Wait for the longest deadline:
+	// synctest reports goroutines that are blocked at the end of the bubble as a
+	// deadlock.
 	time.Sleep(w.longestDeadline())
 	close(stop)
-	w.report.finish()
-	w.report.Busiest = w.busiest()
+	w.report.computeRecovery()
+	w.report.MaxRelativeLoad = w.maxRelativeLoad()
 	return w.report
 }
 
-// busiest is the most that a backend server of the deepest service was sent of the
-// share that its speed gives it.
-func (w *world) busiest() float64 {
-	var sent, speeds, most float64
-	for _, n := range w.all {
-		if n.service.Name == w.deployment.Deepest {
-			sent += float64(n.arrived.Load())
+// maxRelativeLoad returns the value of Report.MaxRelativeLoad.
+func (w *simulation) maxRelativeLoad() float64 {
+	var sent, speeds, highest float64
+	for _, n := range w.nodeList {
+		if n.service.Name == w.deployment.Bottleneck {
+			sent += float64(n.attempts.Load())
 			speeds += n.backend.speed
 		}
 	}
-	for _, n := range w.all {
-		if n.service.Name == w.deployment.Deepest {
-			most = max(most, float64(n.arrived.Load())/sent/(n.backend.speed/speeds))
+	for _, n := range w.nodeList {
+		if n.service.Name == w.deployment.Bottleneck {
+			highest = max(highest, float64(n.attempts.Load())/sent/(n.backend.speed/speeds))
 		}
 	}
-	return most
+	return highest
 }
 
-func (w *world) longestDeadline() (longest time.Duration) {
+func (w *simulation) longestDeadline() (longest time.Duration) {
 	for _, c := range w.classes {
 		longest = max(longest, c.Deadline)
 	}
 	return longest
 }
 
-func (w *world) know(c *Class) {
+// register adds a class and the classes that it calls.
+func (w *simulation) register(c *Class) {
 	w.classes[c.Name] = c
 	w.operations[c] = operation(c)
-	for _, below := range c.Calls {
-		if w.classes[below.Name] == nil {
-			w.know(below)
+	for _, callee := range c.Calls {
+		if w.classes[callee.Name] == nil {
+			w.register(callee)
 		}
 	}
 }
 
-func (w *world) build() {
+// buildNodes creates the nodes after all members are known.
+func (w *simulation) buildNodes() {
 	for i := range w.deployment.Services {
 		s := &w.deployment.Services[i]
 		for k := range s.Speeds {
-			w.members.join(s.Name, s.centre(k), wire.NodeID{byte(i + 1), byte(k + 1)})
+			w.members.add(s.Name, s.dataCentre(k), wire.NodeID{byte(i + 1), byte(k + 1)})
 		}
 	}
 	for i := range w.deployment.Services {
 		s := &w.deployment.Services[i]
 		for k, speed := range s.Speeds {
-			n := newNode(w, s, speed, s.centre(k), wire.NodeID{byte(i + 1), byte(k + 1)})
+			n := newNode(w, s, speed, s.dataCentre(k), wire.NodeID{byte(i + 1), byte(k + 1)})
 			w.nodes[n.id] = n
-			w.all = append(w.all, n)
+			w.nodeList = append(w.nodeList, n)
 		}
 	}
 }
 
-func (w *world) seed() uint64 {
+func (w *simulation) nextSeed() uint64 {
 	w.seeds++
-	return w.day.Seed<<8 + w.seeds
+	return w.scenario.Seed<<8 + w.seeds
 }
 
-func (w *world) nextID() string { return strconv.FormatUint(w.ids.Add(1), 10) }
+func (w *simulation) nextID() string { return strconv.FormatUint(w.ids.Add(1), 10) }
 
-// tickEvery is how often a node looks after what waits, as in production.
-const tickEvery = 5 * time.Millisecond
+// tickInterval is the interval between ticks of a node, as in production.
+const tickInterval = 5 * time.Millisecond
 
 func (n *node) tick(stop <-chan struct{}) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-stop:
 			return
 		case <-ticker.C:
-			n.do(func(now time.Time, s *serve.Server) serve.Effects { return s.Tick(now) })
+			n.apply(func(now time.Time, s *serve.Server) serve.Effects { return s.Tick(now) })
 		}
 	}
 }
 
-// tellLevels passes the levels of services on to a few nodes, as in production.
-func (n *node) tellLevels(stop <-chan struct{}, rng *rand.Rand) {
-	interval := n.world.policy.Dispatch.News.Interval
+// gossipLevels forwards admission levels to a few random nodes at a fixed interval, as in
+// production.
+func (n *node) gossipLevels(stop <-chan struct{}, rng *rand.Rand) {
+	interval := n.simulation.policy.Dispatch.News.Interval
 	time.Sleep(time.Duration(rng.Int64N(int64(interval))))
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -153,22 +155,22 @@
 			return
 		case <-ticker.C:
 		}
-		told := n.dispatch.TellLevels(time.Now())
-		if len(told) == 0 {
+		levels := n.dispatch.TellLevels(time.Now())
+		if len(levels) == 0 {
 			continue
 		}
 		for range production.NewsFanOut {
-			to := n.world.all[rng.IntN(len(n.world.all))]
-			time.AfterFunc(link{from: n, to: to}.delay(), func() { to.dispatch.HearLevels(time.Now(), told) })
+			to := n.simulation.nodeList[rng.IntN(len(n.simulation.nodeList))]
+			time.AfterFunc(link{from: n, to: to}.delay(), func() { to.dispatch.HearLevels(time.Now(), levels) })
 		}
 	}
 }
 
-// play sends the requests of one phase; they do not wait for answers.
-func (w *world) play(i int) {
-	p := &w.day.Phases[i]
-	w.trouble(p)
-	end := time.Now().Add(p.For)
+// runPhase sends the requests of one phase without waiting for their answers.
+func (w *simulation) runPhase(i int) {
+	p := &w.scenario.Phases[i]
+	w.applyConditions(p)
+	end := time.Now().Add(p.Duration)
 	for {
 		gap := time.Duration(w.rng.ExpFloat64() / (p.Load * w.deployment.capacity()) * float64(time.Second))
 		if !time.Now().Add(gap).Before(end) {
@@ -176,40 +178,42 @@
 			return
 		}
 		time.Sleep(gap)
-		r := &request{world: w, class: w.pick(), phase: i, start: time.Now(), hard: w.rng.Float64() < w.day.Hard, rng: rand.New(rand.NewPCG(w.seed(), 2))}
+		r := &request{simulation: w, class: w.pickClass(), phase: i, start: time.Now(), eager: w.rng.Float64() < w.scenario.EagerShare, rng: rand.New(rand.NewPCG(w.nextSeed(), 2))}
 		w.report.offered(r)
 		w.callers.Go(r.send)
 	}
 }
 
-// trouble brings the deepest service's backend servers into the phase's condition.
-func (w *world) trouble(p *Phase) {
-	at := 0
-	for _, n := range w.all {
-		if n.service.Name != w.deployment.Deepest {
+// applyConditions sets the backend servers of the bottleneck service to the conditions of
+// the phase.
+func (w *simulation) applyConditions(p *Phase) {
+	index := 0
+	for _, n := range w.nodeList {
+		if n.service.Name != w.deployment.Bottleneck {
 			continue
 		}
-		slow := 1.0
-		if at == 0 && p.Slow > 0 {
-			slow = p.Slow
+		slowFactor := 1.0
+		if index == 0 && p.SlowFactor > 0 {
+			slowFactor = p.SlowFactor
 		}
-		gone := at < p.Lost
-		mute, errors := 0.0, 0.0
-		if at < p.Grey {
-			mute, errors = p.Mute, p.Errors
+		stopped := index < p.LostServers
+		silentShare, errorShare := 0.0, 0.0
+		if index < p.FaultyServers {
+			silentShare, errorShare = p.SilentShare, p.ErrorShare
 		}
-		n.backend.set(func(b *backend) {
-			b.slow, b.decline, b.gone = slow, p.Decline, gone
-			b.mute, b.errors = mute, errors
+		n.backend.update(func(b *backend) {
+			b.slowFactor, b.rejectShare, b.stopped = slowFactor, p.RejectShare, stopped
+			b.silentShare, b.errorShare = silentShare, errorShare
 		})
-		if gone {
-			w.members.leave(n.service.Name, n.id)
+		if stopped {
+			w.members.remove(n.service.Name, n.id)
 		}
-		at++
+		index++
 	}
 }
 
-func (w *world) pick() *Class {
+// pickClass draws the class of the next request.
+func (w *simulation) pickClass() *Class {
 	x := w.rng.Float64()
 	for _, c := range w.deployment.Classes {
 		if x -= c.Share; x < 0 {
