--- a/internal/capacity/badday.go
+++ b/internal/capacity/badday.go
@@ -2,91 +2,91 @@
 
 import "time"
 
-// BadDay is what a fault of many nodes leads to.
-type BadDay struct {
+// FaultResult holds the effects of a fault of many nodes.
+type FaultResult struct {
 	Total
-	// Took is the time until every view was right again; Done is false if
-	// that was not reached. Most is the time until all but one in a
-	// thousand pairs of view and member were.
-	Took, Most time.Duration
-	Done       bool
+	// RecoveryTime is the time until every view was correct; Recovered is false if the
+	// limit passed before that. Most is the time until at most one of pairsPerMismatch
+	// pairs of a view and a member was wrong.
+	RecoveryTime, Most time.Duration
+	Recovered          bool
 	// OutOfService is the time until no view sent work to a lost node.
 	OutOfService time.Duration
-	// AppendsSecond is the most appends to the log in one second.
-	AppendsSecond uint64
-	// CPU is processor time per node and second over that time.
+	// MaxAppendsPerSecond is the most appends to the log in one second.
+	MaxAppendsPerSecond uint64
+	// CPU is the processor time per node and second.
 	CPU time.Duration
 }
 
 const (
-	badDayLimit = 10 * time.Minute
-	cutFor      = 5 * time.Minute
-	switchNodes = 40
-	mostOf      = 1000
+	recoveryLimit     = 10 * time.Minute
+	partitionDuration = 5 * time.Minute
+	switchNodes       = 40
+	pairsPerMismatch  = 1000
 )
 
-// recover runs until every view is right.
-func (s *Sim) recover(limit time.Duration) BadDay {
-	before, begun := cpuTime(), s.at
-	var serving, most time.Duration
+// recover runs until every view is correct.
+func (s *Sim) recover(limit time.Duration) FaultResult {
+	before, started := cpuTime(), s.at
+	var serving, nearlyAll time.Duration
 	live := len(s.Live())
 	took, done := s.RunUntil(limit, time.Second, func() bool {
 		m := s.Mismatches()
 		if m.Serving > 0 {
-			serving = s.at - begun + time.Second
+			serving = s.at - started + time.Second
 		}
-		if (m.Missing+m.Extra)*mostOf > live*live {
-			most = s.at - begun + time.Second
+		if (m.Missing+m.Extra)*pairsPerMismatch > live*live {
+			nearlyAll = s.at - started + time.Second
 		}
-		return m.right()
+		return m.isZero()
 	})
-	b := s.badDay(took, done, cpuTime()-before)
-	b.OutOfService, b.Most = serving, most
+	b := s.faultResult(took, done, cpuTime()-before)
+	b.OutOfService, b.Most = serving, nearlyAll
 	return b
 }
 
-func (s *Sim) badDay(took time.Duration, done bool, used time.Duration) BadDay {
-	b := BadDay{Total: s.Total(max(took, time.Second)), Took: took, Done: done, AppendsSecond: s.appends.Most}
-	b.CPU = time.Duration(float64(used) / float64(b.Nodes) / b.Seconds)
+func (s *Sim) faultResult(took time.Duration, done bool, cpu time.Duration) FaultResult {
+	b := FaultResult{Total: s.Total(max(took, time.Second)), RecoveryTime: took, Recovered: done, MaxAppendsPerSecond: s.appendsPerSecond.Most}
+	b.CPU = time.Duration(float64(cpu) / float64(b.Nodes) / b.Seconds)
 	return b
 }
 
 // LoseSwitch loses 40 instances of one data centre at once.
-func (s *Sim) LoseSwitch() BadDay {
-	return s.loseMany(func(n *Node, lost int) bool { return n.Spec.DataCentre == "dc-0" && lost < switchNodes })
+func (s *Sim) LoseSwitch() FaultResult {
+	return s.loseNodes(func(n *Node, lost int) bool { return n.Spec.DataCentre == "dc-0" && lost < switchNodes })
 }
 
 // LoseDataCentre loses all instances of a data centre at once.
-func (s *Sim) LoseDataCentre() BadDay {
-	return s.loseMany(func(n *Node, _ int) bool { return n.Spec.DataCentre == "dc-0" })
+func (s *Sim) LoseDataCentre() FaultResult {
+	return s.loseNodes(func(n *Node, _ int) bool { return n.Spec.DataCentre == "dc-0" })
 }
 
-func (s *Sim) loseMany(chosen func(n *Node, lost int) bool) BadDay {
+func (s *Sim) loseNodes(lose func(n *Node, lost int) bool) FaultResult {
 	s.ResetStats()
 	lost := 0
 	for _, n := range s.Live() {
-		if chosen(n, lost) {
+		if lose(n, lost) {
 			lost++
 			s.Lose(n)
 		}
 	}
-	return s.recover(badDayLimit)
+	return s.recover(recoveryLimit)
 }
 
-// CutRegion cuts one region off from the others for five minutes, and
-// returns what went on during the cut and after its end.
-func (s *Sim) CutRegion() (during, after BadDay) {
+// PartitionRegion partitions one region from the others for five minutes. It returns the
+// effects during the partition and after its end.
+func (s *Sim) PartitionRegion() (during, after FaultResult) {
 	s.ResetStats()
-	s.cutRegion(1)
+	s.setRegionPartition(1)
 	before := cpuTime()
-	s.Run(cutFor)
-	during = s.badDay(cutFor, true, cpuTime()-before)
+	s.Run(partitionDuration)
+	during = s.faultResult(partitionDuration, true, cpuTime()-before)
 	s.ResetStats()
-	s.cutRegion(0)
-	return during, s.recover(badDayLimit)
+	s.setRegionPartition(0)
+	return during, s.recover(recoveryLimit)
 }
 
-func (s *Sim) cutRegion(part int) {
+func (s *Sim) setRegionPartition(part int) {
 	for _, n := range s.Nodes {
 		if n.Spec.Region == "region-0" {
 			n.Cut = part
@@ -94,36 +94,36 @@
 	}
 }
 
-// LogOut takes the log away for an hour, in which nodes restart at the rate of
-// an ordinary day, and looks at the quarter of an hour after it.
-func (s *Sim) LogOut() (during, after BadDay) {
+// LogOutage makes the log unavailable for an hour, in which nodes restart at the ordinary
+// rate. It returns the effects during the outage and in the 15 minutes after it.
+func (s *Sim) LogOutage() (during, after FaultResult) {
 	s.Log.Outage(s.Now().Add(time.Hour))
 	s.ResetStats()
 	before := cpuTime()
 	restarts := ordinaryRestarts * len(s.Live()) / designNodes / 24
 	s.restart(restarts, time.Hour)
-	during = s.badDay(time.Hour, s.Converged(), cpuTime()-before)
+	during = s.faultResult(time.Hour, s.Converged(), cpuTime()-before)
 	s.ResetStats()
 	before = cpuTime()
-	s.Run(quarter)
-	return during, s.badDay(quarter, s.Converged(), cpuTime()-before)
+	s.Run(afterOutage)
+	return during, s.faultResult(afterOutage, s.Converged(), cpuTime()-before)
 }
 
 const (
 	designNodes      = 3500
-	ordinaryRestarts = 1200 // a day
-	quarter          = 15 * time.Minute
+	ordinaryRestarts = 1200 // per day
+	afterOutage      = 15 * time.Minute
 )
 
-// RestartAll restarts nodes at the rate of all in an hour, for d.
-func (s *Sim) RestartAll(d time.Duration) BadDay {
+// RestartAll restarts nodes for d, at the rate that restarts all of them in an hour.
+func (s *Sim) RestartAll(d time.Duration) FaultResult {
 	s.ResetStats()
 	before := cpuTime()
 	s.restart(int(float64(len(s.Live()))*d.Hours()), d)
-	used := cpuTime() - before
-	b := s.badDay(d, true, used)
-	took, done := s.RunUntil(badDayLimit, time.Second, s.Converged)
-	b.Took, b.Done = took, done
+	cpu := cpuTime() - before
+	b := s.faultResult(d, true, cpu)
+	took, done := s.RunUntil(recoveryLimit, time.Second, s.Converged)
+	b.RecoveryTime, b.Recovered = took, done
 	return b
 }
 
@@ -146,22 +146,22 @@
 func (s *Sim) replace(n *Node) {
 	s.Dispatch(n, n.M.Leave(s.clock(n)))
 	spec := n.Spec
-	spec.Seeds = []string{s.seedFor(n).Spec.Addr}
+	spec.Seeds = []string{s.pickSeed(n).Spec.Addr}
 	spec.Ready = false
 	s.Kill(n)
 	next := s.Start(spec)
-	s.After(warmUp, func() {
+	s.After(backendWarmUp, func() {
 		if next.Up {
 			next.M.SetService(s.clock(next), spec.Service, true)
 		}
 	})
 }
 
-// warmUp is when the backend server of a new node takes work.
-const warmUp = 2 * time.Second
+// backendWarmUp is the time until the backend server of a new node accepts work.
+const backendWarmUp = 2 * time.Second
 
-// seedFor is another live node, as settings or the log name one.
-func (s *Sim) seedFor(n *Node) *Node {
+// pickSeed returns a random live node other than n.
+func (s *Sim) pickSeed(n *Node) *Node {
 	for {
 		if seed := s.Nodes[s.rng.IntN(len(s.Nodes))]; seed.Up && seed != n {
 			return seed
@@ -169,10 +169,10 @@
 	}
 }
 
-// StartAll starts size nodes at once that know nobody, with an empty log.
-func (s *Sim) StartAll(size int) BadDay {
+// StartAll starts size nodes at once without seeds and with an empty log.
+func (s *Sim) StartAll(size int) FaultResult {
 	for i := range size {
 		s.Start(FleetSpec(i, size))
 	}
-	return s.recover(badDayLimit)
+	return s.recover(recoveryLimit)
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -7,30 +7,29 @@
 	"github.com/matryer/is"
 )
 
-// Bounds that hold at every size, because the policies bound them and not the
-// size; docs/CAPACITY.md has the figures at the large ones.
+// Bounds that hold at every size, because the protocols don't depend on it.
 const (
-	smallFleet   = 120
-	restBytes    = 100    // a second and node
-	tenSeconds   = 25_000 // bytes a second, the worst node over ten seconds
-	appendsBound = 20     // a second, all nodes
+	smallFleet     = 120
+	idleBytesBound = 100    // per second and node
+	busyBytesBound = 25_000 // bytes per second of the busiest node, over ten seconds
+	appendsBound   = 20     // per second, all nodes
 )
 
-func small(t *testing.T) *Sim {
+func startSmallFleet(t *testing.T) *Sim {
 	s := New(DefaultConfig())
 	s.StartFleet(smallFleet)
-	s.Run(settle)
+	s.Run(settleTime)
 	return s
 }
 
-// A fleet in which nothing happens must cost next to nothing; a death is
-// answered in seconds; a newcomer is known at once.
-func TestOrdinaryStaysWithinBounds(t *testing.T) {
+// Guards against constant traffic of an idle fleet, and against slow detection of a death,
+// a join or a drain.
+func TestIdleFleetAndSingleEventsStayWithinBounds(t *testing.T) {
 	is := is.New(t)
-	s := small(t)
-	rest := s.MeasureRest(30 * time.Second)
-	is.True(rest.PerNodeSecond(rest.Bytes) < restBytes)
-	is.True(rest.MostConnections < smallFleet)
+	s := startSmallFleet(t)
+	idle := s.MeasureIdle(30 * time.Second)
+	is.True(idle.PerNodeSecond(idle.Bytes) < idleBytesBound)
+	is.True(idle.MaxConnections < smallFleet)
 	n := s.Nodes[5]
 	d := s.MeasureDeath(n)
 	is.True(d.OutOfService < 10*time.Second)
@@ -40,41 +39,41 @@
 	is.True(s.MeasureDrain(s.Nodes[6]) < 3*time.Second)
 }
 
-// Faults of many nodes at once must end in right views, and neither the nodes
-// nor the log may be flooded on the way.
-func TestBadDaysStayWithinBounds(t *testing.T) {
+// Guards against views that stay wrong after faults of many nodes, and against floods of
+// messages or log appends while they recover.
+func TestFaultsOfManyNodesStayWithinBounds(t *testing.T) {
 	faults := []struct {
 		name string
-		hit  func(*Sim) BadDay
+		hit  func(*Sim) FaultResult
 	}{
 		{"switch", (*Sim).LoseSwitch},
 		{"data centre", (*Sim).LoseDataCentre},
-		{"regions heal", func(s *Sim) BadDay { _, after := s.CutRegion(); return after }},
-		{"restart of all", func(s *Sim) BadDay { return s.RestartAll(2 * time.Minute) }},
+		{"regions heal", func(s *Sim) FaultResult { _, after := s.PartitionRegion(); return after }},
+		{"restart of all", func(s *Sim) FaultResult { return s.RestartAll(2 * time.Minute) }},
 	}
 	for _, fault := range faults {
 		t.Run(fault.name, func(t *testing.T) {
 			is := is.New(t)
-			d := fault.hit(small(t))
-			is.True(d.Done)
-			is.True(d.TenSeconds.Most/10 < tenSeconds)
-			is.True(d.AppendsSecond < appendsBound)
+			d := fault.hit(startSmallFleet(t))
+			is.True(d.Recovered)
+			is.True(d.TenSeconds.Most/10 < busyBytesBound)
+			is.True(d.MaxAppendsPerSecond < appendsBound)
 		})
 	}
 }
 
-// An operator's script publishes all sections at once, then one: both must be
-// in force everywhere within ten seconds.
-func TestConfigurationInForce(t *testing.T) {
+// Guards against a publication, of all sections or of one, that takes longer than ten
+// seconds to be in force on all nodes.
+func TestPublicationIsInForceWithinTenSeconds(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.Spread = true
 	s := New(cfg)
 	s.StartFleet(smallFleet / 4)
-	s.Run(settle)
+	s.Run(settleTime)
 	for change, last := range []int{designServices - 1, 0} {
 		is.NoErr(s.Publish(0, last, change))
-		took, ok := s.InForce(10 * time.Second)
+		took, ok := s.AwaitConfiguration(10 * time.Second)
 		is.True(ok)
 		is.True(took > 0)
 	}
--- a/internal/capacity/configuration.go
+++ b/internal/capacity/configuration.go
@@ -10,18 +10,18 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// logDelay is one read of the log.
+// logDelay is the duration of one read of the log.
 const logDelay = 10 * time.Millisecond
 
 func (s *Sim) tickConfig(n *Node) {
 	if n.C == nil {
 		return
 	}
-	if v := n.M.Version(); v != n.members {
-		n.members = v
+	if v := n.M.Version(); v != n.membersVersion {
+		n.membersVersion = v
 		n.C.SetMembers(peers(n))
 	}
-	s.act(n, n.C.Tick(s.clock(n)))
+	s.perform(n, n.C.Tick(s.clock(n)))
 }
 
 func peers(n *Node) []config.Peer {
@@ -32,16 +32,16 @@
 	return peers
 }
 
-func (s *Sim) act(n *Node, a config.Actions) {
+func (s *Sim) perform(n *Node, a config.Actions) {
 	for _, send := range a.Send {
 		if r, ok := n.M.Lookup(send.To); ok {
-			s.transmit(n, letter{send.To, r.PeerAddr, encode(wire.KindConfig, send.Msg)})
+			s.transmit(n, envelope{send.To, r.PeerAddr, encode(wire.KindConfig, send.Msg)})
 		}
 	}
 	for _, data := range a.Append {
 		n.Stats.Appends++
-		s.appends.add(s.at, time.Second, 1)
-		_, _ = s.Log.Append(context.Background(), config.Stream, data) // repeated by the machine
+		s.appendsPerSecond.add(s.at, time.Second, 1)
+		_, _ = s.Log.Append(context.Background(), config.Stream, data) // config.Spread retries
 	}
 	if a.Read != nil {
 		s.readConfig(n, *a.Read)
@@ -56,7 +56,7 @@
 			n.C.LogFailed(s.clock(n))
 			return
 		}
-		s.act(n, n.C.LogPage(s.clock(n), page))
+		s.perform(n, n.C.LogPage(s.clock(n), page))
 	})
 }
 
@@ -65,31 +65,31 @@
 	if err := wire.Unmarshal(frame.Body, &msg); err != nil {
 		panic(err)
 	}
-	s.act(to, to.C.Receive(s.clock(to), from.ID, msg))
+	s.perform(to, to.C.Receive(s.clock(to), from.ID, msg))
 }
 
-// Graph text of the size to design for: 200 services of 5 operations with 3
-// calls each, 26 calls deep.
+// Shape of the graph: services are in layers, and the operations of each call those of the
+// next layer.
 const (
-	designServices = 200
-	designDepth    = 26
-	operations     = 5
-	calls          = 3
+	designServices       = 200
+	designDepth          = 26
+	operationsPerService = 5
+	callsPerOperation    = 3
 )
 
 func serviceName(i int) string { return fmt.Sprintf("service-%03d", i) }
 
-// sectionText is the text of one service; changed distinguishes versions.
-func sectionText(i, changed int) string {
+// sectionText returns the text of one service. change distinguishes versions.
+func sectionText(i, change int) string {
 	const layer = designServices / (designDepth + 1)
 	var b strings.Builder
-	fmt.Fprintf(&b, "# change %d\nservice %q {\n", changed, serviceName(i))
-	for op := range operations {
+	fmt.Fprintf(&b, "# change %d\nservice %q {\n", change, serviceName(i))
+	for op := range operationsPerService {
 		var to []string
 		if level := i / layer; level < designDepth {
-			for c := range calls {
+			for c := range callsPerOperation {
 				callee := (level+1)*layer + (i+c)%layer
-				to = append(to, fmt.Sprintf("%q", fmt.Sprintf("%s.op%d", serviceName(callee), (op+c)%operations)))
+				to = append(to, fmt.Sprintf("%q", fmt.Sprintf("%s.op%d", serviceName(callee), (op+c)%operationsPerService)))
 			}
 		}
 		fmt.Fprintf(&b, "  operation \"op%d\" {\n    idempotent = true\n    importance = \"high\"\n", op)
@@ -117,14 +117,14 @@
 	return err
 }
 
-// InForce runs until all live nodes have what the log holds, and returns the
-// time that it took.
-func (s *Sim) InForce(limit time.Duration) (time.Duration, bool) {
+// AwaitConfiguration runs until all live nodes have applied the whole log. It returns the
+// time taken, and false if limit passed first.
+func (s *Sim) AwaitConfiguration(limit time.Duration) (time.Duration, bool) {
 	page, err := s.Log.Read(context.Background(), config.Stream, 0, 1)
 	if err != nil {
 		panic(err)
 	}
-	return s.RunUntil(limit, step, func() bool {
+	return s.RunUntil(limit, pollInterval, func() bool {
 		for _, n := range s.Live() {
 			if n.C.State().AsOf() < page.Next {
 				return false
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -7,15 +7,15 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Shape of the fleet to design for, at any size.
+// Shape of a fleet of any size.
 const (
 	Regions     = 3
 	DataCentres = 6
-	// PerService is 3,500 nodes over 200 services.
+	// PerService is the number of nodes per service: 3,500 nodes over 200 services.
 	PerService = 17.5
 )
 
-// FleetSpec says where the i-th node of a fleet runs.
+// FleetSpec returns the specification of the i-th node of a fleet.
 func FleetSpec(i, size int) Spec {
 	services := max(1, int(float64(size)/PerService))
 	dc := i % DataCentres
@@ -44,13 +44,13 @@
 	return fleet
 }
 
-// introduce hands a node the whole table as the answer of a repair does.
+// introduce sends a node the whole membership table, as a repair does.
 func introduce(s *Sim, n *Node, from wire.NodeID, records []membership.Record) {
 	msg := membership.Message{Records: records, Repair: true, Listing: &membership.Listing{}}
 	n.M.Receive(s.clock(n), from, msg)
 }
 
-// Live returns the processes that are up and can be reached.
+// Live returns the processes that are up and reachable.
 func (s *Sim) Live() []*Node {
 	var live []*Node
 	for _, n := range s.Nodes {
@@ -61,17 +61,16 @@
 	return live
 }
 
-// Mismatch is how far the views of all nodes that are up are from the truth,
-// as pairs of a view and a member.
+// Mismatch counts the pairs of a view and a member that differ from the true state.
 type Mismatch struct {
-	// Missing are live processes that a view lacks or suspects.
+	// Missing counts live processes that a view lacks or suspects.
 	Missing int
-	// Extra are others that a view has, Serving those of them that work
-	// would be sent to.
+	// Extra counts members of a view that are not live; Serving counts those of them
+	// that would get work.
 	Extra, Serving int
 }
 
-// Mismatches compares all views with the truth.
+// Mismatches compares the views of all nodes that are up with the true state.
 func (s *Sim) Mismatches() Mismatch {
 	var m Mismatch
 	live := len(s.Live())
@@ -79,15 +78,15 @@
 		if !n.Up {
 			continue
 		}
-		seen := 0
+		known := 0
 		for r := range n.M.All() {
-			if s.belongs(r.ID) {
+			if s.isLive(r.ID) {
 				if r.State != membership.Suspect {
-					seen++
+					known++
 				}
 				continue
 			}
-			if s.excused(n, r.ID) {
+			if s.tolerated(n, r.ID) {
 				continue
 			}
 			m.Extra++
@@ -96,21 +95,21 @@
 			}
 		}
 		if !n.Spec.Elsewhere {
-			m.Missing += live - seen
+			m.Missing += live - known
 		}
 	}
 	return m
 }
 
-func (s *Sim) belongs(id wire.NodeID) bool {
+func (s *Sim) isLive(id wire.NodeID) bool {
 	peer := s.byID[id]
 	return peer != nil && peer.Up && !peer.Spec.Elsewhere
 }
 
-// excused is a process with a foreign address in its own view, or while nobody
-// else answers there: over the connections that it opened itself it is as good
-// a member as any.
-func (s *Sim) excused(n *Node, id wire.NodeID) bool {
+// tolerated reports whether a view may hold a process that uses a foreign address: in its
+// own view, or while no other process uses the address, because the connections that it
+// opened work.
+func (s *Sim) tolerated(n *Node, id wire.NodeID) bool {
 	peer := s.byID[id]
 	if peer == nil || !peer.Up {
 		return false
@@ -119,11 +118,11 @@
 }
 
 // Converged reports whether every view is exactly the set of live processes.
-func (s *Sim) Converged() bool { return s.Mismatches().right() }
+func (s *Sim) Converged() bool { return s.Mismatches().isZero() }
 
-func (m Mismatch) right() bool { return m.Missing == 0 && m.Extra == 0 }
+func (m Mismatch) isZero() bool { return m.Missing == 0 && m.Extra == 0 }
 
-// Count counts the live nodes whose record of id satisfies the condition.
+// Count returns the number of live nodes whose record of id satisfies the condition.
 func (s *Sim) Count(id wire.NodeID, holds func(membership.Record, bool) bool) int {
 	count := 0
 	for _, n := range s.Nodes {
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -7,11 +7,11 @@
 	"github.com/cassialoom/cassialoom/membership"
 )
 
-// settle is how long a fleet runs before it is measured: connections and the
-// list of recent peers are then as they stay.
-const settle = 30 * time.Second
+// settleTime is how long a fleet runs before a measurement, until its connections and its
+// lists of recent peers are stable.
+const settleTime = 30 * time.Second
 
-// cpuTime is what the process has used, garbage collection included.
+// cpuTime returns the processor time of this process, including garbage collection.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -20,71 +20,72 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Rest is a fleet in which nothing happens.
-type Rest struct {
+// IdleResult holds the costs of an idle fleet.
+type IdleResult struct {
 	Total
-	// CPU is processor time per node and second, with the simulation's own
-	// and with the codec on both ends.
+	// CPU is the processor time per node and second, including the simulation and the
+	// encoding and decoding of messages.
 	CPU time.Duration
-	// Connections of a node: mean and most.
-	Connections     float64
-	MostConnections int
+	// Connections is the mean number of open connections of a node; MaxConnections is
+	// the maximum.
+	Connections    float64
+	MaxConnections int
 }
 
-// MeasureRest lets a fleet rest for d.
-func (s *Sim) MeasureRest(d time.Duration) Rest {
+// MeasureIdle measures a fleet without events for d.
+func (s *Sim) MeasureIdle(d time.Duration) IdleResult {
 	s.ResetStats()
 	before := cpuTime()
 	s.Run(d)
-	used := cpuTime() - before
-	r := Rest{Total: s.Total(d)}
-	r.CPU = time.Duration(float64(used) / float64(r.Nodes) / r.Seconds)
+	cpu := cpuTime() - before
+	r := IdleResult{Total: s.Total(d)}
+	r.CPU = time.Duration(float64(cpu) / float64(r.Nodes) / r.Seconds)
 	for _, n := range s.Live() {
 		open := s.Connections(n)
 		r.Connections += float64(open) / float64(r.Nodes)
-		r.MostConnections = max(r.MostConnections, open)
+		r.MaxConnections = max(r.MaxConnections, open)
 	}
 	return r
 }
 
-// Death is how long after its instance was lost a node was suspected by the
-// first, out of service at all, and dead at all.
+// Death holds the times from the loss of an instance until the first node suspected it,
+// until no node sent it work, and until all nodes marked it failed.
 type Death struct {
-	First, OutOfService, Dead time.Duration
+	FirstSuspected, OutOfService, Dead time.Duration
 }
 
 const (
-	step      = 50 * time.Millisecond
-	dieWithin = 3 * time.Minute
+	pollInterval = 50 * time.Millisecond
+	eventLimit   = 3 * time.Minute
 )
 
 // MeasureDeath loses a node's instance.
 func (s *Sim) MeasureDeath(n *Node) Death {
 	s.Lose(n)
-	begun := s.at
+	started := s.at
 	serving := func(r membership.Record, ok bool) bool { return ok && r.State == membership.Alive }
 	alive := func(r membership.Record, ok bool) bool { return ok && !r.State.Gone() }
 	others := len(s.Live())
 	var d Death
-	s.RunUntil(dieWithin, step, func() bool { return s.Count(n.ID, serving) < others })
-	d.First = s.at - begun
-	s.RunUntil(dieWithin, step, func() bool { return s.Count(n.ID, serving) == 0 })
-	d.OutOfService = s.at - begun
-	s.RunUntil(dieWithin, step, func() bool { return s.Count(n.ID, alive) == 0 })
-	d.Dead = s.at - begun
+	s.RunUntil(eventLimit, pollInterval, func() bool { return s.Count(n.ID, serving) < others })
+	d.FirstSuspected = s.at - started
+	s.RunUntil(eventLimit, pollInterval, func() bool { return s.Count(n.ID, serving) == 0 })
+	d.OutOfService = s.at - started
+	s.RunUntil(eventLimit, pollInterval, func() bool { return s.Count(n.ID, alive) == 0 })
+	d.Dead = s.at - started
 	return d
 }
 
-// MeasureDrain drains a node and returns the time until all the others know.
+// MeasureDrain drains a node and returns the time until no other node sends it work.
 func (s *Sim) MeasureDrain(n *Node) time.Duration {
 	s.Dispatch(n, n.M.Drain(s.clock(n)))
 	serving := func(r membership.Record, ok bool) bool { return ok && r.State == membership.Alive }
-	took, _ := s.RunUntil(dieWithin, step, func() bool { return s.Count(n.ID, serving) == 0 })
+	took, _ := s.RunUntil(eventLimit, pollInterval, func() bool { return s.Count(n.ID, serving) == 0 })
 	return took
 }
 
-// Join is how long after its start a node was known to all and knew all, and
-// what it cost: the bytes that it took in are those of its answers.
+// Join holds the times from the start of a node until all others knew it, and until it
+// knew all others.
 type Join struct {
 	Known, Complete time.Duration
 }
@@ -94,38 +95,38 @@
 	spec := n.Spec
 	spec.Seeds = []string{s.Live()[1].Spec.Addr}
 	joined := s.Start(spec)
-	begun := s.at
+	started := s.at
 	var j Join
 	others := len(s.Live()) - 1
 	present := func(r membership.Record, ok bool) bool { return ok && r.State == membership.Alive }
 	done := func() bool {
 		if j.Known == 0 && s.Count(joined.ID, present) == others {
-			j.Known = s.at - begun
+			j.Known = s.at - started
 		}
-		if j.Complete == 0 && size(joined) > others {
-			j.Complete = s.at - begun
+		if j.Complete == 0 && tableSize(joined) > others {
+			j.Complete = s.at - started
 		}
 		return j.Known > 0 && j.Complete > 0
 	}
-	s.RunUntil(dieWithin, step, done)
+	s.RunUntil(eventLimit, pollInterval, done)
 	return j
 }
 
-func size(n *Node) (count int) {
+func tableSize(n *Node) (count int) {
 	for range n.M.All() {
 		count++
 	}
 	return count
 }
 
-// Loss is what a lossy network leads to.
+// Loss holds the effects of message loss.
 type Loss struct {
 	Total
-	// Suspicions were raised and Deaths declared although nobody died.
+	// Suspicions and Deaths count the false ones: no node died.
 	Suspicions, Deaths uint64
 }
 
-// MeasureLoss loses a share of all messages for d.
+// MeasureLoss drops a share of all messages for d.
 func (s *Sim) MeasureLoss(share float64, d time.Duration) Loss {
 	s.SetLoss(share)
 	s.ResetStats()
--- a/internal/capacity/memory.go
+++ b/internal/capacity/memory.go
@@ -16,8 +16,8 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// memory is the live heap and the stacks.
-func memory() int64 {
+// memoryInUse returns the bytes of the live heap and the stacks.
+func memoryInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var st runtime.MemStats
@@ -25,9 +25,9 @@
 	return int64(st.HeapAlloc + st.StackInuse)
 }
 
-// MeasureTable returns the bytes of one node's membership of that size, and
-// of the views that the daemon asks it for. The records are decoded from
-// messages, as a node gets them: it shares no string with another.
+// MeasureTable returns the bytes of one node's membership table of that size, and of the
+// views that the daemon requests from it. The records are decoded from messages, as in
+// production, so they share no strings.
 func MeasureTable(size int) (table, views int64) {
 	const perMessage = 100
 	s := New(DefaultConfig())
@@ -41,20 +41,20 @@
 		}
 	}
 	s = nil
-	before := memory()
-	m := fill(messages)
-	table = memory() - before
+	before := memoryInUse()
+	m := decodeTable(messages)
+	table = memoryInUse() - before
 	m.View()
 	for i := range designServices {
 		m.OfService(serviceName(i))
 	}
-	views = memory() - before - table
+	views = memoryInUse() - before - table
 	runtime.KeepAlive(m)
 	runtime.KeepAlive(messages)
 	return table, views
 }
 
-func fill(messages [][]byte) *membership.Members {
+func decodeTable(messages [][]byte) *membership.Members {
 	self := membership.Record{ID: wire.NewNodeID(), PeerAddr: "10.255.0.1:7400"}
 	m := membership.New(membership.DefaultConfig(), self, 1)
 	for _, data := range messages {
@@ -71,8 +71,8 @@
 	return m
 }
 
-// MeasureConfiguration returns the bytes of one node's configuration of 200
-// services, the checked graph included.
+// MeasureConfiguration returns the bytes of one node's configuration of 200 services,
+// including the checked graph.
 func MeasureConfiguration() int64 {
 	p := config.Publication{ID: "all", Whole: true}
 	for i := range designServices {
@@ -82,7 +82,7 @@
 	if err != nil {
 		panic(err)
 	}
-	before := memory()
+	before := memoryInUse()
 	c := config.NewSpread(config.DefaultConfig(), wire.NodeID{1}, "dc-0", 1)
 	now := time.Unix(0, 0)
 	for c.State().Graph() == nil {
@@ -94,24 +94,24 @@
 		page.Records = []applog.Record{{Data: append([]byte(nil), data...)}}
 		c.LogPage(now, page)
 	}
-	used := memory() - before
+	growth := memoryInUse() - before
 	runtime.KeepAlive(c)
 	runtime.KeepAlive(data)
-	return used
+	return growth
 }
 
-// Connection is what one connection costs one of its two ends.
+// Connection holds the costs of one connection for one of its two ends.
 type Connection struct {
-	// Memory stays for as long as it is open.
+	// Memory is the number of bytes held while the connection is open.
 	Memory float64
-	// CPU is for opening it.
+	// CPU is the processor time for opening it.
 	CPU time.Duration
-	// Sent is what the end that dials sends until the connection is open,
-	// Received what it gets, both without the headers of TCP and IP.
+	// Sent and Received are the bytes that the dialling end sends and receives until the
+	// connection is open, without headers of TCP and IP.
 	Sent, Received float64
 }
 
-// countingListener counts what its connections carry.
+// countingListener counts the bytes that its connections receive and send.
 type countingListener struct {
 	net.Listener
 	in, out atomic.Int64
@@ -150,8 +150,8 @@
 func (idleHandler) Down(*transport.Conn)               {}
 func (idleHandler) Busy(wire.NodeID) bool              { return false }
 
-// MeasureConnections opens count connections to one node, each from a node of
-// its own, over loopback.
+// MeasureConnections opens count connections to one node over loopback, each from a
+// separate node.
 func MeasureConnections(count int) (Connection, error) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -166,23 +166,23 @@
 	server := &http.Server{Handler: mux}
 	go server.Serve(listener)
 	defer server.Close()
-	ends := make([]*transport.Transport, count)
-	for i := range ends {
-		ends[i] = newTransport(fmt.Sprintf("127.0.0.2:%d", i+1))
-		defer ends[i].Close()
+	peers := make([]*transport.Transport, count)
+	for i := range peers {
+		peers[i] = newTransport(fmt.Sprintf("127.0.0.2:%d", i+1))
+		defer peers[i].Close()
 	}
-	before, used := memory(), cpuTime()
-	for _, end := range ends {
+	before, cpu := memoryInUse(), cpuTime()
+	for _, end := range peers {
 		if _, err := end.Connect(context.Background(), wire.NodeID{}, addr); err != nil {
 			return Connection{}, err
 		}
 	}
-	used = cpuTime() - used
-	grown := memory() - before
-	both := 2 * count
+	cpu = cpuTime() - cpu
+	growth := memoryInUse() - before
+	endCount := 2 * count
 	return Connection{
-		Memory:   float64(grown) / float64(both),
-		CPU:      used / time.Duration(both),
+		Memory:   float64(growth) / float64(endCount),
+		CPU:      cpu / time.Duration(endCount),
 		Sent:     float64(listener.in.Load()) / float64(count),
 		Received: float64(listener.out.Load()) / float64(count),
 	}, nil
--- a/internal/capacity/network.go
+++ b/internal/capacity/network.go
@@ -8,11 +8,11 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// One-way delays, after the users' own figures.
+// One-way network delays.
 const (
-	delayInDataCentre = 200 * time.Microsecond
-	delayInRegion     = time.Millisecond
-	delayFar          = 20 * time.Millisecond
+	delayInDataCentre   = 200 * time.Microsecond
+	delayInRegion       = time.Millisecond
+	delayBetweenRegions = 20 * time.Millisecond
 )
 
 func delay(a, b *Node) time.Duration {
@@ -22,22 +22,22 @@
 	case a.Spec.Region == b.Spec.Region:
 		return delayInRegion
 	default:
-		return delayFar
+		return delayBetweenRegions
 	}
 }
 
-// letter is a message on its way to the node to, or to whoever answers.
-type letter struct {
+// envelope is an encoded message to a node, or to any node at addr if to is zero.
+type envelope struct {
 	to   wire.NodeID
 	addr string
 	data []byte
 }
 
-// Dispatch does what a shell does with the messages of a machine.
+// Dispatch sends the messages that a state machine returned.
 func (s *Sim) Dispatch(from *Node, sends []membership.Send) {
 	for i := range sends {
 		send := &sends[i]
-		s.transmit(from, letter{send.To, send.Addr, encode(wire.KindMembership, &send.Msg)})
+		s.transmit(from, envelope{send.To, send.Addr, encode(wire.KindMembership, &send.Msg)})
 	}
 }
 
@@ -49,16 +49,16 @@
 	return data
 }
 
-func (s *Sim) transmit(from *Node, l letter) {
-	from.Stats.sent(s.at, len(l.data))
-	if peer := s.connected(from, l.to); peer != nil {
-		s.carry(from, peer, delay(from, peer), l.data)
+func (s *Sim) transmit(from *Node, env envelope) {
+	from.Stats.recordSend(s.at, len(env.data))
+	if peer := s.connected(from, env.to); peer != nil {
+		s.send(from, peer, delay(from, peer), env.data)
 		return
 	}
-	s.dial(from, l)
+	s.dial(from, env)
 }
 
-// connected returns the peer if a connection is open, whoever opened it.
+// connected returns the peer if either side has opened a connection, else nil.
 func (s *Sim) connected(from *Node, id wire.NodeID) *Node {
 	if id.IsZero() {
 		return nil
@@ -74,14 +74,14 @@
 	return peer
 }
 
-func (s *Sim) dial(from *Node, l letter) {
-	if l.addr == "" {
+func (s *Sim) dial(from *Node, env envelope) {
+	if env.addr == "" {
 		return
 	}
 	from.Stats.Dials++
-	peer := s.byAddr[l.addr]
+	peer := s.byAddr[env.addr]
 	if peer == nil || peer.Cut != from.Cut || peer.Frozen {
-		s.dialFailed(from, l)
+		s.dialFailed(from, env)
 		return
 	}
 	peer.Stats.Accepts.add(s.at, time.Second, 1)
@@ -89,28 +89,28 @@
 	peer.conns[from] = s.at
 	trip := 2 * delay(from, peer)
 	s.deliver(from, 2*trip, func() {
-		from.M.Answered(s.clock(from), l.addr, peer.ID)
-		if !l.to.IsZero() && l.to != peer.ID {
-			from.M.Failed(s.clock(from), l.to)
+		from.M.Answered(s.clock(from), env.addr, peer.ID)
+		if !env.to.IsZero() && env.to != peer.ID {
+			from.M.Failed(s.clock(from), env.to)
 		}
 	})
-	if l.to.IsZero() || l.to == peer.ID {
-		s.carry(from, peer, 2*trip+trip/2, l.data)
+	if env.to.IsZero() || env.to == peer.ID {
+		s.send(from, peer, 2*trip+trip/2, env.data)
 	}
 }
 
-func (s *Sim) dialFailed(from *Node, l letter) {
+func (s *Sim) dialFailed(from *Node, env envelope) {
 	s.deliver(from, s.cfg.DialTimeout, func() {
-		if l.to.IsZero() {
-			from.M.FailedAddr(s.clock(from), l.addr)
+		if env.to.IsZero() {
+			from.M.FailedAddr(s.clock(from), env.addr)
 			return
 		}
-		from.M.Failed(s.clock(from), l.to)
+		from.M.Failed(s.clock(from), env.to)
 	})
 }
 
-// carry brings one message over, or loses it.
-func (s *Sim) carry(from, to *Node, d time.Duration, data []byte) {
+// send delivers one message after d, or drops it at the configured loss rate.
+func (s *Sim) send(from, to *Node, d time.Duration, data []byte) {
 	from.conns[to] = s.at
 	to.conns[from] = s.at
 	if s.cfg.Loss > 0 && s.rng.Float64() < s.cfg.Loss {
@@ -138,7 +138,8 @@
 	s.Dispatch(to, to.M.Receive(s.clock(to), from.ID, msg))
 }
 
-// deliver runs f at a node after d, when it is thawed and if it lives.
+// deliver runs f at a node after d if the node is up. At a frozen node f waits until the
+// node is thawed.
 func (s *Sim) deliver(n *Node, d time.Duration, f func()) {
 	s.After(d, func() {
 		switch {
@@ -151,7 +152,7 @@
 	})
 }
 
-func (s *Sim) useLog(n *Node) {
+func (s *Sim) syncLog(n *Node) {
 	ctx := context.Background()
 	if from, limit, ok := n.M.WantLog(s.clock(n)); ok {
 		n.Stats.Reads++
@@ -164,13 +165,13 @@
 		return
 	}
 	n.Stats.Appends++
-	s.appends.add(s.at, time.Second, 1)
+	s.appendsPerSecond.add(s.at, time.Second, 1)
 	if _, err := s.Log.Append(ctx, membership.Stream, data); err != nil {
 		n.M.AnnounceFailed(s.clock(n))
 	}
 }
 
-// Connections counts a node's open connections.
+// Connections returns the number of open connections of a node.
 func (s *Sim) Connections(n *Node) int {
 	open := 0
 	for peer, last := range n.conns {
--- a/internal/capacity/sim.go
+++ b/internal/capacity/sim.go
@@ -1,10 +1,9 @@
-// Package capacity drives hundreds to thousands of the nodes' own state
-// machines in one process, with injected time and a fake network, and measures
-// them. docs/CAPACITY.md is written from its benchmarks.
+// Package capacity runs the state machines of hundreds to thousands of nodes in one
+// process, with simulated time and a simulated network, and measures them. The figures in
+// docs/CAPACITY.md come from its benchmarks.
 //
-// It is a scheduler and no more: what a node does is decided by the same types
-// that the daemon runs, and every message is encoded and decoded as between
-// two daemons.
+// The simulation only schedules events: the decisions of a node come from the types that
+// the daemon runs, and every message is encoded and decoded as between two daemons.
 package capacity
 
 import (
@@ -20,25 +19,25 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Config of a simulation.
+// Config configures a simulation.
 type Config struct {
 	Membership membership.Config
 	Seed       uint64
-	// TickEvery is how often each node's machines are ticked: the daemon's
-	// 200 ms, but 100 ms with Spread.
+	// TickEvery is the interval between ticks of each node: 200 ms as in the daemon, or
+	// 100 ms with Spread.
 	TickEvery time.Duration
-	// Loss is the share of messages that vanish. TCP would deliver them
-	// late or break the connection; losing them is the harder case.
+	// Loss is the share of messages that are dropped. TCP delays messages or breaks the
+	// connection instead; dropping them is harder to handle.
 	Loss float64
 	// DialTimeout and IdleTimeout are those of the transport.
 	DialTimeout time.Duration
 	IdleTimeout time.Duration
 	Log         fakelog.Config
-	// Spread runs the spread of the configuration too.
+	// Spread also runs the gossip of the configuration.
 	Spread bool
 }
 
-// DefaultConfig returns the daemon's own values.
+// DefaultConfig returns the settings of the daemon.
 func DefaultConfig() Config {
 	return Config{
 		Membership:  membership.DefaultConfig(),
@@ -50,7 +49,7 @@
 	}
 }
 
-// Node is one process.
+// Node is one simulated process.
 type Node struct {
 	ID   wire.NodeID
 	Spec Spec
@@ -59,20 +58,20 @@
 	C      *config.Spread
 	Up     bool
 	Frozen bool
-	// Skew is what the node's clock is ahead of the true time.
+	// Skew is the node's clock minus the true time.
 	Skew time.Duration
-	// Cut is the part of the network that the node is in; nodes in different
-	// parts do not reach each other.
+	// Cut is the network partition of the node. Nodes of different partitions can't
+	// reach each other.
 	Cut int
 
 	waiting []*event
 	conns   map[*Node]time.Duration
-	// members is the version of the membership that C knows.
-	members uint64
-	Stats   Stats
+	// membersVersion is the version of the membership that was last passed to C.
+	membersVersion uint64
+	Stats          Stats
 }
 
-// Spec says where a process runs.
+// Spec specifies where a process runs.
 type Spec struct {
 	Addr       string
 	Service    string
@@ -80,8 +79,8 @@
 	Region     string
 	Ready      bool
 	Seeds      []string
-	// Elsewhere is a process whose settings name the address of another: it
-	// can open connections but nobody reaches it.
+	// Elsewhere marks a process whose settings name the address of another one: it can
+	// open connections, but no node can reach it.
 	Elsewhere bool
 }
 
@@ -118,11 +117,11 @@
 	events schedule
 	byAddr map[string]*Node
 	byID   map[wire.NodeID]*Node
-	// Nodes are all processes that were ever started.
+	// Nodes lists all processes that were ever started.
 	Nodes []*Node
 	Log   *fakelog.Log
-	// appends counts those of all nodes.
-	appends Peak
+	// appendsPerSecond counts the appends of all nodes.
+	appendsPerSecond Peak
 }
 
 // New returns a simulation without nodes.
@@ -138,22 +137,22 @@
 	return s
 }
 
-// Now is the true time.
+// Now returns the true time.
 func (s *Sim) Now() time.Time { return s.start.Add(s.at) }
 
-// Elapsed is the simulated time.
+// Elapsed returns the simulated time since the start.
 func (s *Sim) Elapsed() time.Duration { return s.at }
 
-// SetLoss changes the share of messages that vanish.
+// SetLoss changes the share of messages that are dropped.
 func (s *Sim) SetLoss(share float64) { s.cfg.Loss = share }
 
-// After runs f when d has passed.
+// After runs f after d.
 func (s *Sim) After(d time.Duration, f func()) {
 	s.seq++
 	heap.Push(&s.events, &event{at: s.at + d, seq: s.seq, run: f})
 }
 
-// Run lets d pass.
+// Run advances the simulated time by d.
 func (s *Sim) Run(d time.Duration) {
 	end := s.at + d
 	for len(s.events) > 0 && s.events[0].at <= end {
@@ -164,20 +163,20 @@
 	s.at = end
 }
 
-// RunUntil lets time pass until done, checked at each step, or limit is over;
-// it returns the time it took and whether it was done.
+// RunUntil advances the simulated time until done, which it checks after each step, or
+// until limit has passed. It returns the time taken and whether done became true.
 func (s *Sim) RunUntil(limit, step time.Duration, done func() bool) (time.Duration, bool) {
-	begun := s.at
+	started := s.at
 	for !done() {
-		if s.at-begun >= limit {
-			return s.at - begun, false
+		if s.at-started >= limit {
+			return s.at - started, false
 		}
 		s.Run(step)
 	}
-	return s.at - begun, true
+	return s.at - started, true
 }
 
-// Start starts a process; one that runs at the same address is killed.
+// Start starts a process. A process that runs at the same address is killed.
 func (s *Sim) Start(spec Spec) *Node {
 	n := &Node{ID: s.newID(), Spec: spec, Up: true, conns: make(map[*Node]time.Duration)}
 	if old := s.byAddr[spec.Addr]; old != nil && !spec.Elsewhere {
@@ -208,16 +207,16 @@
 	return id
 }
 
-// Kill ends a process. Its peers' connections break, as the operating system
-// sees to.
+// Kill ends a process. Its peers notice, because the operating system closes its
+// connections.
 func (s *Sim) Kill(n *Node) {
 	for peer := range s.sortedConns(n) {
-		s.breaks(peer, n)
+		s.breakConnection(peer, n)
 	}
 	s.Lose(n)
 }
 
-// Lose ends a process with its instance: nobody is told.
+// Lose ends a process without closing its connections, as the loss of its instance does.
 func (s *Sim) Lose(n *Node) {
 	n.Up = false
 	n.waiting = nil
@@ -226,7 +225,7 @@
 	}
 }
 
-func (s *Sim) breaks(peer, n *Node) {
+func (s *Sim) breakConnection(peer, n *Node) {
 	if !peer.Up || peer.Cut != n.Cut {
 		return
 	}
@@ -234,8 +233,8 @@
 	s.deliver(peer, delay(n, peer), func() { peer.M.Failed(s.clock(peer), n.ID) })
 }
 
-// sortedConns yields the peers in a fixed order: the schedule must not depend
-// on the order of a map.
+// sortedConns yields the connected peers in a fixed order, because the schedule must not
+// depend on the order of a map.
 func (s *Sim) sortedConns(n *Node) func(yield func(*Node) bool) {
 	return func(yield func(*Node) bool) {
 		for _, peer := range s.Nodes {
@@ -246,10 +245,10 @@
 	}
 }
 
-// Freeze pauses a process; what arrives waits.
+// Freeze pauses a process. Messages that arrive are queued.
 func (s *Sim) Freeze(n *Node) { n.Frozen = true }
 
-// Thaw lets it go on.
+// Thaw resumes a frozen process.
 func (s *Sim) Thaw(n *Node) {
 	if !n.Frozen {
 		return
@@ -269,11 +268,11 @@
 	}
 	if !n.Frozen {
 		s.Dispatch(n, n.M.Tick(s.clock(n)))
-		s.useLog(n)
+		s.syncLog(n)
 		s.tickConfig(n)
 	}
 	s.After(s.cfg.TickEvery, func() { s.tick(n) })
 }
 
-// Label names a node in a test's message.
+// Label names a node in test messages.
 func (n *Node) Label() string { return fmt.Sprintf("%s@%s", n.ID.Short(), n.Spec.Addr) }
--- a/internal/capacity/stats.go
+++ b/internal/capacity/stats.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Stats of one node since the last ResetStats.
+// Stats counts the activity of one node since the last ResetStats.
 type Stats struct {
 	Messages uint64
 	Bytes    uint64
 	Dials    uint64
 	Appends  uint64
 	Reads    uint64
-	// Second, TenSeconds and Accepts are the most that it sent in one second
-	// and in ten, and the most connections that it took in one second.
+	// Second and TenSeconds hold the most bytes sent in one second and in ten; Accepts
+	// holds the most connections accepted in one second.
 	Second     Peak
 	TenSeconds Peak
 	Accepts    Peak
 }
 
-func (s *Stats) sent(at time.Duration, n int) {
+func (s *Stats) recordSend(at time.Duration, n int) {
 	s.Messages++
 	s.Bytes += uint64(n)
 	s.Second.add(at, time.Second, uint64(n))
 	s.TenSeconds.add(at, 10*time.Second, uint64(n))
 }
 
-// Peak is the most that was counted in one window of time.
+// Peak is the highest count in one window of time.
 type Peak struct {
 	Most   uint64
 	window int64
@@ -39,15 +39,15 @@
 	p.Most = max(p.Most, p.count)
 }
 
-// Total is what a fleet did in some time.
+// Total is the activity of a fleet in a period.
 type Total struct {
 	Nodes   int
 	Seconds float64
 	Stats
 }
 
-// Total adds up the nodes' counts since the last ResetStats, which was d ago;
-// of the peaks it keeps the worst node's.
+// Total adds up the counts of all nodes since the last ResetStats, which was d ago. For
+// peaks it returns that of the busiest node.
 func (s *Sim) Total(d time.Duration) Total {
 	t := Total{Nodes: len(s.Live()), Seconds: d.Seconds()}
 	for _, n := range s.Nodes {
@@ -63,15 +63,15 @@
 	return t
 }
 
-// PerNodeSecond divides a count by nodes and seconds.
+// PerNodeSecond returns a count per node and second.
 func (t Total) PerNodeSecond(count uint64) float64 {
 	return float64(count) / float64(t.Nodes) / t.Seconds
 }
 
-// ResetStats starts the counts of all nodes anew.
+// ResetStats resets the counts of all nodes.
 func (s *Sim) ResetStats() {
 	for _, n := range s.Nodes {
 		n.Stats = Stats{}
 	}
-	s.appends = Peak{}
+	s.appendsPerSecond = Peak{}
 }
