--- a/internal/loadmodel/baseline.go
+++ b/internal/loadmodel/baseline.go
@@ -8,45 +8,45 @@
 	"github.com/cassialoom/cassialoom/queue"
 )
 
-// unlimited is the capacity of a baseline that bounds nothing.
+// unlimited is the limit and the queue length of a baseline without bounds.
 const unlimited = 1 << 30
 
-// NoAdmission hands everything over at once and tries three times more at each
-// hop.
+// NoAdmission returns a policy that forwards every call at once and retries three times
+// at each hop.
 func NoAdmission() Policy {
 	return Policy{
 		Name:           "none + 3 retries/hop",
 		Limit:          func(int) limiter { return &fixedLimit{limit: unlimited} },
-		Queue:          func() waiting { return &fifo{bound: unlimited} },
+		Queue:          func() callQueue { return &fifo{bound: unlimited} },
 		HopRetries:     3,
 		AttemptTimeout: 400 * time.Millisecond,
 	}
 }
 
-// FixedFIFO has a limit set by hand and a first-in-first-out queue.
+// FixedFIFO returns a policy with a fixed limit and a FIFO queue.
 func FixedFIFO(bound int) Policy {
 	return Policy{
 		Name:   "fixed limit, FIFO",
 		Limit:  func(slots int) limiter { return &fixedLimit{limit: slots} },
-		Queue:  func() waiting { return &fifo{bound: bound} },
+		Queue:  func() callQueue { return &fifo{bound: bound} },
 		Cancel: true,
 	}
 }
 
-// FixedCoDel has a limit set by hand and a queue that drops by CoDel (Nichols
+// FixedCoDel returns a policy with a fixed limit and a queue that drops by CoDel (Nichols
 // and Jacobson, "Controlling Queue Delay", 2012).
 func FixedCoDel(bound int) Policy {
 	p := FixedFIFO(bound)
 	p.Name = "fixed limit, CoDel"
-	p.Queue = func() waiting {
+	p.Queue = func() callQueue {
 		return &codel{fifo: fifo{bound: bound}, target: 20 * time.Millisecond, interval: 100 * time.Millisecond}
 	}
 	return p
 }
 
-// WithLimit is our policy with another limit.
+// WithLimit returns the production policy with another limit.
 func WithLimit(name string, l func(int) limiter) Policy {
-	p := Ours()
+	p := Production()
 	p.Name = name
 	p.Limit = l
 	return p
@@ -62,14 +62,15 @@
 func (f *fixedLimit) End(time.Time, limit.Sample) { f.inFlight-- }
 func (f *fixedLimit) Waiting(time.Time, int)      {}
 
-// aimdLimit grows by one per limit of calls and falls by a tenth, once per
-// latency, when the mean latency is twice the least mean or a call is refused.
+// aimdLimit is an additive-increase, multiplicative-decrease limit. It grows by one per
+// limit of calls and falls by a tenth, at most once per latency, when the mean latency is
+// more than twice the lowest mean or a call is refused.
 type aimdLimit struct {
 	fixedLimit
-	value       float64
-	mean, least float64
-	calls       int
-	last        time.Time
+	value            float64
+	mean, lowestMean float64
+	calls            int
+	last             time.Time
 }
 
 func newAIMD(int) limiter { return &aimdLimit{value: 20} }
@@ -82,7 +83,7 @@
 		return
 	}
 	a.average(s.Latency.Seconds())
-	slow := s.Outcome == limit.Overload || a.least > 0 && a.mean > 2*a.least
+	slow := s.Outcome == limit.Overload || a.lowestMean > 0 && a.mean > 2*a.lowestMean
 	switch {
 	case slow && now.Sub(a.last) > s.Latency:
 		a.value = max(1, a.value*0.9)
@@ -96,13 +97,13 @@
 	const calls = 50
 	a.calls++
 	a.mean += (x - a.mean) / float64(min(a.calls, calls))
-	if a.calls > calls && (a.least == 0 || a.mean < a.least) {
-		a.least = a.mean
+	if a.calls > calls && (a.lowestMean == 0 || a.mean < a.lowestMean) {
+		a.lowestMean = a.mean
 	}
 }
 
-// gradientLimit follows the ratio of a long to a short average of latency, as
-// Netflix's concurrency-limits (Gradient2) publishes it.
+// gradientLimit adjusts the limit by the ratio of a long to a short average of latency, as
+// Gradient2 of Netflix's concurrency-limits does.
 type gradientLimit struct {
 	fixedLimit
 	value       float64
@@ -136,7 +137,7 @@
 	g.value = max(1, g.value*(1-smoothing)+next*smoothing)
 }
 
-// fifo is a bounded first-in-first-out queue without regard to deadlines.
+// fifo is a bounded FIFO queue that ignores deadlines.
 type fifo struct {
 	bound int
 	items []queue.Item[*call]
@@ -166,7 +167,7 @@
 func (f *fifo) Shed(uint16) []queue.Item[*call]         { return nil }
 func (f *fifo) Len() int                                { return len(f.items) }
 
-// codel drops at the head when every item of an interval waited beyond target.
+// codel drops at the head when every item of an interval waited longer than target.
 type codel struct {
 	fifo
 	target, interval time.Duration
--- a/internal/loadmodel/model.go
+++ b/internal/loadmodel/model.go
@@ -10,7 +10,7 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// model is one run of a scenario with a policy.
+// model is the state of one run of a scenario with a policy.
 type model struct {
 	sim      *Sim
 	scenario *Scenario
@@ -39,79 +39,78 @@
 
 func (m *model) newNode(s int) *node {
 	b := &backend{
-		sim:     m.sim,
-		service: m.scenario.Services[s],
-		rng:     rand.New(rand.NewPCG(m.scenario.Seed, uint64(s)+2)),
-		spread:  m.scenario.Spread,
-		slow:    func() float64 { return m.slow(s) },
+		sim:        m.sim,
+		service:    m.scenario.Services[s],
+		rng:        rand.New(rand.NewPCG(m.scenario.Seed, uint64(s)+2)),
+		spread:     m.scenario.Spread,
+		slowFactor: func() float64 { return m.slowFactor(s) },
 	}
 	n := &node{
-		model:   m,
-		id:      wire.NodeID{byte(s + 1)},
-		service: s,
-		policy:  m.policy,
-		limit:   m.policy.Limit(m.scenario.Services[s].Slots),
-		queue:   m.policy.Queue(),
-		backend: b,
-		place:   place{report: &m.report},
+		model:        m,
+		id:           wire.NodeID{byte(s + 1)},
+		service:      s,
+		policy:       m.policy,
+		limit:        m.policy.Limit(m.scenario.Services[s].Slots),
+		queue:        m.policy.Queue(),
+		backend:      b,
+		orderChecker: orderChecker{report: &m.report},
 	}
 	if m.policy.Admission {
 		n.gate = admission.NewGate(m.policy.Gate)
 		n.levels = admission.NewLevels(m.policy.Levels, admission.NewNews(admission.NewsConfig{}), m.scenario.Seed)
-		n.levels.PassOn(m.scenario.below(s))
+		n.levels.PassOn(m.scenario.servicesBelow(s))
 		n.entry = admission.NewLevels(m.policy.Levels, admission.NewNews(admission.NewsConfig{}), m.scenario.Seed+1)
 	}
 	return n
 }
 
-// slow is the present slow-down of a service.
-func (m *model) slow(s int) float64 {
+// slowFactor returns the current factor on the work of a service.
+func (m *model) slowFactor(s int) float64 {
 	p := &m.scenario.Phases[m.phase]
-	if p.Slow == 0 || p.SlowService != s {
+	if p.SlowFactor == 0 || p.SlowService != s {
 		return 1
 	}
 	if !p.Cold {
-		return p.Slow
+		return p.SlowFactor
 	}
-	left := 1 - float64(m.sim.now.Sub(m.phaseAt))/float64(p.For)
-	return 1 + (p.Slow-1)*max(left, 0)
+	left := 1 - float64(m.sim.now.Sub(m.phaseAt))/float64(p.Duration)
+	return 1 + (p.SlowFactor-1)*max(left, 0)
 }
 
-// Run measures a policy in a scenario.
+// Run runs a scenario with a policy.
 func Run(sc Scenario, p Policy) *Report {
 	m := newModel(&sc, &p)
 	end := epoch
 	for i := range sc.Phases {
 		m.phase, m.phaseAt = i, end
-		end = end.Add(sc.Phases[i].For)
-		m.arrive()
+		end = end.Add(sc.Phases[i].Duration)
+		m.scheduleArrival()
 		m.sim.run(end)
 		m.report.endPhase(i)
 	}
 	const drain = 2 * time.Second
 	m.phase = len(sc.Phases) - 1
 	m.sim.run(end.Add(drain))
-	m.report.finish()
+	m.report.computeRecovery()
 	return &m.report
 }
 
-// arrive schedules the next arrival of the phase; arrivals do not wait for
-// answers.
-func (m *model) arrive() {
+// scheduleArrival schedules the next arrival of the phase. Arrivals don't wait for answers.
+func (m *model) scheduleArrival() {
 	phase := m.phase
 	rate := m.scenario.Phases[phase].Load * m.scenario.capacity()
 	gap := time.Duration(m.rng.ExpFloat64() / rate * float64(time.Second))
-	end := m.phaseAt.Add(m.scenario.Phases[phase].For)
+	end := m.phaseAt.Add(m.scenario.Phases[phase].Duration)
 	if !m.sim.now.Add(gap).Before(end) {
 		return
 	}
 	m.sim.after(gap, func() {
 		m.request()
-		m.arrive()
+		m.scheduleArrival()
 	})
 }
 
-func (m *model) pick() *Operation {
+func (m *model) pickOperation() *Operation {
 	x := m.rng.Float64()
 	for i := range m.scenario.Operations {
 		op := &m.scenario.Operations[i]
@@ -122,10 +121,10 @@
 	return &m.scenario.Operations[len(m.scenario.Operations)-1]
 }
 
-// request is one whole request with the resends of its caller.
+// request starts one request and its caller's resends.
 func (m *model) request() {
 	m.ids++
-	op := m.pick()
+	op := m.pickOperation()
 	r := &request{
 		model:    m,
 		op:       op,
@@ -156,12 +155,12 @@
 func (r *request) answer(res result) {
 	now := r.model.sim.now
 	if res.ok && now.Before(r.deadline) {
-		r.model.report.good(r, res)
+		r.model.report.succeeded(r, res)
 		return
 	}
 	const hard = 20 * time.Millisecond
 	pause := hard
-	if r.model.scenario.Heed {
+	if r.model.scenario.ObeyRetryAfter {
 		pause = max(pause, res.retryAfter)
 	}
 	if r.resends == 0 || !now.Add(pause).Before(r.deadline) {
@@ -171,77 +170,77 @@
 	r.model.sim.after(pause, r.send)
 }
 
-// ask makes one call from a node, with the policy's retries, and returns what
-// cancels it.
-func (m *model) ask(from *node, levels *admission.Levels, op *Operation, hop int, priority uint16, bars []wirecall.Level, deadline time.Time, done func(result)) func() {
-	a := &asking{
-		model:    m,
-		from:     from,
-		levels:   levels,
-		op:       op,
-		hop:      hop,
-		priority: priority,
-		bars:     bars,
-		deadline: deadline,
-		left:     m.policy.HopRetries,
-		done:     done,
+// ask makes one call from a node, with the policy's retries. It returns a function that
+// cancels the call.
+func (m *model) ask(from *node, levels *admission.Levels, op *Operation, hop int, priority uint16, admittedLevels []wirecall.Level, deadline time.Time, done func(result)) func() {
+	a := &outgoingCall{
+		model:          m,
+		from:           from,
+		levels:         levels,
+		op:             op,
+		hop:            hop,
+		priority:       priority,
+		admittedLevels: admittedLevels,
+		deadline:       deadline,
+		retriesLeft:    m.policy.HopRetries,
+		done:           done,
 	}
 	a.attempt()
 	return a.cancel
 }
 
-// asking is one call with its attempts.
-type asking struct {
-	model    *model
-	from     *node
-	levels   *admission.Levels
-	op       *Operation
-	hop      int
-	priority uint16
-	bars     []wirecall.Level // that have let the request in
-	deadline time.Time
-	left     int
-	current  *call
-	over     bool
-	done     func(result)
+// outgoingCall is one call with its attempts.
+type outgoingCall struct {
+	model          *model
+	from           *node
+	levels         *admission.Levels
+	op             *Operation
+	hop            int
+	priority       uint16
+	admittedLevels []wirecall.Level
+	deadline       time.Time
+	retriesLeft    int
+	current        *call
+	ended          bool
+	done           func(result)
 }
 
-func (a *asking) attempt() {
+func (a *outgoingCall) attempt() {
 	m := a.model
 	var entry admission.Entry
 	if m.policy.Admission {
 		entry = a.levels.Admit(m.sim.now, m.reach(a.op, a.hop), a.priority)
 		if !entry.Admitted() {
-			a.from.place.shedAtEntry(m.sim.now, a.op.Importance)
+			a.from.orderChecker.shedAtEntry(m.sim.now, a.op.Importance)
 			a.finish(result{retryAfter: entry.RetryAfter})
 			return
 		}
 	}
 	m.ids++
 	to := m.nodes[a.op.Path[a.hop]]
-	bars := wirecall.HighestLevels(a.bars, entry.Bars)
-	c := &call{id: m.ids, bars: bars, op: a.op, hop: a.hop, priority: a.priority, deadline: a.deadline, node: to}
+	admittedLevels := wirecall.HighestLevels(a.admittedLevels, entry.Bars)
+	c := &call{id: m.ids, admittedLevels: admittedLevels, op: a.op, hop: a.hop, priority: a.priority, deadline: a.deadline, node: to}
 	c.reply = func(r result) {
 		m.sim.after(m.scenario.Delay, func() { a.answer(c, r) })
 	}
 	a.current = c
 	m.sim.after(m.scenario.Delay, func() {
-		if !c.over {
+		if !c.ended {
 			to.handle(c)
 		}
 	})
-	a.expire(c)
+	a.startTimeout(c)
 }
 
-// expire ends an attempt that gets no answer.
-func (a *asking) expire(c *call) {
+// startTimeout ends an attempt that gets no answer in time.
+func (a *outgoingCall) startTimeout(c *call) {
 	m := a.model
-	patience := a.deadline.Sub(m.sim.now)
+	timeout := a.deadline.Sub(m.sim.now)
 	if m.policy.AttemptTimeout > 0 {
-		patience = min(patience, m.policy.AttemptTimeout)
+		timeout = min(timeout, m.policy.AttemptTimeout)
 	}
-	m.sim.after(patience, func() {
-		if a.over || a.current != c {
+	m.sim.after(timeout, func() {
+		if a.ended || a.current != c {
 			return
 		}
 		if m.policy.Cancel {
@@ -251,8 +250,8 @@
 	})
 }
 
-func (a *asking) answer(c *call, r result) {
-	if a.over || a.current != c {
+func (a *outgoingCall) answer(c *call, r result) {
+	if a.ended || a.current != c {
 		return
 	}
 	a.current = nil
@@ -260,23 +259,23 @@
 	if m.policy.Admission {
 		a.levels.Heard(m.sim.now, c.node.backend.service.Name, c.node.id, r.levels)
 	}
-	if !r.ok && a.left > 0 && m.sim.now.Before(a.deadline) {
-		a.left--
+	if !r.ok && a.retriesLeft > 0 && m.sim.now.Before(a.deadline) {
+		a.retriesLeft--
 		a.attempt()
 		return
 	}
 	a.finish(r)
 }
 
-func (a *asking) finish(r result) {
-	if a.over {
+func (a *outgoingCall) finish(r result) {
+	if a.ended {
 		return
 	}
-	a.over = true
+	a.ended = true
 	a.done(r)
 }
 
-func (a *asking) cancel() {
+func (a *outgoingCall) cancel() {
 	c := a.current
 	if c == nil {
 		return
@@ -284,7 +283,7 @@
 	a.model.sim.after(a.model.scenario.Delay, func() { c.node.cancel(c) })
 }
 
-// reach names the services that a call of the operation touches from a hop on.
+// reach returns the names of the services that the operation calls from a hop on.
 func (m *model) reach(op *Operation, hop int) []string {
 	names := make([]string, 0, len(op.Path))
 	for _, s := range op.Path[hop:] {
--- a/internal/loadmodel/node.go
+++ b/internal/loadmodel/node.go
@@ -14,29 +14,29 @@
 type result struct {
 	ok         bool
 	retryAfter time.Duration
-	// used is the slot time of the call and of those that it made.
-	used   time.Duration
-	levels []wirecall.Level
+	// usedSlotTime is the slot time of the call and of the calls below it.
+	usedSlotTime time.Duration
+	levels       []wirecall.Level
 }
 
 // call is one attempt at one service.
 type call struct {
-	id       uint64
-	op       *Operation
-	hop      int
-	priority uint16
-	bars     []wirecall.Level // that have let it in
-	deadline time.Time
-	arrived  time.Time
-	node     *node
-	job      *job
-	inFlight int
-	begun    time.Time
-	waited   time.Duration
-	used     time.Duration
-	below    func()
-	over     bool
-	reply    func(result)
+	id             uint64
+	op             *Operation
+	hop            int
+	priority       uint16
+	admittedLevels []wirecall.Level
+	deadline       time.Time
+	arrived        time.Time
+	node           *node
+	job            *job
+	inFlight       int
+	started        time.Time
+	waited         time.Duration
+	usedSlotTime   time.Duration
+	cancelCall     func()
+	ended          bool
+	reply          func(result)
 }
 
 // node is one node with its backend server.
@@ -46,24 +46,26 @@
 	service int
 	policy  *Policy
 	limit   limiter
-	queue   waiting
+	queue   callQueue
 	gate    *admission.Gate
-	levels  *admission.Levels
-	entry   *admission.Levels
-	backend *backend
-	running int
-	place   place
-	own     uint16
+	// levels holds the levels for the backend server's calls, entry those for requests
+	// of callers.
+	levels       *admission.Levels
+	entry        *admission.Levels
+	backend      *backend
+	running      int
+	orderChecker orderChecker
+	ownLevel     uint16
 }
 
-// handle takes a call that arrives from another node.
+// handle processes a call from another node.
 func (n *node) handle(c *call) {
 	now := n.model.sim.now
 	c.node = n
 	c.arrived = now
 	if n.policy.Admission {
-		ok := n.gate.Admit(now, c.priority, wirecall.LevelOf(c.bars, n.backend.service.Name))
-		n.shedBelow()
+		ok := n.gate.Admit(now, c.priority, wirecall.LevelOf(c.admittedLevels, n.backend.service.Name))
+		n.shedBelowOwnLevel()
 		if !ok {
 			n.refuse(c)
 			return
@@ -72,7 +74,7 @@
 	item := queue.Item[*call]{ID: c.id, Priority: c.priority, Value: c}
 	if n.policy.Cancel {
 		item.Deadline = c.deadline
-		item.Need = n.expect(c)
+		item.Need = n.expectedTime(c)
 	}
 	if n.late(&item) {
 		n.observe(admission.Shed)
@@ -80,37 +82,37 @@
 		return
 	}
 	n.shed(n.queue.Push(now, item))
-	n.pump()
-	if !c.over && c.job == nil && n.policy.Cancel {
-		n.model.sim.after(c.deadline.Sub(now), n.pump)
+	n.startQueued()
+	if !c.ended && c.job == nil && n.policy.Cancel {
+		n.model.sim.after(c.deadline.Sub(now), n.startQueued)
 	}
 }
 
-// expect is how long the call takes at least.
-func (n *node) expect(c *call) time.Duration {
+// expectedTime returns the least time that the call is expected to take.
+func (n *node) expectedTime(c *call) time.Duration {
 	if l, ok := n.limit.(*limit.Limiter); ok {
 		return l.Expect(c.op.class())
 	}
 	return 0
 }
 
-// shedBelow empties the queue below the node's own level when that has risen.
-func (n *node) shedBelow() {
-	own := n.gate.Own(n.model.sim.now)
-	if own > n.own {
-		n.shed(n.queue.Shed(own))
+// shedBelowOwnLevel sheds queued calls below the node's own level when it has risen.
+func (n *node) shedBelowOwnLevel() {
+	ownLevel := n.gate.Own(n.model.sim.now)
+	if ownLevel > n.ownLevel {
+		n.shed(n.queue.Shed(ownLevel))
 	}
-	n.own = own
+	n.ownLevel = ownLevel
 }
 
-// late reports whether the call could not be served in time. Like calls that
-// expire, those do not count for the order.
+// late reports whether the call can't finish in time. Like expired calls, such calls don't
+// count as shed for the priority order.
 func (n *node) late(item *queue.Item[*call]) bool {
 	q, ok := n.queue.(*queue.Queue[*call])
 	return ok && q.Late(n.model.sim.now, item)
 }
 
-// shed refuses calls that left the queue for want of room.
+// shed refuses calls that the queue dropped because it was full or the level rose.
 func (n *node) shed(items []queue.Item[*call]) {
 	for _, item := range items {
 		n.observe(admission.Shed)
@@ -118,8 +120,8 @@
 	}
 }
 
-// expire refuses calls that waited for too long. Whatever begins after them
-// took nothing from them, so that they do not count for the order.
+// expire refuses calls that waited too long. They don't count as shed for the priority
+// order, because the calls that start after them took no slot from them.
 func (n *node) expire() {
 	for _, item := range n.queue.Expire(n.model.sim.now) {
 		n.observe(admission.Shed)
@@ -127,7 +129,7 @@
 	}
 }
 
-// observe tells the gate of a call that left the queue.
+// observe reports a call that left the queue to the gate.
 func (n *node) observe(event admission.Event) {
 	if !n.policy.Admission {
 		return
@@ -141,12 +143,12 @@
 }
 
 func (n *node) refuse(c *call) {
-	n.place.shed(n.model.sim.now, c)
+	n.orderChecker.shed(n.model.sim.now, c)
 	c.finish(result{})
 }
 
-// pump begins waiting calls while the limit allows.
-func (n *node) pump() {
+// startQueued starts queued calls while the limit allows.
+func (n *node) startQueued() {
 	now := n.model.sim.now
 	n.expire()
 	for n.running < n.limit.Limit() {
@@ -161,13 +163,13 @@
 
 func (n *node) start(c *call) {
 	now := n.model.sim.now
-	n.place.start(now, c)
+	n.orderChecker.start(now, c)
 	n.observe(admission.Served)
 	if n.policy.Admission {
-		n.shedBelow()
+		n.shedBelowOwnLevel()
 	}
 	n.running++
-	c.begun = now
+	c.started = now
 	c.inFlight = n.limit.Begin(now)
 	c.job = &job{run: func() { n.run(c) }}
 	if !n.backend.submit(c.job) {
@@ -175,8 +177,7 @@
 	}
 }
 
-// run does the call's work: half of it before the call that it makes, half
-// after.
+// run does the call's work: half of it before the call to the next service, half after.
 func (n *node) run(c *call) {
 	work := n.backend.work(c.op.Cost)
 	if c.hop == len(c.op.Path)-1 {
@@ -184,15 +185,15 @@
 		return
 	}
 	n.step(c, work/2, func() {
-		asked := n.model.sim.now
-		n.limit.Waiting(asked, 1)
-		c.below = n.model.ask(n, n.levels, c.op, c.hop+1, c.priority, c.bars, c.deadline, func(r result) {
+		sentAt := n.model.sim.now
+		n.limit.Waiting(sentAt, 1)
+		c.cancelCall = n.model.ask(n, n.levels, c.op, c.hop+1, c.priority, c.admittedLevels, c.deadline, func(r result) {
 			now := n.model.sim.now
 			n.limit.Waiting(now, -1)
-			c.below = nil
-			c.used += r.used
-			c.waited = now.Sub(asked)
-			if c.over || c.job.state != jobRunning {
+			c.cancelCall = nil
+			c.usedSlotTime += r.usedSlotTime
+			c.waited = now.Sub(sentAt)
+			if c.ended || c.job.state != jobRunning {
 				return
 			}
 			if !r.ok {
@@ -204,38 +205,38 @@
 	})
 }
 
-func (n *node) step(c *call, work time.Duration, then func()) {
+func (n *node) step(c *call, work time.Duration, next func()) {
 	n.model.sim.after(work, func() {
 		if c.job.state == jobRunning {
-			then()
+			next()
 		}
 	})
 }
 
-// complete ends a call that was begun.
+// complete ends a call that has started.
 func (n *node) complete(c *call, outcome limit.Outcome) {
-	if c.job.state == jobOver {
+	if c.job.state == jobEnded {
 		return
 	}
 	now := n.model.sim.now
 	held := n.backend.release(c.job)
 	n.running--
-	n.model.used(held)
-	c.used += held
+	n.model.usedSlotTime(held)
+	c.usedSlotTime += held
 	n.limit.End(now, limit.Sample{
-		Latency:    now.Sub(c.begun),
+		Latency:    now.Sub(c.started),
 		Downstream: c.waited,
 		InFlight:   c.inFlight,
 		Outcome:    outcome,
 		Class:      c.op.class(),
 	})
-	c.finish(result{ok: outcome == limit.Success, used: c.used})
-	n.pump()
+	c.finish(result{ok: outcome == limit.Success, usedSlotTime: c.usedSlotTime})
+	n.startQueued()
 }
 
-// cancel gives a call up: it leaves the queue or frees its slot.
+// cancel removes a call from the queue or frees its slot.
 func (n *node) cancel(c *call) {
-	if c.over {
+	if c.ended {
 		return
 	}
 	if c.job == nil {
@@ -243,30 +244,30 @@
 		c.finish(result{})
 		return
 	}
-	if c.below != nil {
-		c.below()
+	if c.cancelCall != nil {
+		c.cancelCall()
 	}
 	n.complete(c, limit.Ignore)
 }
 
 func (c *call) finish(r result) {
-	if c.over {
+	if c.ended {
 		return
 	}
-	c.over = true
-	r.levels = c.node.report()
+	c.ended = true
+	r.levels = c.node.replyLevels()
 	c.reply(r)
 }
 
-// report lists the levels that a reply carries.
-func (n *node) report() []wirecall.Level {
+// replyLevels returns the admission levels that a reply carries.
+func (n *node) replyLevels() []wirecall.Level {
 	if !n.policy.Admission {
 		return nil
 	}
 	now := n.model.sim.now
 	out := n.levels.Report(now)
-	if own := n.gate.Level(now); own > 0 {
-		out = append(out, wirecall.Level{Service: n.backend.service.Name, Priority: own})
+	if ownLevel := n.gate.Level(now); ownLevel > 0 {
+		out = append(out, wirecall.Level{Service: n.backend.service.Name, Priority: ownLevel})
 	}
 	return out
 }
--- a/internal/loadmodel/place.go
+++ b/internal/loadmodel/place.go
@@ -6,36 +6,37 @@
 	"github.com/cassialoom/cassialoom/importance"
 )
 
-// place watches the order at one node.
-type place struct {
-	report *Report
-	last   [importance.Count]time.Time
+// orderChecker counts calls that start at a node although a more important one was shed
+// while they waited.
+type orderChecker struct {
+	report   *Report
+	lastShed [importance.Count]time.Time
 }
 
-func (p *place) shed(now time.Time, c *call) { p.last[c.op.Importance] = now }
+func (p *orderChecker) shed(now time.Time, c *call) { p.lastShed[c.op.Importance] = now }
 
-// shedAtEntry is another place than the queue: what is refused for one service
-// is not compared with what is admitted to another.
-func (p *place) shedAtEntry(time.Time, importance.Importance) {}
+// shedAtEntry ignores requests refused at the entry: they concern another service than the
+// calls in the queue.
+func (p *orderChecker) shedAtEntry(time.Time, importance.Importance) {}
 
-// start compares a call that begins with what was shed since it arrived.
-func (p *place) start(_ time.Time, c *call) {
+// start compares a call that starts with the calls shed since it arrived.
+func (p *orderChecker) start(_ time.Time, c *call) {
 	p.report.Started++
 	for imp := c.op.Importance + 1; imp < importance.Count; imp++ {
-		if p.last[imp].After(c.arrived) {
+		if p.lastShed[imp].After(c.arrived) {
 			p.report.Inversions++
 			return
 		}
 	}
 	for imp := c.op.Importance + 1; imp < importance.Count; imp++ {
-		if p.last[imp].After(c.arrived.Add(-orderWindow)) {
-			p.report.Near++
+		if p.lastShed[imp].After(c.arrived.Add(-orderWindow)) {
+			p.report.NearInversions++
 			return
 		}
 	}
 }
 
-// class tells operations of different cost apart for the limit.
+// class returns a hash of the name, which separates operations in the limit.
 func (o *Operation) class() uint32 {
 	h := uint32(2166136261)
 	for _, b := range []byte(o.Name) {
--- a/internal/loadmodel/policy.go
+++ b/internal/loadmodel/policy.go
@@ -8,7 +8,7 @@
 	"github.com/cassialoom/cassialoom/queue"
 )
 
-// limiter is what a policy uses to bound the calls at a backend server.
+// limiter bounds the calls under way at a backend server.
 type limiter interface {
 	Limit() int
 	Begin(now time.Time) int
@@ -16,8 +16,8 @@
 	Waiting(now time.Time, change int)
 }
 
-// waiting is what a policy uses to hold calls until they may begin.
-type waiting interface {
+// callQueue holds calls until they may start.
+type callQueue interface {
 	Push(now time.Time, item queue.Item[*call]) []queue.Item[*call]
 	Pop(now time.Time) (queue.Item[*call], bool)
 	Remove(id uint64) (queue.Item[*call], bool)
@@ -26,31 +26,31 @@
 	Len() int
 }
 
-// Policy is one way to meet overload.
+// Policy is an overload policy.
 type Policy struct {
 	Name string
-	// Limit and Queue make the parts of one node. Only a limit set by hand
-	// goes by the slots.
+	// Limit and Queue create the limit and the queue of one node. Only fixed limits use
+	// slots.
 	Limit func(slots int) limiter
-	Queue func() waiting
-	// Gate and Levels configure admission; without Admission they are unused.
+	Queue func() callQueue
+	// Admission enables admission control; Gate and Levels configure it.
 	Admission bool
 	Gate      admission.GateConfig
 	Levels    admission.LevelsConfig
-	// Cancel makes deadlines and cancellation follow a request down.
+	// Cancel propagates deadlines and cancellation along the chain.
 	Cancel bool
-	// HopRetries is how often each caller in the chain tries again.
+	// HopRetries is the number of retries at each hop.
 	HopRetries int
-	// AttemptTimeout ends an attempt that has no answer; zero for none.
+	// AttemptTimeout ends an attempt without an answer. Zero means no timeout.
 	AttemptTimeout time.Duration
 }
 
-// Ours is the policy that cassialoom runs.
-func Ours() Policy {
+// Production returns the policy of cassialoom.
+func Production() Policy {
 	return Policy{
 		Name:      "cassialoom",
 		Limit:     func(int) limiter { return limit.New(limit.DefaultConfig()) },
-		Queue:     func() waiting { return queue.New[*call](queue.DefaultConfig()) },
+		Queue:     func() callQueue { return queue.New[*call](queue.DefaultConfig()) },
 		Admission: true,
 		Gate:      admission.DefaultGateConfig(),
 		Levels:    admission.DefaultLevelsConfig(),
--- a/internal/loadmodel/policy_test.go
+++ b/internal/loadmodel/policy_test.go
@@ -11,12 +11,9 @@
 	"github.com/cassialoom/cassialoom/internal/proptest"
 )
 
-// The caller sees: its rescue crew's forecast fails in a surge that ten times
-// the slots could not serve, or still fails after the surge. The surge comes
-// and goes; callers send failed requests again at once. What the slots allow
-// must nearly all be whole requests of the greatest importance, hardly any work
-// may be lost, and two seconds after the surge all requests succeed.
-func TestSurge(t *testing.T) {
+// Guards against wasted work in a surge and failures after it: the slots must go to whole
+// requests of the highest importance, and two seconds later all requests succeed.
+func TestSurgeServesTheMostImportant(t *testing.T) {
 	cases := []struct {
 		sc      Scenario
 		goodput float64
@@ -29,61 +26,56 @@
 	}
 	for _, c := range cases {
 		is := is.New(t)
-		r := Run(c.sc, Ours())
+		r := Run(c.sc, Production())
 		t.Log(c.sc.Name, r.Row())
 		during := &r.Phases[1]
 		is.True(during.Goodput() >= c.goodput)
-		is.True(during.Important(importance.Critical) >= 0.95)
-		is.True(during.Wasted() < 0.05)
+		is.True(during.GoodputFrom(importance.Critical) >= 0.95)
+		is.True(during.WastedShare() < 0.05)
 		is.True(r.Recovery <= 2*time.Second)
 		is.True(!r.Down)
 		is.Equal(r.Inversions, 0)
 	}
 }
 
-// The caller sees: refusals although there is room for all. At 0.7 of what the
-// slots allow nothing is shed, with one service and along a chain, once a cold
-// node has found its limit.
+// Guards against refusals below capacity: at 0.7 of it nothing is shed after the limit has
+// adapted, with one service and along a chain.
 func TestNothingIsShedWithoutOverload(t *testing.T) {
 	for _, sc := range []Scenario{single(0.7), chain(0.7)} {
 		is := is.New(t)
-		r := Run(sc, Ours())
-		is.Equal(r.Phases[1].Failed(), 0.0)
-		is.Equal(r.Phases[2].Failed(), 0.0)
+		r := Run(sc, Production())
+		is.Equal(r.Phases[1].FailedShare(), 0.0)
+		is.Equal(r.Phases[2].FailedShare(), 0.0)
 	}
 }
 
-// The caller sees: the unimportant half of the requests served while its own
-// fails. On the same arrivals a fixed limit with a plain queue begins thousands
-// of calls after it shed a more important one that had come in the meantime,
-// and without admission retries keep everything down long after the surge; here
-// neither happens.
-func TestAgainstPlainQueueAndNoAdmission(t *testing.T) {
+// Guards against less important calls that start before more important ones, and against a
+// service that stays overloaded after a surge, as with a FIFO queue or without admission.
+func TestOutperformsFIFOQueueAndNoAdmission(t *testing.T) {
 	is := is.New(t)
 	sc := single(3)
 	plain := Run(sc, FixedFIFO(1000))
 	none := Run(sc, NoAdmission())
-	ours := Run(sc, Ours())
+	ours := Run(sc, Production())
 	is.True(plain.Inversions > 1000)
 	is.True(none.Down)
 	is.Equal(ours.Inversions, 0)
 	is.True(!ours.Down)
 	for _, imp := range []importance.Importance{importance.High, importance.Critical} {
-		is.True(ours.Phases[1].Important(imp) > 2*plain.Phases[1].Important(imp))
+		is.True(ours.Phases[1].GoodputFrom(imp) > 2*plain.Phases[1].GoodputFrom(imp))
 	}
-	is.True(ours.Phases[1].Wasted() < plain.Phases[1].Wasted())
+	is.True(ours.Phases[1].WastedShare() < plain.Phases[1].WastedShare())
 }
 
-// The caller sees: a service that slowed down and is never used fully again, or
-// one that is flooded while it is cold.
-func TestSlowAndCold(t *testing.T) {
+// Guards against a limit that stays too low after a slowdown or too high at a cold start.
+func TestSlowdownAndColdStart(t *testing.T) {
 	for _, sc := range []Scenario{
 		slowdown(single(1), 3, 0, false),
 		slowdown(single(1), 5, 0, true),
 		slowdown(chain(1), 20, 3, false),
 	} {
 		is := is.New(t)
-		r := Run(sc, Ours())
+		r := Run(sc, Production())
 		t.Log(sc.Name, r.Row())
 		is.True(r.Phases[1].Goodput() >= 0.85)
 		is.True(r.Recovery <= 2*time.Second)
@@ -91,9 +83,8 @@
 	}
 }
 
-// The caller sees: a less important call taken off the queue after its own was
-// shed there. Random services, mixes, loads and slow-downs; however badly the
-// limit fits them, the order holds at each node.
+// Guards against a call that starts after a more important one was shed at the same node,
+// for random services, mixes, loads and slowdowns.
 func TestOrderHoldsUnderAnyLoad(t *testing.T) {
 	proptest.Check(t, func(r *rapid.T) {
 		sc := chain(1)
@@ -115,13 +106,13 @@
 		sc.Phases = nil
 		for range rapid.IntRange(1, 3).Draw(r, "phases") {
 			sc.Phases = append(sc.Phases, Phase{
-				For:         time.Second,
+				Duration:    time.Second,
 				Load:        rapid.Float64Range(0.2, 8).Draw(r, "load"),
-				Slow:        rapid.SampledFrom([]float64{0, 3, 20}).Draw(r, "slow"),
+				SlowFactor:  rapid.SampledFrom([]float64{0, 3, 20}).Draw(r, "slow"),
 				SlowService: rapid.IntRange(0, 3).Draw(r, "slow service"),
 			})
 		}
-		if report := Run(sc, Ours()); report.Inversions > 0 {
+		if report := Run(sc, Production()); report.Inversions > 0 {
 			r.Fatalf("%d of %d calls begun against the order", report.Inversions, report.Started)
 		}
 	})
--- a/internal/loadmodel/scenario.go
+++ b/internal/loadmodel/scenario.go
@@ -10,11 +10,11 @@
 // Service is one service with one backend server.
 type Service struct {
 	Name string
-	// Slots is how many calls the backend server works on at once.
+	// Slots is the number of calls that the backend server runs at once.
 	Slots int
-	// Backlog is how many more it queues inside before it refuses.
+	// Backlog is the number of further calls that it queues before it refuses calls.
 	Backlog int
-	// Work is the mean time that a call takes by itself.
+	// Work is the mean time of a call without the calls below it.
 	Work time.Duration
 }
 
@@ -22,51 +22,49 @@
 type Operation struct {
 	Name       string
 	Importance importance.Importance
-	// Share of all requests.
+	// Share is the share of all requests.
 	Share float64
-	// Path is the chain of services that it calls, each from the one
-	// before, as indices into Scenario.Services.
+	// Path is the chain of services that the operation calls, as indices into
+	// Scenario.Services.
 	Path []int
 	// Cost multiplies the work at each service.
 	Cost     float64
 	Deadline time.Duration
 }
 
-// Phase is a time with a steady load.
+// Phase is a period with a constant load.
 type Phase struct {
-	Name string
-	For  time.Duration
-	// Load as a multiple of what the slots allow when nothing is slow.
+	Name     string
+	Duration time.Duration
+	// Load is a multiple of the capacity without slowdowns.
 	Load float64
-	// Slow multiplies the work of one service; no effect if it is zero.
-	Slow        float64
+	// SlowFactor multiplies the work of SlowService. Zero means no slowdown.
+	SlowFactor  float64
 	SlowService int
-	// Cold makes the slow-down fade out over the phase, as at a cold start.
+	// Cold makes the slowdown decrease to none over the phase, as after a cold start.
 	Cold bool
 }
 
-// Scenario is one run.
+// Scenario is the input of one run.
 type Scenario struct {
 	Name       string
 	Services   []Service
 	Operations []Operation
-	// Phases: the first is the time before the trigger, the last the time
-	// after it.
+	// Phases starts with the phase before the overload and ends with the one after it.
 	Phases []Phase
 	// Spread is the coefficient of variation of the work.
 	Spread float64
-	// Resends is how often a caller sends a failed request again.
+	// Resends is how often a caller resends a failed request at most.
 	Resends int
-	// Heed makes callers wait as long as they are told before they resend.
-	Heed bool
+	// ObeyRetryAfter makes callers obey Retry-After.
+	ObeyRetryAfter bool
 	// Delay is the one-way network delay between nodes.
 	Delay time.Duration
 	Seed  uint64
 }
 
-// usage is the mean time for which a request of the operation holds a slot of
-// each service, without any waiting: a caller's slot is held while its call is
-// served further down.
+// usage returns the mean time, in seconds, that a request of the operation holds a slot of
+// each service without waiting. A slot is held during the calls below.
 func (sc *Scenario) usage(op *Operation, slow func(service int) float64) []float64 {
 	use := make([]float64, len(sc.Services))
 	below := 0.0
@@ -84,18 +82,17 @@
 
 func noSlow(int) float64 { return 1 }
 
-// capacity is the rate of requests of the mix that just fills the scarcest
-// service.
+// capacity returns the rate of requests per second that fills the bottleneck service.
 func (sc *Scenario) capacity() float64 {
-	need := make([]float64, len(sc.Services))
+	slotSeconds := make([]float64, len(sc.Services))
 	for i := range sc.Operations {
 		op := &sc.Operations[i]
 		for s, t := range sc.usage(op, noSlow) {
-			need[s] += op.Share * t
+			slotSeconds[s] += op.Share * t
 		}
 	}
 	rate := 0.0
-	for s, n := range need {
+	for s, n := range slotSeconds {
 		if r := float64(sc.Services[s].Slots) / n; n > 0 && (rate == 0 || r < rate) {
 			rate = r
 		}
@@ -103,26 +100,25 @@
 	return rate
 }
 
-// best is the rate of whole requests by importance that the slots allow in a
-// phase when they go to the most important work first and none is wasted.
-// Operations of one importance are let in by equal shares until a service that
-// they need is full.
-func (sc *Scenario) best(p Phase) [importance.Count]float64 {
+// possibleRates returns the highest rates of whole requests by importance that the slots
+// allow in a phase: the most important work comes first, and no work is wasted. Operations
+// of one importance get equal shares until a service that they need is full.
+func (sc *Scenario) possibleRates(p Phase) [importance.Count]float64 {
 	if !p.Cold {
-		return sc.bestAt(p, p.Slow)
+		return sc.possibleRatesAt(p, p.SlowFactor)
 	}
 	const steps = 50
 	var out [importance.Count]float64
 	for i := range steps {
-		left := 1 - (float64(i)+0.5)/steps
-		for imp, rate := range sc.bestAt(p, 1+(p.Slow-1)*left) {
+		remaining := 1 - (float64(i)+0.5)/steps
+		for imp, rate := range sc.possibleRatesAt(p, 1+(p.SlowFactor-1)*remaining) {
 			out[imp] += rate / steps
 		}
 	}
 	return out
 }
 
-func (sc *Scenario) bestAt(p Phase, factor float64) [importance.Count]float64 {
+func (sc *Scenario) possibleRatesAt(p Phase, factor float64) [importance.Count]float64 {
 	var out [importance.Count]float64
 	slow := func(s int) float64 {
 		if factor > 0 && s == p.SlowService {
@@ -130,20 +126,20 @@
 		}
 		return 1
 	}
-	left := make([]float64, len(sc.Services))
-	for s := range left {
-		left[s] = float64(sc.Services[s].Slots)
+	free := make([]float64, len(sc.Services))
+	for s := range free {
+		free[s] = float64(sc.Services[s].Slots)
 	}
 	rate := p.Load * sc.capacity()
 	for imp := importance.Count - 1; imp >= 0; imp-- {
-		out[imp] = sc.fill(importance.Importance(imp), rate, left, slow)
+		out[imp] = sc.fill(importance.Importance(imp), rate, free, slow)
 	}
 	return out
 }
 
-func (sc *Scenario) fill(imp importance.Importance, rate float64, left []float64, slow func(int) float64) float64 {
+func (sc *Scenario) fill(imp importance.Importance, rate float64, free []float64, slow func(int) float64) float64 {
 	const steps = 1000
-	full := make([]bool, len(left))
+	full := make([]bool, len(free))
 	total := 0.0
 	for range steps {
 		for i := range sc.Operations {
@@ -152,28 +148,29 @@
 				continue
 			}
 			part := rate * op.Share / steps
-			total += sc.fillStep(op, part, left, full, slow)
+			total += sc.fillStep(op, part, free, full, slow)
 		}
 	}
 	return total
 }
 
-func (sc *Scenario) fillStep(op *Operation, part float64, left []float64, full []bool, slow func(int) float64) float64 {
+func (sc *Scenario) fillStep(op *Operation, part float64, free []float64, full []bool, slow func(int) float64) float64 {
 	use := sc.usage(op, slow)
 	for s, t := range use {
-		if t > 0 && (full[s] || left[s] < part*t) {
+		if t > 0 && (full[s] || free[s] < part*t) {
 			full[s] = true
 			return 0
 		}
 	}
 	for s, t := range use {
-		left[s] -= part * t
+		free[s] -= part * t
 	}
 	return part
 }
 
-// below names the services that a service calls, directly or not.
-func (sc *Scenario) below(s int) []string {
+// servicesBelow returns the names of the services that a service calls directly or
+// indirectly.
+func (sc *Scenario) servicesBelow(s int) []string {
 	var names []string
 	for _, op := range sc.Operations {
 		at := slices.Index(op.Path, s)
--- a/internal/loadmodel/sim.go
+++ b/internal/loadmodel/sim.go
@@ -1,8 +1,8 @@
-// Package loadmodel is a bench for the overload policy: an event loop with
-// modelled time drives the real limit, queue and admission types of one backend
-// server, or of a short chain of services with one backend server each, with
-// open-loop arrivals. It measures decisions, not code: there is no network
-// beyond a delay, no failure of nodes and no choice between backend servers.
+// Package loadmodel simulates overload policies. An event loop with simulated time drives
+// the production limit, queue and admission types of one backend server, or of a short
+// chain of services with one backend server each, under open-loop arrivals. It measures
+// decisions: there is no network beyond a delay, no failure of nodes and no choice between
+// backend servers.
 package loadmodel
 
 import (
@@ -18,9 +18,9 @@
 }
 
 type event struct {
-	at  time.Time
-	seq uint64
-	do  func()
+	at     time.Time
+	seq    uint64
+	action func()
 }
 
 type events []event
@@ -42,21 +42,21 @@
 	return x
 }
 
-// epoch is where modelled time starts; any fixed time will do.
+// epoch is the start of simulated time. The value is arbitrary but fixed.
 var epoch = time.Unix(1_000_000_000, 0)
 
 func newSim() *Sim { return &Sim{now: epoch} }
 
-func (s *Sim) after(d time.Duration, do func()) {
+func (s *Sim) after(d time.Duration, action func()) {
 	s.seq++
-	heap.Push(&s.events, event{at: s.now.Add(d), seq: s.seq, do: do})
+	heap.Push(&s.events, event{at: s.now.Add(d), seq: s.seq, action: action})
 }
 
 func (s *Sim) run(until time.Time) {
 	for len(s.events) > 0 && !s.events[0].at.After(until) {
 		next := heap.Pop(&s.events).(event)
 		s.now = next.at
-		next.do()
+		next.action()
 	}
 	s.now = until
 }
--- a/internal/loadmodel/table_test.go
+++ b/internal/loadmodel/table_test.go
@@ -9,7 +9,7 @@
 
 const seed = 20261202
 
-// single is one service with three operations of different cost.
+// single is one service with operations of different cost.
 func single(load float64) Scenario {
 	return Scenario{
 		Name:     "single",
@@ -27,18 +27,18 @@
 
 func surge(load float64) []Phase {
 	return []Phase{
-		{Name: "before", For: 5 * time.Second, Load: 0.7},
-		{Name: "during", For: 10 * time.Second, Load: load},
-		{Name: "after", For: 10 * time.Second, Load: 0.7},
+		{Name: "before", Duration: 5 * time.Second, Load: 0.7},
+		{Name: "during", Duration: 10 * time.Second, Load: load},
+		{Name: "after", Duration: 10 * time.Second, Load: 0.7},
 	}
 }
 
-// chain is four services with a third of Savukartta's slots each, the scarce
-// one last; not all requests reach it.
+// chain is a chain of four services whose last one is the bottleneck. Not all requests
+// reach it.
 func chain(load float64) Scenario { return chainOf(load, 147, 150, 150, 20) }
 
-// tight is a chain in which all services are nearly as scarce as the last: any
-// wait there fills the slots of those above.
+// tight is a chain in which calls that wait at the last service fill the slots of the
+// services above.
 func tight(load float64) Scenario {
 	sc := chainOf(load, 110, 90, 60, 20)
 	sc.Name = "tight chain"
@@ -66,13 +66,13 @@
 
 func slowdown(sc Scenario, factor float64, service int, cold bool) Scenario {
 	sc.Phases = surge(0.7)
-	sc.Phases[1].Slow = factor
+	sc.Phases[1].SlowFactor = factor
 	sc.Phases[1].SlowService = service
 	sc.Phases[1].Cold = cold
 	return sc
 }
 
-// TestTable prints the policies side by side; it judges nothing.
+// TestTable prints the results of all policies. It checks nothing.
 func TestTable(t *testing.T) {
 	if !testing.Verbose() {
 		return
@@ -87,7 +87,7 @@
 	all := []Policy{
 		NoAdmission(), FixedFIFO(1000), FixedCoDel(1000),
 		WithLimit("ours, AIMD limit", newAIMD), WithLimit("ours, gradient limit", newGradient),
-		Ours(),
+		Production(),
 	}
 	for _, load := range []struct {
 		name string
