--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// BenchmarkCall compares a call through two nodes with the same call straight
-// to the backend server. Caller, nodes and backend server share one process:
-// the difference between the two is what the nodes cost, allocations included.
+// BenchmarkCall compares a call through two nodes with a direct call to the backend server.
+// Caller, nodes and backend server share one process, so the difference is the cost of the
+// nodes, including allocations.
 func BenchmarkCall(b *testing.B) {
 	p, err := StartPair()
 	if err != nil {
@@ -24,19 +24,19 @@
 		{"200B", strings.Repeat("x", 200)},
 		{"16KiB", strings.Repeat("x", 16<<10)},
 	} {
-		for _, way := range []struct{ name, url string }{{"direct", p.Direct}, {"forwarded", p.Forwarded}} {
+		for _, target := range []struct{ name, url string }{{"direct", p.Direct}, {"forwarded", p.Forwarded}} {
 			call := func(b *testing.B) {
-				if err := post(b.Context(), client, way.url, size.body); err != nil {
+				if err := post(b.Context(), client, target.url, size.body); err != nil {
 					b.Error(err)
 				}
 			}
-			b.Run(size.name+"/one/"+way.name, func(b *testing.B) {
+			b.Run(size.name+"/one/"+target.name, func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					call(b)
 				}
 			})
-			b.Run(size.name+"/many/"+way.name, func(b *testing.B) {
+			b.Run(size.name+"/many/"+target.name, func(b *testing.B) {
 				b.ReportAllocs()
 				b.RunParallel(func(pb *testing.PB) {
 					for pb.Next() {
--- a/internal/bench/cluster.go
+++ b/internal/bench/cluster.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	startLimit = 30 * time.Second
-	stopLimit  = 10 * time.Second
-	// slots of the backend server are more than are ever used: what waits
-	// there is not the nodes' time.
+	startTimeout = 30 * time.Second
+	stopTimeout  = 10 * time.Second
+	// slots exceeds the concurrency of all loads, so that no call waits at the backend
+	// server.
 	slots = 280
 )
 
+// shape is the cluster of the measurement: two services without work.
 var shape = rig.Shape{
 	Name:        "bench",
 	Region:      "region",
@@ -29,7 +30,7 @@
 	},
 }
 
-// cluster is the two services as separate processes, one node each.
+// cluster holds the two services as separate processes with one node each.
 type cluster struct {
 	*rig.Cluster
 	entry *rig.Instance
@@ -42,14 +43,15 @@
 	return "http://" + c.entry.CallerAddr + "/call/" + workService + "/" + operation
 }
 
-// withCluster runs f against new processes of the programs in bin.
+// withCluster runs f with new processes of the programs in bin. If it returns an error, it
+// keeps the logs.
 func withCluster(ctx context.Context, bin string, f func(context.Context, *cluster) error) (err error) {
 	r, err := rig.New(bin)
 	if err != nil {
 		return err
 	}
 	defer func() {
-		err = errors.Join(err, r.Close(stopLimit))
+		err = errors.Join(err, r.Close(stopTimeout))
 		if err != nil {
 			err = fmt.Errorf("%w (logs: %s)", err, r.Dir())
 			return
@@ -64,7 +66,7 @@
 }
 
 func startCluster(ctx context.Context, r *rig.Rig) (*cluster, error) {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	rc, err := r.StartCluster(ctx, shape, rig.Options{Seed: 1})
 	if err != nil {
--- a/internal/bench/cmd/loopback/main.go
+++ b/internal/bench/cmd/loopback/main.go
@@ -1,5 +1,5 @@
-// Command loopback measures what a node costs, with all programs as separate
-// processes on loopback, and prints a table; see package internal/bench.
+// Command loopback measures the costs of a node, with all programs as separate processes on
+// loopback, and prints a table; see package internal/bench.
 package main
 
 import (
--- a/internal/bench/connections.go
+++ b/internal/bench/connections.go
@@ -13,12 +13,12 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// dialing is how many connections are opened at the same time.
-const dialing = 16
+// maxConcurrentDials is the number of connections opened at the same time.
+const maxConcurrentDials = 16
 
-// holdCallers opens n callers' connections to the node where calls enter; each
-// has made one call and is idle. closeAll ends them.
-func holdCallers(ctx context.Context, c *cluster, n int) (closeAll func(), err error) {
+// openCallerConnections opens n callers' connections to the entry node. Each makes one call
+// and then stays idle. closeAll closes them.
+func openCallerConnections(ctx context.Context, c *cluster, n int) (closeAll func(), err error) {
 	var mu sync.Mutex
 	var open []*http.Transport
 	closeAll = func() {
@@ -27,7 +27,7 @@
 		}
 	}
 	var group errgroup.Group
-	group.SetLimit(dialing)
+	group.SetLimit(maxConcurrentDials)
 	for range n {
 		group.Go(func() error {
 			t := &http.Transport{MaxIdleConnsPerHost: 1}
@@ -40,9 +40,9 @@
 	return closeAll, group.Wait()
 }
 
-// holdPeers opens n connections to the node as other nodes do; they say
-// nothing after the hellos. closeAll ends them.
-func holdPeers(ctx context.Context, i *rig.Instance, n int) (closeAll func(), err error) {
+// openPeerConnections opens n connections to a node as other nodes do. They stay idle after
+// the hello messages. closeAll closes them.
+func openPeerConnections(ctx context.Context, i *rig.Instance, n int) (closeAll func(), err error) {
 	var mu sync.Mutex
 	var open []*transport.Transport
 	closeAll = func() {
@@ -51,13 +51,13 @@
 		}
 	}
 	var group errgroup.Group
-	group.SetLimit(dialing)
+	group.SetLimit(maxConcurrentDials)
 	for range n {
 		group.Go(func() error {
 			cfg := transport.DefaultConfig()
 			cfg.Cluster = "main"
 			cfg.ID = wire.NewNodeID()
-			t := transport.New(cfg, silent{})
+			t := transport.New(cfg, idleHandler{})
 			mu.Lock()
 			open = append(open, t)
 			mu.Unlock()
@@ -70,11 +70,11 @@
 	return closeAll, group.Wait()
 }
 
-// silent is a peer that keeps its connections and takes no notice of anything.
-type silent struct{}
+// idleHandler keeps its connections and ignores all events.
+type idleHandler struct{}
 
-func (silent) Handle(*transport.Conn, wire.Frame) {}
-func (silent) Up(*transport.Conn)                 {}
-func (silent) Stalled(*transport.Conn)            {}
-func (silent) Down(*transport.Conn)               {}
-func (silent) Busy(wire.NodeID) bool              { return true }
+func (idleHandler) Handle(*transport.Conn, wire.Frame) {}
+func (idleHandler) Up(*transport.Conn)                 {}
+func (idleHandler) Stalled(*transport.Conn)            {}
+func (idleHandler) Down(*transport.Conn)               {}
+func (idleHandler) Busy(wire.NodeID) bool              { return true }
--- a/internal/bench/doc.go
+++ b/internal/bench/doc.go
@@ -1,9 +1,9 @@
-// Package bench measures what a node costs: the time that two nodes add to a
-// call, the processor time and allocations of a forwarded call, and the memory
-// and processor time of a node at rest and with many connections.
+// Package bench measures the costs of a node: the latency that two nodes add to a call, the
+// processor time and allocations of a forwarded call, and the memory and processor time of
+// an idle node and of one with many connections.
 //
-// The Go benchmarks run two nodes in one process. Command loopback, in cmd,
-// runs all as separate processes; docs/MEASURED.md has its figures.
+// The Go benchmarks run two nodes in one process. Command loopback, in cmd, runs all
+// programs as separate processes; docs/MEASURED.md has its figures.
 package bench
 
 import (
@@ -21,9 +21,9 @@
 	return graph.Split("bench.hcl", []byte(graphText))
 }
 
-const answerPoll = 50 * time.Millisecond
+const answerPollInterval = 50 * time.Millisecond
 
-// awaitAnswer returns when a request to url succeeds.
+// awaitAnswer polls url until a request succeeds.
 func awaitAnswer(ctx context.Context, url string) error {
 	for {
 		err := post(ctx, http.DefaultClient, url, "ready?")
@@ -33,12 +33,12 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("no answer in time: %w", err)
-		case <-time.After(answerPoll):
+		case <-time.After(answerPollInterval):
 		}
 	}
 }
 
-// post sends one request and reads the whole answer.
+// post sends one request and reads the whole answer. A status other than 200 is an error.
 func post(ctx context.Context, client *http.Client, url, body string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
--- a/internal/bench/openloop.go
+++ b/internal/bench/openloop.go
@@ -15,13 +15,13 @@
 	latencyDigits  = 3
 )
 
-// latencies are those of one way, in nanoseconds.
+// latencies holds the latencies of the calls to one URL in nanoseconds.
 type latencies struct {
-	mu     sync.Mutex
-	sent   *hdrhistogram.Histogram // from the moment of sending
-	due    *hdrhistogram.Histogram // from the moment that the call was due
-	failed int64
-	reason error // of the latest failure
+	mu       sync.Mutex
+	sent     *hdrhistogram.Histogram // from the time of sending
+	due      *hdrhistogram.Histogram // from the scheduled time, to include delays of the generator
+	failures int64
+	lastErr  error // of the latest failed call
 }
 
 func newLatencies() *latencies {
@@ -41,23 +41,23 @@
 func (l *latencies) fail(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.failed++
-	l.reason = err
+	l.failures++
+	l.lastErr = err
 }
 
-// openLoop sends calls at random moments (a Poisson process), whether or not
-// earlier ones were answered, the ways in turn, each at the given rate: what
-// else happens on the machine meets all ways alike.
+// openLoop is an open-loop load: a Poisson process sends calls whether or not earlier ones
+// were answered. The calls alternate between the URLs, so that other load of the machine
+// affects them equally.
 type openLoop struct {
-	ways   []string // URLs
-	rate   float64  // of each way, a second
-	length time.Duration
-	body   string
-	seed   uint64
+	urls     []string
+	rate     float64 // calls per second to each URL
+	duration time.Duration
+	body     string
+	seed     uint64
 }
 
 func (o openLoop) run(ctx context.Context, client *http.Client) []*latencies {
-	results := make([]*latencies, len(o.ways))
+	results := make([]*latencies, len(o.urls))
 	for i := range results {
 		results[i] = newLatencies()
 	}
@@ -66,14 +66,14 @@
 	var all sync.WaitGroup
 	at := time.Duration(0)
 	for k := 0; ; k++ {
-		at += time.Duration(rng.ExpFloat64() / (o.rate * float64(len(o.ways))) * float64(time.Second))
-		if at >= o.length || ctx.Err() != nil {
+		at += time.Duration(rng.ExpFloat64() / (o.rate * float64(len(o.urls))) * float64(time.Second))
+		if at >= o.duration || ctx.Err() != nil {
 			break
 		}
 		due := start.Add(at)
 		time.Sleep(time.Until(due))
-		way := k % len(o.ways)
-		all.Go(func() { o.call(ctx, client, o.ways[way], results[way], due) })
+		target := k % len(o.urls)
+		all.Go(func() { o.call(ctx, client, o.urls[target], results[target], due) })
 	}
 	all.Wait()
 	return results
--- a/internal/bench/pair.go
+++ b/internal/bench/pair.go
@@ -17,15 +17,15 @@
 	"github.com/cassialoom/cassialoom/ops"
 )
 
-// The services of the pair and of the processes: requests enter at the node of
-// entryService, which has no part in them, and run at that of workService.
+// Services of the pair and of the cluster. Requests enter at the node of entryService and
+// run at the backend server of workService.
 const (
 	entryService = "front"
 	workService  = "work"
 	operation    = "echo"
 )
 
-// graphText declares the two services; both ways of measuring publish it.
+// graphText declares the two services.
 const graphText = `
 service "` + entryService + `" {
   operation "` + operation + `" {
@@ -44,11 +44,11 @@
 }
 `
 
-// Pair is two nodes in this process, one of them beside a backend server that
-// answers with the request's body.
+// Pair is two nodes in this process, one of them with a backend server that returns the
+// body of the request.
 type Pair struct {
-	// Direct is the URL of the operation at the backend server, Forwarded at
-	// the node where callers enter.
+	// Direct is the URL of the operation at the backend server, Forwarded that at the
+	// entry node.
 	Direct    string
 	Forwarded string
 
@@ -56,10 +56,10 @@
 	servers []*http.Server
 }
 
-const pairStart = 10 * time.Second
+const pairStartTimeout = 10 * time.Second
 
-// StartPair starts the pair and waits until requests get through. Close must
-// be called.
+// StartPair starts the pair and waits until forwarded requests succeed. The caller must
+// call Close.
 func StartPair() (*Pair, error) {
 	p := &Pair{}
 	if err := p.start(); err != nil {
@@ -85,7 +85,7 @@
 		}
 		p.Forwarded = "http://" + callers + "/call/" + workService + "/" + operation
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), pairStart)
+	ctx, cancel := context.WithTimeout(context.Background(), pairStartTimeout)
 	defer cancel()
 	if err := publish(ctx, log); err != nil {
 		return err
@@ -135,10 +135,10 @@
 
 func (p *Pair) serveOn(ln net.Listener, srv *http.Server) {
 	p.servers = append(p.servers, srv)
-	go srv.Serve(ln) // ends with Close
+	go srv.Serve(ln) // returns after Close
 }
 
-// Close ends the nodes and the servers.
+// Close stops the nodes and the servers.
 func (p *Pair) Close() {
 	for _, n := range p.nodes {
 		n.Stop()
--- a/internal/bench/spread.go
+++ b/internal/bench/spread.go
@@ -6,20 +6,20 @@
 	"strconv"
 )
 
-// spread is one figure of several repeats.
-type spread []float64
+// samples holds the values of one figure in several repeats.
+type samples []float64
 
-// String is the median with the lowest and the highest.
-func (s spread) String() string {
+// String returns the median with the lowest and the highest value.
+func (s samples) String() string {
 	if len(s) == 0 {
 		return "not measured"
 	}
 	sorted := slices.Sorted(slices.Values(s))
-	return fmt.Sprintf("%s (%s to %s)", short(sorted[len(sorted)/2]), short(sorted[0]), short(sorted[len(sorted)-1]))
+	return fmt.Sprintf("%s (%s to %s)", formatFigure(sorted[len(sorted)/2]), formatFigure(sorted[0]), formatFigure(sorted[len(sorted)-1]))
 }
 
-// short keeps about three digits.
-func short(x float64) string {
+// formatFigure formats x with about three digits.
+func formatFigure(x float64) string {
 	switch {
 	case x >= 100 || x <= -100:
 		return strconv.FormatFloat(x, 'f', 0, 64)
@@ -30,28 +30,28 @@
 	}
 }
 
-// table collects figures under names, in the order in which they first came.
+// table collects figures by name, in the order of their first appearance.
 type table struct {
-	names   []string
+	rows    []string
 	columns []string
-	cells   map[string]map[string]spread // by name, then by column
+	cells   map[string]map[string]samples // by name, then by column
 }
 
 func newTable(columns []string) *table {
-	return &table{columns: columns, cells: make(map[string]map[string]spread)}
+	return &table{columns: columns, cells: make(map[string]map[string]samples)}
 }
 
 func (t *table) add(name, column string, figure float64) {
 	row, ok := t.cells[name]
 	if !ok {
-		row = make(map[string]spread)
+		row = make(map[string]samples)
 		t.cells[name] = row
-		t.names = append(t.names, name)
+		t.rows = append(t.rows, name)
 	}
 	row[column] = append(row[column], figure)
 }
 
-// markdown returns the table for a page.
+// markdown returns the table in Markdown.
 func (t *table) markdown() string {
 	text := "| |"
 	rule := "|---|"
@@ -60,7 +60,7 @@
 		rule += "---|"
 	}
 	text += "\n" + rule + "\n"
-	for _, name := range t.names {
+	for _, name := range t.rows {
 		text += "| " + name + " |"
 		for _, c := range t.columns {
 			text += " " + t.cells[name][c].String() + " |"
--- a/internal/bench/usage.go
+++ b/internal/bench/usage.go
@@ -11,28 +11,28 @@
 	"github.com/cassialoom/cassialoom/internal/rig"
 )
 
-// clockTick is the unit of processor times in /proc, USER_HZ: 100 on all
-// systems that Go runs on.
+// clockTick is the unit of processor times in /proc: USER_HZ is 100 on all systems that Go
+// supports.
 const clockTick = 10 * time.Millisecond
 
-// Fields of /proc/PID/stat after the command's name, which ends with ')'.
+// Indexes of fields of /proc/PID/stat after the command's name, which ends with ')'.
 const (
 	statUserTime   = 11
 	statSystemTime = 12
 )
 
-// usage is what a node's process has used so far.
+// usage holds the resources that a node's process has used so far.
 type usage struct {
 	cpu     time.Duration
 	mallocs uint64
-	bytes   uint64 // allocated
+	bytes   uint64 // allocated in total
 	heap    uint64 // live objects and garbage
 	stacks  uint64
 	rss     uint64
 }
 
-// vars is what usage reads of a node's counters.
-type vars struct {
+// debugVars is the part of /debug/vars that usageOf reads.
+type debugVars struct {
 	Memstats struct {
 		Mallocs    uint64
 		TotalAlloc uint64
@@ -42,7 +42,7 @@
 }
 
 func usageOf(ctx context.Context, i *rig.Instance) (usage, error) {
-	var v vars
+	var v debugVars
 	if err := i.Get(ctx, "/debug/vars", &v); err != nil {
 		return usage{}, err
 	}
@@ -60,7 +60,8 @@
 	return u, err
 }
 
-// processorTime is that of all threads, of those that have ended too.
+// processorTime returns the processor time of all threads of a process, including those
+// that have ended.
 func processorTime(pid int) (time.Duration, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -82,6 +83,7 @@
 	return time.Duration(ticks) * clockTick, nil
 }
 
+// residentBytes returns the resident set size of a process.
 func residentBytes(pid int) (uint64, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
