--- a/internal/replay/caller.go
+++ b/internal/replay/caller.go
@@ -33,6 +33,8 @@
 	rng        *rand.Rand
 }
 
+// send tries the request at random nodes until it succeeds, may not be retried or reaches
+// its deadline.
 func (r *request) send() {
 	deadline := r.start.Add(r.class.Deadline)
 	maxRetries := cmp.Or(r.class.MaxRetries, defaultMaxRetries)
--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -54,23 +54,23 @@
 // minimalExplain limits the records of decisions, which nothing reads here.
 var minimalExplain = explain.Config{Notable: 1, Ordinary: 1}
 
-func newNode(w *simulation, s *Service, speed float64, centre string, id wire.NodeID) *node {
+func newNode(sim *simulation, s *Service, speed float64, centre string, id wire.NodeID) *node {
 	n := &node{
-		simulation: w, id: id, service: s, centre: centre,
-		backend:    newBackend(s, speed, w.nextSeed()),
+		simulation: sim, id: id, service: s, centre: centre,
+		backend:    newBackend(s, speed, sim.nextSeed()),
 		running:    make(map[uint64]*run),
 		entryReach: reach.New(reach.DefaultConfig()),
 		callReach:  reach.New(reach.DefaultConfig()),
 	}
-	dc := w.policy.Dispatch
-	dc.Self, dc.Seed, dc.DataCentre = id, w.nextSeed(), centre
-	n.dispatch = dispatch.New(dc, linker{n}, w.members, explain.New(minimalExplain))
-	sc := w.policy.Serve
-	sc.Self, sc.Service, sc.Seed = id, s.Name, w.nextSeed()
+	dc := sim.policy.Dispatch
+	dc.Self, dc.Seed, dc.DataCentre = id, sim.nextSeed(), centre
+	n.dispatch = dispatch.New(dc, linker{n}, sim.members, explain.New(minimalExplain))
+	sc := sim.policy.Serve
+	sc.Self, sc.Service, sc.Seed = id, s.Name, sim.nextSeed()
 	now := time.Now()
 	n.callee = serve.New(sc, [once.SecretLen]byte{}, now)
 	n.callee.SetReady(now, true)
-	if !w.policy.HideSlots {
+	if !sim.policy.HideSlots {
 		n.callee.SetSlots(now, s.Slots)
 	}
 	return n
@@ -98,6 +98,7 @@
 	return d.Delay
 }
 
+// Call implements dispatch.Link.
 func (l link) Call(req call.Request) (func() bool, error) {
 	if l.from.centre != l.to.centre {
 		l.from.simulation.report.remoteAttempts.Add(1)
@@ -106,18 +107,23 @@
 	return func() bool { return true }, nil
 }
 
+// Cancel implements dispatch.Link.
 func (l link) Cancel(c call.Cancel) {
 	time.AfterFunc(l.delay(), func() {
 		l.to.apply(func(now time.Time, s *serve.Server) serve.Effects { return s.Cancel(now, c) })
 	})
 }
 
+// Done implements dispatch.Link.
 func (l link) Done() <-chan struct{} { return nil }
 
+// Answered implements dispatch.Link.
 func (l link) Answered() {}
 
+// Release implements dispatch.Link.
 func (l link) Release() {}
 
+// operation returns the operation of the graph for a class. It allows one extra attempt.
 func operation(c *Class) *graph.Operation {
 	return graph.Standalone(graph.Operation{
 		Service: c.Service, Name: c.Name, Idempotent: c.Idempotent, Importance: c.Importance, Deadline: c.Deadline, ExtraAttempts: 1,
@@ -145,12 +151,14 @@
 	return out
 }
 
+// reach returns the services that requests of class c have reached from here.
 func (n *node) reach(c *Class) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.entryReach.Reach(c.Name)
 }
 
+// learnReach records the services that a request of class c reached.
 func (n *node) learnReach(c *Class, reached []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -191,6 +199,7 @@
 	statusFailed = 500
 )
 
+// arrive handles a call from a node.
 func (n *node) arrive(req call.Request) {
 	c := n.simulation.classes[req.Operation]
 	n.attempts.Add(1)
@@ -226,6 +235,7 @@
 	}
 }
 
+// reply sends a reply with the admission levels that this node knows.
 func (n *node) reply(now time.Time, r call.Reply, ownLevel uint16) {
 	r.Levels = n.dispatch.Levels(now)
 	if ownLevel > 0 {
@@ -249,6 +259,7 @@
 	n.apply(func(now time.Time, s *serve.Server) serve.Effects { return s.Done(now, r.task.ID, result) })
 }
 
+// work runs a task to its result: the work at the backend server, then its calls.
 func (n *node) work(r *run) serve.Result {
 	if !n.backend.acquireSlot(r.ctx) {
 		return serve.Result{Verdict: verdict.NotRun, Reason: verdict.Shed, Offered: true}
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -95,6 +95,7 @@
 	return r
 }
 
+// bin returns the index of the bin of a time.
 func (r *Report) bin(at time.Time) int { return int(at.Sub(r.start) / bin) }
 
 // offered records a request that starts.
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -32,7 +32,7 @@
 
 // Run runs a scenario under a policy. It must be called in a bubble of synctest.
 func Run(scenario Scenario, policy Policy) *Report {
-	w := &simulation{
+	sim := &simulation{
 		deployment: &scenario.Deployment, policy: &policy, scenario: &scenario,
 		rng:        rand.New(rand.NewPCG(scenario.Seed, 1)),
 		nodes:      make(map[wire.NodeID]*node),
@@ -40,95 +40,98 @@
 		classes:    make(map[string]*Class),
 		operations: make(map[*Class]*graph.Operation),
 	}
-	w.report = newReport(&scenario, policy.Name)
+	sim.report = newReport(&scenario, policy.Name)
 	for _, c := range scenario.Deployment.Classes {
-		w.register(c)
+		sim.register(c)
 	}
-	w.buildNodes()
+	sim.buildNodes()
 	stop := make(chan struct{})
-	for _, n := range w.nodeList {
+	for _, n := range sim.nodeList {
 		go n.tick(stop)
 		if policy.Dispatch.News.Interval > 0 {
-			go n.gossipLevels(stop, rand.New(rand.NewPCG(w.nextSeed(), 5)))
+			go n.gossipLevels(stop, rand.New(rand.NewPCG(sim.nextSeed(), 5)))
 		}
 	}
 	for i := range scenario.Phases {
-		w.runPhase(i)
+		sim.runPhase(i)
 	}
-	w.callers.Wait()
+	sim.callers.Wait()
 	// A call may still run after its caller gave up. Wait for the longest deadline:
 	// synctest reports goroutines that are blocked at the end of the bubble as a
 	// deadlock.
-	time.Sleep(w.longestDeadline())
+	time.Sleep(sim.longestDeadline())
 	close(stop)
-	w.report.computeRecovery()
-	w.report.MaxRelativeLoad = w.maxRelativeLoad()
-	return w.report
+	sim.report.computeRecovery()
+	sim.report.MaxRelativeLoad = sim.maxRelativeLoad()
+	return sim.report
 }
 
 // maxRelativeLoad returns the value of Report.MaxRelativeLoad.
-func (w *simulation) maxRelativeLoad() float64 {
+func (sim *simulation) maxRelativeLoad() float64 {
 	var sent, speeds, highest float64
-	for _, n := range w.nodeList {
-		if n.service.Name == w.deployment.Bottleneck {
+	for _, n := range sim.nodeList {
+		if n.service.Name == sim.deployment.Bottleneck {
 			sent += float64(n.attempts.Load())
 			speeds += n.backend.speed
 		}
 	}
-	for _, n := range w.nodeList {
-		if n.service.Name == w.deployment.Bottleneck {
+	for _, n := range sim.nodeList {
+		if n.service.Name == sim.deployment.Bottleneck {
 			highest = max(highest, float64(n.attempts.Load())/sent/(n.backend.speed/speeds))
 		}
 	}
 	return highest
 }
 
-func (w *simulation) longestDeadline() (longest time.Duration) {
-	for _, c := range w.classes {
+func (sim *simulation) longestDeadline() (longest time.Duration) {
+	for _, c := range sim.classes {
 		longest = max(longest, c.Deadline)
 	}
 	return longest
 }
 
 // register adds a class and the classes that it calls.
-func (w *simulation) register(c *Class) {
-	w.classes[c.Name] = c
-	w.operations[c] = operation(c)
+func (sim *simulation) register(c *Class) {
+	sim.classes[c.Name] = c
+	sim.operations[c] = operation(c)
 	for _, callee := range c.Calls {
-		if w.classes[callee.Name] == nil {
-			w.register(callee)
+		if sim.classes[callee.Name] == nil {
+			sim.register(callee)
 		}
 	}
 }
 
 // buildNodes creates the nodes after all members are known.
-func (w *simulation) buildNodes() {
-	for i := range w.deployment.Services {
-		s := &w.deployment.Services[i]
+func (sim *simulation) buildNodes() {
+	for i := range sim.deployment.Services {
+		s := &sim.deployment.Services[i]
 		for k := range s.Speeds {
-			w.members.add(s.Name, s.dataCentre(k), wire.NodeID{byte(i + 1), byte(k + 1)})
+			sim.members.add(s.Name, s.dataCentre(k), wire.NodeID{byte(i + 1), byte(k + 1)})
 		}
 	}
-	for i := range w.deployment.Services {
-		s := &w.deployment.Services[i]
+	for i := range sim.deployment.Services {
+		s := &sim.deployment.Services[i]
 		for k, speed := range s.Speeds {
-			n := newNode(w, s, speed, s.dataCentre(k), wire.NodeID{byte(i + 1), byte(k + 1)})
-			w.nodes[n.id] = n
-			w.nodeList = append(w.nodeList, n)
+			n := newNode(sim, s, speed, s.dataCentre(k), wire.NodeID{byte(i + 1), byte(k + 1)})
+			sim.nodes[n.id] = n
+			sim.nodeList = append(sim.nodeList, n)
 		}
 	}
 }
 
-func (w *simulation) nextSeed() uint64 {
-	w.seeds++
-	return w.scenario.Seed<<8 + w.seeds
+// nextSeed returns a different seed at each call, derived from the seed of the scenario.
+func (sim *simulation) nextSeed() uint64 {
+	sim.seeds++
+	return sim.scenario.Seed<<8 + sim.seeds
 }
 
-func (w *simulation) nextID() string { return strconv.FormatUint(w.ids.Add(1), 10) }
+// nextID returns a unique request ID.
+func (sim *simulation) nextID() string { return strconv.FormatUint(sim.ids.Add(1), 10) }
 
 // tickInterval is the interval between ticks of a node, as in production.
 const tickInterval = 5 * time.Millisecond
 
+// tick calls Tick of the callee at tickInterval until stop is closed.
 func (n *node) tick(stop <-chan struct{}) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -167,29 +170,29 @@
 }
 
 // runPhase sends the requests of one phase without waiting for their answers.
-func (w *simulation) runPhase(i int) {
-	p := &w.scenario.Phases[i]
-	w.applyConditions(p)
+func (sim *simulation) runPhase(i int) {
+	p := &sim.scenario.Phases[i]
+	sim.applyConditions(p)
 	end := time.Now().Add(p.Duration)
 	for {
-		gap := time.Duration(w.rng.ExpFloat64() / (p.Load * w.deployment.capacity()) * float64(time.Second))
+		gap := time.Duration(sim.rng.ExpFloat64() / (p.Load * sim.deployment.capacity()) * float64(time.Second))
 		if !time.Now().Add(gap).Before(end) {
 			time.Sleep(time.Until(end))
 			return
 		}
 		time.Sleep(gap)
-		r := &request{simulation: w, class: w.pickClass(), phase: i, start: time.Now(), eager: w.rng.Float64() < w.scenario.EagerShare, rng: rand.New(rand.NewPCG(w.nextSeed(), 2))}
-		w.report.offered(r)
-		w.callers.Go(r.send)
+		r := &request{simulation: sim, class: sim.pickClass(), phase: i, start: time.Now(), eager: sim.rng.Float64() < sim.scenario.EagerShare, rng: rand.New(rand.NewPCG(sim.nextSeed(), 2))}
+		sim.report.offered(r)
+		sim.callers.Go(r.send)
 	}
 }
 
 // applyConditions sets the backend servers of the bottleneck service to the conditions of
 // the phase.
-func (w *simulation) applyConditions(p *Phase) {
+func (sim *simulation) applyConditions(p *Phase) {
 	index := 0
-	for _, n := range w.nodeList {
-		if n.service.Name != w.deployment.Bottleneck {
+	for _, n := range sim.nodeList {
+		if n.service.Name != sim.deployment.Bottleneck {
 			continue
 		}
 		slowFactor := 1.0
@@ -206,19 +209,19 @@
 			b.silentShare, b.errorShare = silentShare, errorShare
 		})
 		if stopped {
-			w.members.remove(n.service.Name, n.id)
+			sim.members.remove(n.service.Name, n.id)
 		}
 		index++
 	}
 }
 
 // pickClass draws the class of the next request.
-func (w *simulation) pickClass() *Class {
-	x := w.rng.Float64()
-	for _, c := range w.deployment.Classes {
+func (sim *simulation) pickClass() *Class {
+	x := sim.rng.Float64()
+	for _, c := range sim.deployment.Classes {
 		if x -= c.Share; x < 0 {
 			return c
 		}
 	}
-	return w.deployment.Classes[0]
+	return sim.deployment.Classes[0]
 }
