--- a/internal/capacity/badday.go
+++ b/internal/capacity/badday.go
@@ -61,6 +61,7 @@
 	return s.loseNodes(func(n *Node, _ int) bool { return n.Spec.DataCentre == "dc-0" })
 }
 
+// loseNodes loses the live nodes that lose selects; lost is the number lost before.
 func (s *Sim) loseNodes(lose func(n *Node, lost int) bool) FaultResult {
 	s.ResetStats()
 	lost := 0
--- a/internal/capacity/configuration.go
+++ b/internal/capacity/configuration.go
@@ -13,6 +13,7 @@
 // logDelay is the duration of one read of the log.
 const logDelay = 10 * time.Millisecond
 
+// tickConfig ticks the configuration gossip of a node.
 func (s *Sim) tickConfig(n *Node) {
 	if n.C == nil {
 		return
@@ -32,6 +33,8 @@
 	return peers
 }
 
+// perform carries out the actions of the configuration gossip: messages, appends to the log
+// and reads of it.
 func (s *Sim) perform(n *Node, a config.Actions) {
 	for _, send := range a.Send {
 		if r, ok := n.M.Lookup(send.To); ok {
--- a/internal/capacity/memory.go
+++ b/internal/capacity/memory.go
@@ -54,6 +54,7 @@
 	return table, views
 }
 
+// decodeTable returns a membership table filled from encoded messages.
 func decodeTable(messages [][]byte) *membership.Members {
 	self := membership.Record{ID: wire.NewNodeID(), PeerAddr: "10.255.0.1:7400"}
 	m := membership.New(membership.DefaultConfig(), self, 1)
@@ -142,6 +143,7 @@
 	return n, err
 }
 
+// idleHandler ignores all events of a transport.
 type idleHandler struct{}
 
 func (idleHandler) Handle(*transport.Conn, wire.Frame) {}
--- a/internal/capacity/network.go
+++ b/internal/capacity/network.go
@@ -15,6 +15,7 @@
 	delayBetweenRegions = 20 * time.Millisecond
 )
 
+// delay returns the one-way network delay between two nodes.
 func delay(a, b *Node) time.Duration {
 	switch {
 	case a.Spec.DataCentre == b.Spec.DataCentre:
@@ -49,6 +50,7 @@
 	return data
 }
 
+// transmit sends a message over an open connection, or dials first.
 func (s *Sim) transmit(from *Node, env envelope) {
 	from.Stats.recordSend(s.at, len(env.data))
 	if peer := s.connected(from, env.to); peer != nil {
@@ -74,6 +76,8 @@
 	return peer
 }
 
+// dial opens a connection and sends the message over it. Like a transport, it reports the
+// node that answered, or a failure, to the membership of from.
 func (s *Sim) dial(from *Node, env envelope) {
 	if env.addr == "" {
 		return
@@ -119,6 +123,7 @@
 	s.deliver(to, d, func() { s.receive(from, to, data) })
 }
 
+// receive decodes a message and passes it to the state machine that it is for.
 func (s *Sim) receive(from, to *Node, data []byte) {
 	if from.Cut != to.Cut {
 		return
@@ -152,6 +157,7 @@
 	})
 }
 
+// syncLog does the reads and appends of the log that the membership of n requests.
 func (s *Sim) syncLog(n *Node) {
 	ctx := context.Background()
 	if from, limit, ok := n.M.WantLog(s.clock(n)); ok {
--- a/internal/capacity/sim.go
+++ b/internal/capacity/sim.go
@@ -90,6 +90,7 @@
 	run func()
 }
 
+// schedule is a heap of events, ordered by time and then by sequence number.
 type schedule []*event
 
 func (s schedule) Len() int { return len(s) }
@@ -225,6 +226,7 @@
 	}
 }
 
+// breakConnection closes the connection of peer to n, and informs peer.
 func (s *Sim) breakConnection(peer, n *Node) {
 	if !peer.Up || peer.Cut != n.Cut {
 		return
@@ -260,6 +262,7 @@
 	n.waiting = nil
 }
 
+// clock returns the time of the node's clock.
 func (s *Sim) clock(n *Node) time.Time { return s.Now().Add(n.Skew) }
 
 func (s *Sim) tick(n *Node) {
--- a/internal/capacity/stats.go
+++ b/internal/capacity/stats.go
@@ -30,6 +30,7 @@
 	count  uint64
 }
 
+// add counts n at a time in windows of the given length.
 func (p *Peak) add(at, window time.Duration, n uint64) {
 	if w := int64(at / window); w != p.window {
 		p.window = w
