--- a/internal/loadmodel/baseline.go
+++ b/internal/loadmodel/baseline.go
@@ -52,6 +52,7 @@
 	return p
 }
 
+// fixedLimit is a constant limit.
 type fixedLimit struct {
 	limit    int
 	inFlight int
--- a/internal/loadmodel/model.go
+++ b/internal/loadmodel/model.go
@@ -138,6 +138,7 @@
 	r.send()
 }
 
+// request is one request of a caller with its resends.
 type request struct {
 	model    *model
 	op       *Operation
@@ -152,6 +153,7 @@
 	r.model.ask(r.entry, r.entry.entry, r.op, 0, r.priority, nil, r.deadline, r.answer)
 }
 
+// answer handles the answer to a try. It resends a failed request if resends and time remain.
 func (r *request) answer(res result) {
 	now := r.model.sim.now
 	if res.ok && now.Before(r.deadline) {
--- a/internal/loadmodel/node.go
+++ b/internal/loadmodel/node.go
@@ -205,6 +205,7 @@
 	})
 }
 
+// step runs next after the time of work unless the job has ended.
 func (n *node) step(c *call, work time.Duration, next func()) {
 	n.model.sim.after(work, func() {
 		if c.job.state == jobRunning {
--- a/internal/loadmodel/place.go
+++ b/internal/loadmodel/place.go
@@ -13,24 +13,24 @@
 	lastShed [importance.Count]time.Time
 }
 
-func (p *orderChecker) shed(now time.Time, c *call) { p.lastShed[c.op.Importance] = now }
+func (checker *orderChecker) shed(now time.Time, c *call) { checker.lastShed[c.op.Importance] = now }
 
 // shedAtEntry ignores requests refused at the entry: they concern another service than the
 // calls in the queue.
-func (p *orderChecker) shedAtEntry(time.Time, importance.Importance) {}
+func (checker *orderChecker) shedAtEntry(time.Time, importance.Importance) {}
 
 // start compares a call that starts with the calls shed since it arrived.
-func (p *orderChecker) start(_ time.Time, c *call) {
-	p.report.Started++
+func (checker *orderChecker) start(_ time.Time, c *call) {
+	checker.report.Started++
 	for imp := c.op.Importance + 1; imp < importance.Count; imp++ {
-		if p.lastShed[imp].After(c.arrived) {
-			p.report.Inversions++
+		if checker.lastShed[imp].After(c.arrived) {
+			checker.report.Inversions++
 			return
 		}
 	}
 	for imp := c.op.Importance + 1; imp < importance.Count; imp++ {
-		if p.lastShed[imp].After(c.arrived.Add(-orderWindow)) {
-			p.report.NearInversions++
+		if checker.lastShed[imp].After(c.arrived.Add(-orderWindow)) {
+			checker.report.NearInversions++
 			return
 		}
 	}
--- a/internal/loadmodel/report.go
+++ b/internal/loadmodel/report.go
@@ -121,11 +121,13 @@
 	return share(p.Succeeded[from:], p.Possible[from:])
 }
 
-func share(good []int, best []float64) float64 {
+// share returns the sum of succeeded divided by the sum of possible, or one if nothing is
+// possible.
+func share(succeeded []int, possible []float64) float64 {
 	g, b := 0.0, 0.0
-	for i := range good {
-		g += float64(good[i])
-		b += best[i]
+	for i := range succeeded {
+		g += float64(succeeded[i])
+		b += possible[i]
 	}
 	if b == 0 {
 		return 1
@@ -135,15 +137,15 @@
 
 // FailedShare returns the share of the offered requests that did not succeed.
 func (p *PhaseReport) FailedShare() float64 {
-	offered, good := 0, 0
+	offered, succeeded := 0, 0
 	for i := range p.Offered {
 		offered += p.Offered[i]
-		good += p.Succeeded[i]
+		succeeded += p.Succeeded[i]
 	}
 	if offered == 0 {
 		return 0
 	}
-	return 1 - float64(good)/float64(offered)
+	return 1 - float64(succeeded)/float64(offered)
 }
 
 // WastedShare returns the share of the slot time that was spent on requests that failed.
--- a/internal/loadmodel/scenario.go
+++ b/internal/loadmodel/scenario.go
@@ -118,6 +118,7 @@
 	return out
 }
 
+// possibleRatesAt returns the possible rates with a constant slowdown.
 func (sc *Scenario) possibleRatesAt(p Phase, factor float64) [importance.Count]float64 {
 	var out [importance.Count]float64
 	slow := func(s int) float64 {
@@ -137,6 +138,8 @@
 	return out
 }
 
+// fill assigns free slots to the requests of one importance in small equal steps. It returns
+// their rate, and reduces free.
 func (sc *Scenario) fill(imp importance.Importance, rate float64, free []float64, slow func(int) float64) float64 {
 	const steps = 1000
 	full := make([]bool, len(free))
@@ -154,6 +157,8 @@
 	return total
 }
 
+// fillStep assigns free slots to one step of an operation. It returns zero if a service on
+// the path is full.
 func (sc *Scenario) fillStep(op *Operation, part float64, free []float64, full []bool, slow func(int) float64) float64 {
 	use := sc.usage(op, slow)
 	for s, t := range use {
--- a/internal/loadmodel/sim.go
+++ b/internal/loadmodel/sim.go
@@ -23,6 +23,7 @@
 	action func()
 }
 
+// events is a heap of events, ordered by time and then by sequence number.
 type events []event
 
 func (e events) Len() int { return len(e) }
