--- a/internal/bench/cluster.go
+++ b/internal/bench/cluster.go
@@ -65,6 +65,7 @@
 	return f(ctx, c)
 }
 
+// startCluster starts the cluster and waits until forwarded requests succeed.
 func startCluster(ctx context.Context, r *rig.Rig) (*cluster, error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
--- a/internal/bench/loopback.go
+++ b/internal/bench/loopback.go
@@ -98,6 +98,7 @@
 	addFailure func(text string)
 }
 
+// run does each part of the measurement with a new cluster.
 func (m measurement) run(ctx context.Context) error {
 	for _, part := range []func(context.Context, *cluster) error{m.measureLoads, m.measureCallerConnections, m.measurePeerConnections} {
 		if err := withCluster(ctx, m.bin, part); err != nil {
@@ -123,6 +124,7 @@
 	return nil
 }
 
+// measureIdle measures the entry node without load.
 func (m measurement) measureIdle(ctx context.Context, c *cluster) error {
 	if m.cfg.Idle <= 0 {
 		return nil
@@ -149,6 +151,7 @@
 	m.add(name+": stacks, MB", float64(u.stacks)/bytesPerMB)
 }
 
+// measureLoad measures direct and forwarded calls at one rate.
 func (m measurement) measureLoad(ctx context.Context, c *cluster, client *http.Client, rate float64) error {
 	o := openLoop{
 		urls:     []string{c.direct(), c.forwarded()},
@@ -174,6 +177,7 @@
 	return nil
 }
 
+// addLatency adds the latencies of direct and forwarded calls and their difference.
 func (m measurement) addLatency(name string, direct, forwarded *latencies) {
 	us := func(ns int64) float64 { return float64(ns) / float64(time.Microsecond) }
 	for _, p := range []struct {
@@ -195,6 +199,7 @@
 	}
 }
 
+// nodeUsages returns the usage of the entry node and of the backend server's node.
 func nodeUsages(ctx context.Context, c *cluster) ([2]usage, error) {
 	var both [2]usage
 	for i, instance := range []*rig.Instance{c.entry, c.work} {
@@ -207,6 +212,7 @@
 	return both, nil
 }
 
+// addCosts adds the resources that both nodes used per call.
 func (m measurement) addCosts(name string, calls float64, before, after [2]usage) {
 	for i, node := range []string{"entry node", "backend server's node"} {
 		b, a := before[i], after[i]
@@ -229,6 +235,8 @@
 	})
 }
 
+// measureConnections measures the memory of the entry node for the connections that hold
+// opens.
 func (m measurement) measureConnections(ctx context.Context, c *cluster, what string, hold func() (func(), error)) error {
 	if m.cfg.Connections <= 0 {
 		return nil
--- a/internal/bench/pair.go
+++ b/internal/bench/pair.go
@@ -105,6 +105,7 @@
 	w.Write(body)
 }
 
+// startNode starts a node and returns the address of its listener for callers.
 func (p *Pair) startNode(service string, log *fakelog.Log) (callers string, err error) {
 	peers, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -148,6 +149,7 @@
 	}
 }
 
+// publish publishes graphText to the log.
 func publish(ctx context.Context, log *fakelog.Log) error {
 	sections, problems := splitGraph()
 	if err := problems.Err(); err != nil {
--- a/internal/bench/usage.go
+++ b/internal/bench/usage.go
@@ -41,6 +41,7 @@
 	} `json:"memstats"`
 }
 
+// usageOf reads the usage of the instance's node from its counters and from /proc.
 func usageOf(ctx context.Context, i *rig.Instance) (usage, error) {
 	var v debugVars
 	if err := i.Get(ctx, "/debug/vars", &v); err != nil {
