--- a/internal/soak/broken_test.go
+++ b/internal/soak/broken_test.go
@@ -13,16 +13,16 @@
 	"github.com/matryer/is"
 )
 
-// edit replaces one text of a source file by another in a build.
+// edit replaces one text of a source file for a build.
 type edit struct{ file, from, to string }
 
-// brokenBuilds each break one promise on purpose. A soak that finds nothing in them
-// would find nothing in a node that is broken by mistake.
-var brokenBuilds = []struct {
+// faultyBuilds are builds of the node that each break one promise on purpose. The soak
+// must find each violation.
+var faultyBuilds = []struct {
 	name    string
 	edits   []edit
-	faults  []string // that bring it out; all others are left out
-	promise string   // part of its text
+	faults  []string // the faults that expose it; no others are injected
+	promise string   // part of the promise's text
 }{
 	{
 		name:    "a request that may have run is sent again, idempotent or not",
@@ -31,13 +31,13 @@
 		promise: "at most once",
 	},
 	{
-		name:    "a request whose answer is lost is said not to have run",
+		name:    "a request whose answer is lost is reported as not run",
 		edits:   []edit{{"platform/callers.go", "if out.Verdict != verdict.NotRun {", "if out.Verdict == verdict.Ran {"}},
 		faults:  []string{"lose answers", "kill the node"},
-		promise: "not to have run",
+		promise: "reported as not run",
 	},
 	{
-		name: "answers are given to whoever waits, not to their requests",
+		name: "an answer to another request is accepted",
 		edits: []edit{
 			{"platform/target.go", "return backend.Foreign, 0", "return backend.Answered, 0"},
 		},
@@ -51,7 +51,7 @@
 		promise: "gets no work for long",
 	},
 	{
-		name: "a planned stop waits for good",
+		name: "a planned stop never ends",
 		edits: []edit{
 			{"node/stop.go", "for !n.idle() {", "for true {"},
 			{"daemon/platform_config.go", "stopShare = 0.95", "stopShare = 95"},
@@ -60,7 +60,7 @@
 		promise: "planned stop ends",
 	},
 	{
-		name: "a backend server that was started again stays unknown",
+		name: "a new backend incarnation is not accepted",
 		edits: []edit{
 			{"node/heartbeat.go", "before.sequence || n.starts.has(b.Instance)", "before.sequence || !same && before.boot != \"\" || n.starts.has(b.Instance)"},
 		},
@@ -68,33 +68,34 @@
 		promise: "recovers",
 	},
 	{
-		name:    "silence is taken for news that there is none",
+		name:    "a node without a freshness proof keeps serving",
 		edits:   []edit{{"node/proofs.go", "return !q.proved(q.clock(), proofLate)", "return false"}},
 		faults:  []string{"kill the node"},
 		promise: "in force in time",
 	},
 	{
-		name:    "a key that is not known any more is served",
+		name:    "a revoked key is served",
 		edits:   []edit{{"node/authorize.go", "if !known && !route.Open {", "if !known && false {"}},
 		faults:  []string{"publish routes"},
-		promise: "taken away",
+		promise: "revoked key",
 	},
 	{
-		name:    "each node lets in what it likes of a quota",
+		name:    "nodes do not enforce a quota",
 		edits:   []edit{{"node/authorize.go", "if !u.workspace.Quota.Limited() ||", "if true ||"}},
 		faults:  []string{"kill the node"},
 		promise: "within its quota",
 	},
 }
 
-func TestBrokenBuildsAreFound(t *testing.T) {
+// Guards against a soak that misses a broken promise.
+func TestFaultyBuildsAreFound(t *testing.T) {
 	if os.Getenv("PROVE") == "" {
-		t.Skip("minutes over real processes: only with PROVE=1")
+		t.Skip("takes minutes with real processes; runs only with PROVE=1")
 	}
-	for i, broken := range brokenBuilds {
+	for i, broken := range faultyBuilds {
 		t.Run(broken.name, func(t *testing.T) {
 			is := is.New(t)
-			res, err := Run(t.Context(), Config{Seed: 1, Faults: 15 * time.Second, Only: broken.faults, Bin: buildBroken(t, broken.edits),
+			res, err := Run(t.Context(), Config{Seed: 1, Faults: 15 * time.Second, Only: broken.faults, Bin: buildEdited(t, broken.edits),
 				Machines: 6, Clients: 4, Net: 90 + i, Say: func(string, ...any) {}})
 			is.NoErr(err)
 			t.Logf("%d promises broken in %d requests, such as %v", len(res.Broken), res.Requests, res.Broken[:min(1, len(res.Broken))])
@@ -104,8 +105,8 @@
 	}
 }
 
-// buildBroken builds cassialoomd with some texts of its sources replaced.
-func buildBroken(t *testing.T, edits []edit) (bin string) {
+// buildEdited builds cassialoomd with edited sources and returns the folder of the binary.
+func buildEdited(t *testing.T, edits []edit) (bin string) {
 	t.Helper()
 	is := is.New(t)
 	bin = t.TempDir()
@@ -115,7 +116,7 @@
 		is.NoErr(err)
 		text, err := os.ReadFile(path)
 		is.NoErr(err)
-		is.Equal(strings.Count(string(text), e.from), 1) // the source has changed: name another text
+		is.Equal(strings.Count(string(text), e.from), 1) // else the source has changed: adapt the edit
 		replace[path] = filepath.Join(bin, string(rune('a'+i))+".go")
 		is.NoErr(os.WriteFile(replace[path], []byte(strings.Replace(string(text), e.from, e.to, 1)), 0o600))
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -11,78 +11,79 @@
 	"github.com/cassialoom/cassialoom/platform/standin"
 )
 
-// fault is one kind of trouble. Its function brings the trouble about and ends
-// it; the context is the whole run's.
+// fault is one kind of fault. Its function injects the fault for the given time and
+// repairs it before it returns; the context is that of the run.
 type fault struct {
-	name string
-	do   func(ctx context.Context, w *world, b *box, d time.Duration) error
+	name   string
+	inject func(ctx context.Context, e *env, h *host, d time.Duration) error
 }
 
 const (
-	// leaveFor is how long a leaving backend server goes on after its node has
-	// acknowledged it: more than a second longer than it may get requests.
-	leaveFor = 3500 * time.Millisecond
-	// askLeaveFor is how long it asks for that: its node may be gone.
-	askLeaveFor = 5 * time.Second
+	// leaveRunTime is the time for which a leaving backend server runs on after its node
+	// has acknowledged the leaving. It is longer than the time in which the backend server
+	// may still get requests, so later ones show.
+	leaveRunTime = 3500 * time.Millisecond
+	// leaveTimeout bounds the wait for the acknowledgement, since the node may be down.
+	leaveTimeout = 5 * time.Second
 )
 
-// faults are all kinds. New ones go to the end; see Config.Kinds.
+// faults lists all kinds of faults. New kinds are appended; see Config.Kinds.
 var faults = []fault{
-	{"kill the node", func(ctx context.Context, w *world, b *box, _ time.Duration) error {
-		if err := b.node.Signal(syscall.SIGKILL); err != nil {
+	{"kill the node", func(ctx context.Context, e *env, h *host, _ time.Duration) error {
+		if err := h.node.Signal(syscall.SIGKILL); err != nil {
 			return err
 		}
-		return w.restart(ctx, b)
+		return e.restart(ctx, h)
 	}},
-	{"stop the node as planned", func(ctx context.Context, w *world, b *box, _ time.Duration) error {
-		if err := b.node.Signal(syscall.SIGTERM); err != nil {
+	{"stop the node as planned", func(ctx context.Context, e *env, h *host, _ time.Duration) error {
+		if err := h.node.Signal(syscall.SIGTERM); err != nil {
 			return err
 		}
-		return w.restart(ctx, b)
+		return e.restart(ctx, h)
 	}},
-	{"pause the node", func(ctx context.Context, _ *world, b *box, d time.Duration) error {
-		if err := b.node.Signal(syscall.SIGSTOP); err != nil {
+	{"pause the node", func(ctx context.Context, _ *env, h *host, d time.Duration) error {
+		if err := h.node.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
 		pause.For(ctx, d)
-		return b.node.Signal(syscall.SIGCONT)
+		return h.node.Signal(syscall.SIGCONT)
 	}},
-	{"reload the settings", func(_ context.Context, _ *world, b *box, _ time.Duration) error { return b.node.Signal(syscall.SIGHUP) }},
-	{"crash the backend server", func(ctx context.Context, w *world, b *box, d time.Duration) error {
-		b.target.Crash()
+	{"reload the settings", func(_ context.Context, _ *env, h *host, _ time.Duration) error { return h.node.Signal(syscall.SIGHUP) }},
+	{"crash the backend server", func(ctx context.Context, e *env, h *host, d time.Duration) error {
+		h.target.Crash()
 		pause.For(ctx, d)
-		return w.startTarget(b)
+		return e.startTarget(h)
 	}},
-	{"replace the backend server", func(ctx context.Context, w *world, b *box, _ time.Duration) error {
-		asking, cancel := context.WithTimeout(ctx, askLeaveFor)
+	{"replace the backend server", func(ctx context.Context, e *env, h *host, _ time.Duration) error {
+		asking, cancel := context.WithTimeout(ctx, leaveTimeout)
 		defer cancel()
-		// A backend server that nobody acknowledges ends all the same.
-		if b.target.Leave(asking) == nil {
-			pause.For(ctx, leaveFor)
+		// A backend server that isn't acknowledged ends too.
+		if h.target.Leave(asking) == nil {
+			pause.For(ctx, leaveRunTime)
 		}
-		if v := b.target.Violation(); v != "" {
-			w.noteBroken(Broken{Promise: "a leaving backend server gets no work for long", What: v})
+		if v := h.target.Violation(); v != "" {
+			e.addViolation(Broken{Promise: "a leaving backend server gets no work for long", What: v})
 		}
-		b.target.Crash()
-		return w.startTarget(b)
+		h.target.Crash()
+		return e.startTarget(h)
 	}},
-	{"lose answers", func(ctx context.Context, _ *world, b *box, d time.Duration) error {
-		b.target.Faults(0.3, 0)
+	{"lose answers", func(ctx context.Context, _ *env, h *host, d time.Duration) error {
+		h.target.Faults(0.3, 0)
 		pause.For(ctx, d)
-		b.target.Faults(0, 0)
+		h.target.Faults(0, 0)
 		return nil
 	}},
-	{"send second answers", func(ctx context.Context, _ *world, b *box, d time.Duration) error {
-		b.target.Faults(0, 0.3)
+	{"send second answers", func(ctx context.Context, _ *env, h *host, d time.Duration) error {
+		h.target.Faults(0, 0.3)
 		pause.For(ctx, d)
-		b.target.Faults(0, 0)
+		h.target.Faults(0, 0)
 		return nil
 	}},
-	{"publish routes", func(_ context.Context, w *world, _ *box, _ time.Duration) error { return w.publish() }},
+	{"publish routes", func(_ context.Context, e *env, _ *host, _ time.Duration) error { return e.publish() }},
 	{"store busy", storeFault(standin.Busy)},
 	{"store silent", storeFault(standin.Silent)},
 	{"store loses answers", storeFault(standin.LosesAnswers)},
-	{"store forgets", func(_ context.Context, w *world, _ *box, _ time.Duration) error { w.store.Forget(); return nil }},
+	{"store forgets", func(_ context.Context, e *env, _ *host, _ time.Duration) error { e.store.Forget(); return nil }},
 	{"link to the store reset", linkFault(toStore, linkReset)},
 	{"link to the store silent", linkFault(toStore, linkSilent)},
 	{"link to the store one way", linkFault(toStore, linkOneWay)},
@@ -95,37 +96,38 @@
 	{"links from the peers silent", linkFault(fromPeers, linkSilent)},
 	{"links from the peers one way", linkFault(fromPeers, linkOneWay)},
 	{"links from the peers slow", linkFault(fromPeers, linkSlow)},
-	{"store comes back from an older copy", func(ctx context.Context, w *world, _ *box, d time.Duration) error { return w.restore(ctx, d) }},
+	{"store comes back from an older copy", func(ctx context.Context, e *env, _ *host, d time.Duration) error { return e.restore(ctx, d) }},
 }
 
-func toStore(b *box) *proxy   { return b.toStore }
-func toBackend(b *box) *proxy { return b.toBackend }
-func fromPeers(b *box) *proxy { return b.fromPeers }
+func toStore(h *host) *proxy   { return h.toStore }
+func toBackend(h *host) *proxy { return h.toBackend }
+func fromPeers(h *host) *proxy { return h.fromPeers }
 
-func storeFault(f standin.Fault) func(context.Context, *world, *box, time.Duration) error {
-	return func(ctx context.Context, w *world, _ *box, d time.Duration) error {
-		w.store.Set(f)
+func storeFault(f standin.Fault) func(context.Context, *env, *host, time.Duration) error {
+	return func(ctx context.Context, e *env, _ *host, d time.Duration) error {
+		e.store.Set(f)
 		pause.For(ctx, d)
-		w.store.Set(standin.Well)
+		e.store.Set(standin.Well)
 		return nil
 	}
 }
 
-// linkFault changes a link for a while; a machine may have none of the kind.
-func linkFault(link func(*box) *proxy, m linkMode) func(context.Context, *world, *box, time.Duration) error {
-	return func(ctx context.Context, _ *world, b *box, d time.Duration) error {
-		p := link(b)
+// linkFault returns a fault that changes the mode of one link of a machine. It does
+// nothing at a machine without the link.
+func linkFault(link func(*host) *proxy, mode linkMode) func(context.Context, *env, *host, time.Duration) error {
+	return func(ctx context.Context, _ *env, h *host, d time.Duration) error {
+		p := link(h)
 		if p == nil {
 			return nil
 		}
-		p.set(m)
+		p.set(mode)
 		pause.For(ctx, d)
 		p.set(linkOpen)
 		return nil
 	}
 }
 
-// kinds are the faults that a run draws from.
+// kinds returns the faults that a run draws from.
 func (c *Config) kinds() []fault {
 	if len(c.Only) > 0 {
 		return slices.DeleteFunc(slices.Clone(faults), func(f fault) bool { return !slices.Contains(c.Only, f.name) })
@@ -136,32 +138,32 @@
 	return faults
 }
 
-// event is one fault of the timeline.
+// event is one fault at one machine; start counts from the begin of the run.
 type event struct {
-	at    time.Duration
-	lasts time.Duration
-	fault fault
-	box   int
+	start    time.Duration
+	duration time.Duration
+	fault    fault
+	host     int
 }
 
-// The faults of a run: at most so long apart, and each so long.
+// Bounds of a timeline: the time between the starts of two faults, and the duration of
+// a fault.
 const (
-	mostApart = 900 * time.Millisecond
-	leastLong = 200 * time.Millisecond
-	mostLong  = 2500 * time.Millisecond
+	maxInterval = 900 * time.Millisecond
+	minDuration = 200 * time.Millisecond
+	maxDuration = 2500 * time.Millisecond
 )
 
-// timeline draws the faults of a run from its seed. Faults overlap; on one
-// machine they follow each other.
-func timeline(seed uint64, total time.Duration, boxes int, kinds []fault) []event {
+// timeline draws the faults of a run from its seed. Events may overlap.
+func timeline(seed uint64, total time.Duration, hosts int, kinds []fault) []event {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var out []event
-	for at := time.Duration(0); at < total; at += time.Duration(rng.Int64N(int64(mostApart))) {
+	for start := time.Duration(0); start < total; start += time.Duration(rng.Int64N(int64(maxInterval))) {
 		out = append(out, event{
-			at:    at,
-			lasts: leastLong + time.Duration(rng.Int64N(int64(mostLong-leastLong))),
-			fault: kinds[rng.IntN(len(kinds))],
-			box:   rng.IntN(boxes),
+			start:    start,
+			duration: minDuration + time.Duration(rng.Int64N(int64(maxDuration-minDuration))),
+			fault:    kinds[rng.IntN(len(kinds))],
+			host:     rng.IntN(hosts),
 		})
 	}
 	return out
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// linkMode is what a proxy does with the bytes that pass.
+// linkMode is what a proxy does with the bytes that it forwards.
 type linkMode uint8
 
 const (
 	linkOpen linkMode = iota
-	// linkSlow delays each piece by slowBy.
+	// linkSlow delays each read by slowDelay.
 	linkSlow
-	// linkReset ends the connections, and new ones at once.
+	// linkReset resets all connections and closes new ones at once.
 	linkReset
-	// linkSilent holds everything back in both directions, for good on the
-	// connections of that time.
+	// linkSilent discards the bytes of both directions. The connections of that time
+	// are reset when the mode changes.
 	linkSilent
-	// linkOneWay holds back what comes from the dialled side.
+	// linkOneWay is linkSilent for the bytes from the target only.
 	linkOneWay
 )
 
-const slowBy = 40 * time.Millisecond
+const slowDelay = 40 * time.Millisecond
 
-// proxy stands between a node and what it dials, on an address of its own.
+// proxy forwards TCP connections from its own address to a target and can disturb them.
 type proxy struct {
 	ln     net.Listener
 	target string
@@ -48,17 +48,18 @@
 
 func (p *proxy) addr() string { return p.ln.Addr().String() }
 
-// set changes the mode. Connections that were reset or went silent stay so.
-func (p *proxy) set(m linkMode) {
+// set changes the mode. It resets the connections if the new mode is linkReset or if
+// bytes may have been discarded, so no connection continues with a gap.
+func (p *proxy) set(next linkMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m == linkReset || p.mode == linkSilent || p.mode == linkOneWay {
+	if next == linkReset || p.mode == linkSilent || p.mode == linkOneWay {
 		p.reset()
 	}
-	p.mode = m
+	p.mode = next
 }
 
-// reset closes all connections with a reset; the caller holds the lock.
+// reset closes all connections with a TCP reset. The caller holds the lock.
 func (p *proxy) reset() {
 	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
@@ -78,45 +79,45 @@
 
 func (p *proxy) accept() {
 	for {
-		near, err := p.ln.Accept()
+		downstream, err := p.ln.Accept()
 		if err != nil {
 			return
 		}
-		if p.now() == linkReset {
-			near.Close()
+		if p.currentMode() == linkReset {
+			downstream.Close()
 			continue
 		}
-		far, err := net.Dial("tcp", p.target)
+		upstream, err := net.Dial("tcp", p.target)
 		if err != nil {
-			near.Close()
+			downstream.Close()
 			continue
 		}
-		p.hold(near)
-		p.hold(far)
-		p.done.Go(func() { p.pump(near, far, false) })
-		p.done.Go(func() { p.pump(far, near, true) })
+		p.track(downstream)
+		p.track(upstream)
+		p.done.Go(func() { p.forward(downstream, upstream, false) })
+		p.done.Go(func() { p.forward(upstream, downstream, true) })
 	}
 }
 
-func (p *proxy) hold(c net.Conn) {
+func (p *proxy) track(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conns[c] = struct{}{}
 }
 
-func (p *proxy) now() linkMode {
+func (p *proxy) currentMode() linkMode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
 }
 
-// pump moves bytes from one side to the other until either ends.
-func (p *proxy) pump(from, to net.Conn, answers bool) {
-	defer p.drop(from, to)
+// forward copies bytes from one side to the other until either closes.
+func (p *proxy) forward(from, to net.Conn, fromTarget bool) {
+	defer p.closeConns(from, to)
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !p.pass(to, buf[:n], answers) {
+		if n > 0 && !p.write(to, buf[:n], fromTarget) {
 			return
 		}
 		if err != nil {
@@ -125,18 +126,18 @@
 	}
 }
 
-func (p *proxy) pass(to io.Writer, b []byte, answers bool) bool {
-	switch m := p.now(); {
-	case m == linkSilent, m == linkOneWay && answers:
-		return true // swallowed: nothing more comes on this connection
-	case m == linkSlow:
-		time.Sleep(slowBy)
+func (p *proxy) write(to io.Writer, b []byte, fromTarget bool) bool {
+	switch mode := p.currentMode(); {
+	case mode == linkSilent, mode == linkOneWay && fromTarget:
+		return true // discarded; set resets this connection later
+	case mode == linkSlow:
+		time.Sleep(slowDelay)
 	}
 	_, err := to.Write(b)
 	return err == nil
 }
 
-func (p *proxy) drop(conns ...net.Conn) {
+func (p *proxy) closeConns(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -9,30 +9,30 @@
 	"github.com/cassialoom/cassialoom/platform/standin"
 )
 
-// told is what a client heard about one request.
-type told struct {
+// exchange is one request of a client with the answer that it received.
+type exchange struct {
 	ID         string
 	Machine    string
 	Path       string
 	Idempotent bool
-	With       credential
+	Credential credential
 	Sent       time.Time
 	standin.Answer
 }
 
-// record keeps what clients heard. It is safe for concurrent use.
+// record collects the exchanges of all clients. It is safe for concurrent use.
 type record struct {
 	mu  sync.Mutex
-	all []told
+	all []exchange
 }
 
-func (r *record) add(t told) {
+func (r *record) add(t exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.all = append(r.all, t)
 }
 
-// Broken is one promise that was not kept.
+// Broken is one violation of a promise. ID is the request's, if there is one.
 type Broken struct {
 	Promise string
 	What    string
@@ -41,12 +41,12 @@
 
 func (b Broken) String() string { return fmt.Sprintf("%s: %s: request %s", b.Promise, b.What, b.ID) }
 
-// judge compares what clients heard with what backend servers ran.
-func judge(all []told, j *standin.Journal) []Broken {
+// checkAnswers compares the answers that clients received with what backend servers ran.
+func checkAnswers(exchanges []exchange, j *standin.Journal) []Broken {
 	var out []Broken
-	for _, t := range all {
+	for _, t := range exchanges {
 		runs := j.Runs(t.ID)
-		for _, check := range []func(told, []string) (promise, what string){ownWholeAnswer, atMostOnce, notRunIsTrue} {
+		for _, check := range []func(exchange, []string) (promise, what string){checkSuccess, checkAtMostOnce, checkNotRun} {
 			if promise, what := check(t, runs); what != "" {
 				out = append(out, Broken{Promise: promise, What: what, ID: t.ID})
 			}
@@ -55,9 +55,9 @@
 	return out
 }
 
-// ownWholeAnswer: a success is the whole answer of a backend server that ran
+// checkSuccess checks that a success is the complete answer of a backend server that ran
 // this request.
-func ownWholeAnswer(t told, runs []string) (promise, what string) {
+func checkSuccess(t exchange, runs []string) (promise, what string) {
 	promise = "each caller gets the whole answer to its own request"
 	switch {
 	case t.Status != 200:
@@ -65,23 +65,25 @@
 	case t.Body != standin.Body(t.ID, t.Path), t.Signature != standin.Sign(t.ID, t.Path):
 		return promise, fmt.Sprintf("body %q, signature %q", t.Body, t.Signature)
 	case len(runs) == 0:
-		return promise, "a success, but no backend server ran it"
+		return promise, "status 200, but no backend server ran it"
 	}
 	return promise, ""
 }
 
-func atMostOnce(t told, runs []string) (promise, what string) {
-	promise = "what must run once runs at most once"
+// checkAtMostOnce checks that a non-idempotent request ran at most once.
+func checkAtMostOnce(t exchange, runs []string) (promise, what string) {
+	promise = "a non-idempotent request runs at most once"
 	if !t.Idempotent && len(runs) > 1 {
 		return promise, fmt.Sprintf("ran at %v", runs)
 	}
 	return promise, ""
 }
 
-func notRunIsTrue(t told, runs []string) (promise, what string) {
-	promise = "what is said not to have run has not, and never does"
-	refused := slices.Contains([]int{401, 404, 408, 421, 429, 503}, t.Status)
-	if !t.Idempotent && refused && len(runs) > 0 {
+// checkNotRun checks that a non-idempotent request didn't run if its status says so.
+func checkNotRun(t exchange, runs []string) (promise, what string) {
+	promise = "a request that was reported as not run never runs"
+	rejected := slices.Contains([]int{401, 404, 408, 421, 429, 503}, t.Status)
+	if !t.Idempotent && rejected && len(runs) > 0 {
 		return promise, fmt.Sprintf("status %d, but it ran at %v", t.Status, runs)
 	}
 	return promise, ""
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -15,67 +15,67 @@
 )
 
 const (
-	// startIn is how long the nodes may take to serve, and recoverIn how long
-	// after the last fault.
-	startIn   = 15 * time.Second
-	recoverIn = 15 * time.Second
-	// recovered is the share of requests that must be served then.
-	recovered = 0.95
-	// clientTimeout is the time that clients give a request.
+	// startTimeout is the time within which the nodes must serve after their start.
+	startTimeout = 15 * time.Second
+	// recoveryTimeout is the time within which the nodes must serve after the last fault.
+	recoveryTimeout = 15 * time.Second
+	// minServedShare is the share of requests that counts as serving.
+	minServedShare = 0.95
+	// clientTimeout is the clients' deadline for a request.
 	clientTimeout = 2 * time.Second
 	// clientPause is the mean pause between two requests of a client.
 	clientPause = 40 * time.Millisecond
 )
 
-// Result of a run.
+// Result is the outcome of a run.
 type Result struct {
 	Requests, Served int
 	Faults           int
 	Broken           []Broken
-	// Logs is the folder with the nodes' logs; it is kept if something broke.
+	// Logs is the folder with the nodes' logs; it is kept if a promise was broken.
 	Logs string
 }
 
-// Run breaks things for a while and judges. An error says that the run itself
-// failed.
+// Run starts the nodes, injects faults and checks the promises. Broken promises are
+// in the result; an error means that the run itself failed.
 func Run(ctx context.Context, cfg Config) (res Result, err error) {
-	w, err := newWorld(cfg)
-	if w == nil {
+	e, err := newEnv(cfg)
+	if e == nil {
 		return res, err
 	}
 	defer func() {
-		if closeErr := w.close(); err == nil && closeErr != nil {
-			w.broken = append(w.broken, Broken{Promise: "a planned stop ends within its grace time", What: closeErr.Error()})
+		if closeErr := e.close(); err == nil && closeErr != nil {
+			e.violations = append(e.violations, Broken{Promise: "a planned stop ends within its grace time", What: closeErr.Error()})
 		}
-		res.Broken = slices.Concat(w.broken, judge(w.record.all, w.journal),
-			judgeKeys(w.record.all, w.journal, w.taken), judgeQuota(w.record.all, w.journal))
+		res.Broken = slices.Concat(e.violations, checkAnswers(e.record.all, e.journal),
+			checkRevokedKeys(e.record.all, e.journal, e.revoked), checkQuota(e.record.all, e.journal))
 		if err == nil && len(res.Broken) == 0 {
-			err = w.rig.RemoveLogs()
+			err = e.rig.RemoveLogs()
 		}
 	}()
-	res.Logs = w.rig.Dir()
+	res.Logs = e.rig.Dir()
 	if err != nil {
 		return res, err
 	}
-	if !w.serves(ctx, startIn) {
-		return res, fmt.Errorf("the nodes do not serve %v after their start; logs in %s", startIn, res.Logs)
+	if !e.awaitServing(ctx, startTimeout) {
+		return res, fmt.Errorf("nodes do not serve %v after their start; logs in %s", startTimeout, res.Logs)
 	}
 	clients, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
-	w.startClients(clients, &all)
-	res.Faults, err = w.breakThings(ctx)
-	if err == nil && !w.serves(ctx, recoverIn) {
-		w.noteBroken(Broken{Promise: "the system recovers by itself", What: "not served " + recoverIn.String() + " after the last fault"})
+	e.startClients(clients, &all)
+	res.Faults, err = e.injectFaults(ctx)
+	if err == nil && !e.awaitServing(ctx, recoveryTimeout) {
+		e.addViolation(Broken{Promise: "the system recovers by itself", What: "requests are not served " + recoveryTimeout.String() + " after the last fault"})
 	}
 	if err == nil {
-		err = w.keepsUp(ctx)
+		err = e.checkNewestVersion(ctx)
 	}
 	if err == nil {
-		err = w.startsAmongVersions(ctx)
+		err = e.checkStartDuringUpdates(ctx)
 	}
 	stop()
 	all.Wait()
-	for _, t := range w.record.all {
+	for _, t := range e.record.all {
 		res.Requests++
 		if t.Status == http.StatusOK {
 			res.Served++
@@ -84,33 +84,34 @@
 	return res, err
 }
 
-// breakThings plays the timeline. The faults of one machine wait for each other.
-func (w *world) breakThings(ctx context.Context) (int, error) {
+// injectFaults runs the timeline and returns the number of its events. The faults of one
+// machine run one after the other; those of several machines may overlap.
+func (e *env) injectFaults(ctx context.Context) (int, error) {
 	begin := time.Now()
-	locks := make([]sync.Mutex, len(w.boxes))
+	locks := make([]sync.Mutex, len(e.hosts))
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	var first error
-	events := timeline(w.cfg.Seed, w.cfg.Faults, len(w.boxes), w.cfg.kinds())
-	for _, e := range events {
-		pause.For(ctx, time.Until(begin.Add(e.at)))
+	events := timeline(e.cfg.Seed, e.cfg.Faults, len(e.hosts), e.cfg.kinds())
+	for _, ev := range events {
+		pause.For(ctx, time.Until(begin.Add(ev.start)))
 		all.Go(func() {
-			locks[e.box].Lock()
-			defer locks[e.box].Unlock()
-			b := w.boxes[e.box]
-			w.cfg.Say("%7.3f s  %s: %s for up to %v", time.Since(begin).Seconds(), b.Name, e.fault.name, e.lasts.Round(time.Millisecond))
-			err := w.keep(b)
+			locks[ev.host].Lock()
+			defer locks[ev.host].Unlock()
+			h := e.hosts[ev.host]
+			e.cfg.Say("%7.3f s  %s: %s for up to %v", time.Since(begin).Seconds(), h.Name, ev.fault.name, ev.duration.Round(time.Millisecond))
+			err := e.restartIfEnded(h)
 			if err == nil {
-				err = e.fault.do(ctx, w, b, e.lasts)
+				err = ev.fault.inject(ctx, e, h, ev.duration)
 			}
 			if err == nil {
-				err = w.keep(b)
+				err = e.restartIfEnded(h)
 			}
 			if err != nil {
 				mu.Lock()
 				defer mu.Unlock()
 				if first == nil {
-					first = fmt.Errorf("%s at %s: %w", e.fault.name, b.Name, err)
+					first = fmt.Errorf("%s at %s: %w", ev.fault.name, h.Name, err)
 				}
 			}
 		})
@@ -119,26 +120,26 @@
 	return len(events), first
 }
 
-// serves reports whether, within a time, nearly all requests through each machine
-// are served. Nothing is broken meanwhile.
-func (w *world) serves(ctx context.Context, within time.Duration) bool {
-	c := &client{w: w, http: newHTTP(), rng: rand.New(rand.NewPCG(w.cfg.Seed, 3))}
+// awaitServing waits until nearly all requests through each machine are served and
+// reports whether that happened in time. The caller injects no faults meanwhile.
+func (e *env) awaitServing(ctx context.Context, within time.Duration) bool {
+	c := &client{e: e, http: newHTTP(), rng: rand.New(rand.NewPCG(e.cfg.Seed, 3))}
 	defer c.http.CloseIdleConnections()
-	const tries = 40
+	const requests = 40
 	for end := time.Now().Add(within); time.Now().Before(end) && ctx.Err() == nil; {
-		for _, b := range w.boxes {
-			if err := w.keep(b); err != nil {
-				return false // the run's own verdict says so
+		for _, h := range e.hosts {
+			if err := e.restartIfEnded(h); err != nil {
+				return false // the caller adds a violation or an error
 			}
 		}
-		good := 0
-		for i := range tries {
-			c.box = w.boxes[i%len(w.boxes)]
-			if c.ask(ctx, credential{key: calmKey}).Status == http.StatusOK {
-				good++
+		served := 0
+		for i := range requests {
+			c.host = e.hosts[i%len(e.hosts)]
+			if c.send(ctx, credential{key: calmKey}).Status == http.StatusOK {
+				served++
 			}
 		}
-		if float64(good) >= recovered*tries {
+		if float64(served) >= minServedShare*requests {
 			return true
 		}
 		pause.For(ctx, 100*time.Millisecond)
@@ -148,8 +149,8 @@
 
 // client sends requests to the node of its machine.
 type client struct {
-	w    *world
-	box  *box
+	e    *env
+	host *host
 	http *http.Client
 	rng  *rand.Rand
 	sent int
@@ -159,14 +160,14 @@
 	return &http.Client{Timeout: clientTimeout, Transport: &http.Transport{DisableCompression: true}}
 }
 
-func (w *world) startClients(ctx context.Context, all *sync.WaitGroup) {
-	for i, b := range w.boxes {
-		for k := range w.cfg.Clients {
-			c := &client{w: w, box: b, http: newHTTP(), rng: rand.New(rand.NewPCG(w.cfg.Seed, uint64(1000+100*i+k)))}
+func (e *env) startClients(ctx context.Context, all *sync.WaitGroup) {
+	for i, h := range e.hosts {
+		for k := range e.cfg.Clients {
+			c := &client{e: e, host: h, http: newHTTP(), rng: rand.New(rand.NewPCG(e.cfg.Seed, uint64(1000+100*i+k)))}
 			all.Go(func() {
 				defer c.http.CloseIdleConnections()
 				for ctx.Err() == nil {
-					c.w.record.add(c.ask(ctx, w.credential(c.rng)))
+					c.e.record.add(c.send(ctx, e.credential(c.rng)))
 					pause.For(ctx, time.Duration(c.rng.ExpFloat64()*float64(clientPause)))
 				}
 			})
@@ -174,18 +175,18 @@
 	}
 }
 
-// paths that clients ask for; the second must run once at most.
+// paths are the prefixes that clients request; the second must run at most once.
 var paths = []string{"/top/", "/once/", "/end/"}
 
-// ask sends one request and returns what came of it. A POST is never sent twice
-// by the client library.
-func (c *client) ask(ctx context.Context, with credential) told {
+// send sends one request and returns it with its answer. It uses POST, which net/http
+// doesn't send again by itself.
+func (c *client) send(ctx context.Context, with credential) exchange {
 	c.sent++
 	prefix := paths[c.rng.IntN(len(paths))]
-	t := told{ID: strconv.FormatUint(c.rng.Uint64(), 36), Machine: c.box.Name, Path: prefix + strconv.Itoa(c.sent),
-		Idempotent: prefix != "/once/", With: with, Sent: time.Now()}
-	t.Answer = standin.Ask(ctx, c.http, c.box.Machine, standin.Request{
-		Method: http.MethodPost, Host: host, Path: t.Path, ID: t.ID, Key: with.key, Timeout: clientTimeout,
+	t := exchange{ID: strconv.FormatUint(c.rng.Uint64(), 36), Machine: c.host.Name, Path: prefix + strconv.Itoa(c.sent),
+		Idempotent: prefix != "/once/", Credential: with, Sent: time.Now()}
+	t.Answer = standin.Ask(ctx, c.http, c.host.Machine, standin.Request{
+		Method: http.MethodPost, Host: routeHost, Path: t.Path, ID: t.ID, Key: with.key, Timeout: clientTimeout,
 	})
 	return t
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -16,69 +16,69 @@
 	"github.com/cassialoom/cassialoom/platform/standin"
 )
 
-// Each lie that a client can be told is found, and the truth is left alone: a
-// judge that never objects would let every run pass.
-func TestJudgeFindsEveryLie(t *testing.T) {
+// Guards against checks that accept false answers, which would let every run pass, and
+// against checks that reject true ones.
+func TestFalseAnswersAreFound(t *testing.T) {
 	j := standin.NewJournal()
 	j.Note("ran", "i-1")
 	j.Note("twice", "i-1")
 	j.Note("twice", "i-2")
-	good := func(id string) told {
-		return told{ID: id, Path: "/once/1", Answer: standin.Answer{Status: 200, Body: standin.Body(id, "/once/1"), Signature: standin.Sign(id, "/once/1")}}
+	success := func(id string) exchange {
+		return exchange{ID: id, Path: "/once/1", Answer: standin.Answer{Status: 200, Body: standin.Body(id, "/once/1"), Signature: standin.Sign(id, "/once/1")}}
 	}
-	cut := good("ran")
-	cut.Body = cut.Body[:5]
-	other := good("ran")
-	other.Body = standin.Body("another", "/once/1")
-	forged := good("ran")
-	forged.Signature = ""
-	repeated := good("twice")
+	truncated := success("ran")
+	truncated.Body = truncated.Body[:5]
+	swapped := success("ran")
+	swapped.Body = standin.Body("another", "/once/1")
+	unsigned := success("ran")
+	unsigned.Signature = ""
+	repeated := success("twice")
 	repeated.Idempotent = true
 	for name, c := range map[string]struct {
-		told told
-		lies string
+		exchange exchange
+		promise  string
 	}{
-		"true success":       {good("ran"), ""},
-		"true refusal":       {told{ID: "never", Answer: standin.Answer{Status: 503}}, ""},
-		"doubt":              {told{ID: "ran", Answer: standin.Answer{Status: 502}}, ""},
-		"no answer":          {told{ID: "ran"}, ""},
-		"idempotent repeat":  {repeated, ""},
-		"cut answer":         {cut, "whole answer"},
-		"another's answer":   {other, "whole answer"},
-		"not signed":         {forged, "whole answer"},
-		"success from thin":  {good("never"), "whole answer"},
-		"ran twice":          {told{ID: "twice"}, "at most once"},
-		"refused, but ran":   {told{ID: "ran", Answer: standin.Answer{Status: 503}}, "not to have run"},
-		"misdirected, ran":   {told{ID: "ran", Answer: standin.Answer{Status: 421}}, "not to have run"},
-		"too many, but ran":  {told{ID: "ran", Answer: standin.Answer{Status: 429}}, "not to have run"},
-		"timed out, but ran": {told{ID: "ran", Answer: standin.Answer{Status: 408}}, "not to have run"},
-		"no key, but ran":    {told{ID: "ran", Answer: standin.Answer{Status: 401}}, "not to have run"},
+		"true success":              {success("ran"), ""},
+		"true rejection":            {exchange{ID: "never", Answer: standin.Answer{Status: 503}}, ""},
+		"doubt":                     {exchange{ID: "ran", Answer: standin.Answer{Status: 502}}, ""},
+		"no answer":                 {exchange{ID: "ran"}, ""},
+		"idempotent repeat":         {repeated, ""},
+		"truncated answer":          {truncated, "whole answer"},
+		"answer to another request": {swapped, "whole answer"},
+		"not signed":                {unsigned, "whole answer"},
+		"success without a run":     {success("never"), "whole answer"},
+		"non-idempotent repeat":     {exchange{ID: "twice"}, "at most once"},
+		"rejected, but ran":         {exchange{ID: "ran", Answer: standin.Answer{Status: 503}}, "reported as not run"},
+		"misdirected, ran":          {exchange{ID: "ran", Answer: standin.Answer{Status: 421}}, "reported as not run"},
+		"too many, but ran":         {exchange{ID: "ran", Answer: standin.Answer{Status: 429}}, "reported as not run"},
+		"timed out, but ran":        {exchange{ID: "ran", Answer: standin.Answer{Status: 408}}, "reported as not run"},
+		"no key, but ran":           {exchange{ID: "ran", Answer: standin.Answer{Status: 401}}, "reported as not run"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			found := judge([]told{c.told}, j)
-			is.Equal(len(found) > 0, c.lies != "")
+			found := checkAnswers([]exchange{c.exchange}, j)
+			is.Equal(len(found) > 0, c.promise != "")
 			for _, b := range found {
-				is.True(strings.Contains(b.Promise, c.lies))
+				is.True(strings.Contains(b.Promise, c.promise))
 			}
 		})
 	}
 }
 
-// Guards against judges of keys and quotas that object to nothing.
-func TestJudgesOfWorkspacesFindEveryLie(t *testing.T) {
+// Guards against checks of keys and quotas that accept everything.
+func TestLateKeysAndExceededQuotasAreFound(t *testing.T) {
 	is := is.New(t)
 	j := standin.NewJournal()
 	sent := time.Now()
-	taken := map[uint64]time.Time{3: sent.Add(-standin.RevokeWithin - time.Millisecond), 4: sent.Add(-standin.RevokeWithin + time.Millisecond)}
-	var all []told
+	revoked := map[uint64]time.Time{3: sent.Add(-standin.RevokeWithin - time.Millisecond), 4: sent.Add(-standin.RevokeWithin + time.Millisecond)}
+	var all []exchange
 	for id, version := range map[string]uint64{"late": 3, "soon": 4, "held": 5, "refused": 3} {
-		all = append(all, told{ID: id, With: credential{key: versionKey(version), version: version}, Sent: sent})
+		all = append(all, exchange{ID: id, Credential: credential{key: versionKey(version), version: version}, Sent: sent})
 		if id != "refused" {
 			j.Note(id, "i-1")
 		}
 	}
-	found := judgeKeys(all, j, taken)
+	found := checkRevokedKeys(all, j, revoked)
 	is.Equal(len(found), 1)
 	is.Equal(found[0].ID, "late")
 
@@ -86,32 +86,32 @@
 	limit := (hotRate*5+hotBurst)*11/10 + standin.QuotaSlack
 	for i := range limit {
 		id := fmt.Sprint("h", i)
-		all = append(all, told{ID: id, With: credential{key: hotKey}}, told{ID: id + "c", With: credential{key: calmKey}})
+		all = append(all, exchange{ID: id, Credential: credential{key: hotKey}}, exchange{ID: id + "c", Credential: credential{key: calmKey}})
 		j.Note(id, "i-1")
 		j.Note(id+"c", "i-1")
 	}
-	is.Equal(len(judgeQuota(all, j)), 0)
+	is.Equal(len(checkQuota(all, j)), 0)
 	j.Note("more", "i-1")
-	is.Equal(len(judgeQuota(append(all, told{ID: "more", With: credential{key: hotKey}}), j)), 1)
+	is.Equal(len(checkQuota(append(all, exchange{ID: "more", Credential: credential{key: hotKey}}), j)), 1)
 }
 
-func TestTimelineFollowsItsSeed(t *testing.T) {
+// Guards against a seed that plays different faults each time.
+func TestTimelineIsRepeatable(t *testing.T) {
 	is := is.New(t)
 	a, b, other := timeline(7, time.Minute, 6, faults), timeline(7, time.Minute, 6, faults), timeline(8, time.Minute, 6, faults)
 	is.Equal(len(a), len(b))
 	same := len(a) == len(other)
 	for i := range a {
-		is.Equal(a[i].at, b[i].at)
+		is.Equal(a[i].start, b[i].start)
 		is.Equal(a[i].fault.name, b[i].fault.name)
-		same = same && a[i].at == other[i].at
+		same = same && a[i].start == other[i].start
 	}
 	is.True(!same)
 	is.True(len(a) > 60)
 }
 
-// A link goes silent and comes back: connections of that time never carry
-// anything again, new ones do.
-func TestProxyModes(t *testing.T) {
+// Guards against a proxy that lets a connection continue after bytes were discarded.
+func TestProxyLinkModes(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -155,23 +155,24 @@
 	is.True(!echo(c))
 }
 
-// keptSeeds once broke a promise; each says what the cause was. PROVE=1 plays them.
-var keptSeeds = []struct {
+// regressionSeeds are seeds that found a fault; the test runs with PROVE=1.
+var regressionSeeds = []struct {
 	seed    uint64
 	seconds int
-	kinds   int // of faults that there were
+	kinds   int // see Config.Kinds
 	cause   string
 }{
-	{107, 12, 17, "the same as 106; besides, the soak waited for good for a node that was gone to acknowledge a leaving backend server"},
-	{106, 12, 17, "SIGHUP in the first milliseconds of a process ended it: the handler was installed after the settings were read"},
+	{107, 12, 17, "the same as 106; also, the soak waited without a limit for a stopped node to acknowledge a leaving backend server"},
+	{106, 12, 17, "SIGHUP right after the start ended the process: the handler was installed after the settings were read"},
 }
 
-func TestKeptSeeds(t *testing.T) {
+// Guards against the return of faults that a seed has found.
+func TestRegressionSeeds(t *testing.T) {
 	if os.Getenv("PROVE") == "" {
-		t.Skip("minutes over real processes: only with PROVE=1")
+		t.Skip("takes minutes with real processes; runs only with PROVE=1")
 	}
 	bin := buildNode(t)
-	for _, kept := range keptSeeds {
+	for _, kept := range regressionSeeds {
 		t.Run(fmt.Sprint(kept.seed), func(t *testing.T) {
 			is := is.New(t)
 			t.Log(kept.cause)
@@ -192,8 +193,7 @@
 	return bin
 }
 
-// A short run over real processes: everything that breaks in it is one seed's,
-// and the verdict must be the same each time.
+// Guards against promises that break in a short run with real processes.
 func TestShortRun(t *testing.T) {
 	is := is.New(t)
 	res, err := Run(t.Context(), Config{Seed: 1, Faults: 4 * time.Second, Bin: buildNode(t), Machines: 4, Clients: 2, Net: 79, Say: t.Logf})
--- a/internal/soak/versions.go
+++ b/internal/soak/versions.go
@@ -13,139 +13,140 @@
 )
 
 const (
-	// applyWithin is the time in which a confirmed version must be in force, by the
-	// settings of the machines.
-	applyWithin = 2 * time.Second
-	// calmAfter is how long after its start a node must keep to that.
-	calmAfter = 3 * time.Second
-	// versionsEvery is the time between versions in quick succession.
-	versionsEvery = 300 * time.Millisecond
-	// versionsFor is how long they come, and are asked for, after a node must keep to them.
-	versionsFor = 1500 * time.Millisecond
-	// rewriteAfter is how long after the store came back from an older copy the operator
-	// writes again what was lost.
-	rewriteAfter = 300 * time.Millisecond
+	// applyTimeout is the time within which a confirmed version must be in force
+	// at every node; the machines' settings promise it.
+	applyTimeout = 2 * time.Second
+	// settleTime is the time after its start from which a node must meet applyTimeout.
+	settleTime = 3 * time.Second
+	// publishInterval is the time between two versions of checkStartDuringUpdates.
+	publishInterval = 300 * time.Millisecond
+	// publishPeriod is the time after settleTime in which versions are published and checked.
+	publishPeriod = 1500 * time.Millisecond
+	// rewriteDelay is the time from the store's restore to the operator's rewrite of what
+	// was lost; the store is also busy for this time before the restore.
+	rewriteDelay = 300 * time.Millisecond
 )
 
-// published is a version and when the store confirmed it.
-type published struct {
-	version   uint64
-	confirmed time.Time
+// publishedVersion is a version and the time at which the store confirmed it.
+type publishedVersion struct {
+	version     uint64
+	confirmedAt time.Time
 }
 
-// versionPath is of a route that one version alone has.
+// versionPath returns the prefix of the route that only this version has.
 func versionPath(version uint64) string { return "/v" + strconv.FormatUint(version, 10) + "/" }
 
-// publish writes the next version.
-func (w *world) publish() error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.last.version++
-	if err := w.put(); err != nil {
+// publish writes the next version to the store.
+func (e *env) publish() error {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.lastVersion.version++
+	if err := e.putLastVersion(); err != nil {
 		return err
 	}
-	w.taken[w.last.version-1] = w.last.confirmed
+	e.revoked[e.lastVersion.version-1] = e.lastVersion.confirmedAt
 	return nil
 }
 
-// put writes the last version; the caller holds the lock.
-func (w *world) put() error {
-	text, err := standin.RoutesText(w.last.version, []standin.Route{
-		{Name: "top", Host: host, Prefix: "/top/", Service: topService, Idempotent: true, Priority: 1},
-		{Name: "top-once", Host: host, Prefix: "/once/", Service: topService},
-		{Name: "end", Host: host, Prefix: "/end/", Service: endService, Idempotent: true, Priority: 2},
-		{Name: "version", Host: host, Prefix: versionPath(w.last.version), Service: endService, Idempotent: true, Priority: 2},
-	}, workspaces(w.last.version)...)
+// putLastVersion writes the last version to the store. The caller holds the lock.
+func (e *env) putLastVersion() error {
+	text, err := standin.RoutesText(e.lastVersion.version, []standin.Route{
+		{Name: "top", Host: routeHost, Prefix: "/top/", Service: topService, Idempotent: true, Priority: 1},
+		{Name: "top-once", Host: routeHost, Prefix: "/once/", Service: topService},
+		{Name: "end", Host: routeHost, Prefix: "/end/", Service: endService, Idempotent: true, Priority: 2},
+		{Name: "version", Host: routeHost, Prefix: versionPath(e.lastVersion.version), Service: endService, Idempotent: true, Priority: 2},
+	}, workspaces(e.lastVersion.version)...)
 	if err != nil {
 		return err
 	}
-	w.store.Put(text)
-	w.last.confirmed = time.Now()
+	e.store.Put(text)
+	e.lastVersion.confirmedAt = time.Now()
 	return nil
 }
 
-// restore lets the store be away for a moment and come back from a copy made a while
-// before; then the operator writes again what was lost.
-func (w *world) restore(ctx context.Context, d time.Duration) error {
-	older := w.store.Copy()
+// restore restores the store from a copy that is d old, after a short outage, and then
+// writes the last version again, as the operator does.
+func (e *env) restore(ctx context.Context, d time.Duration) error {
+	older := e.store.Copy()
 	pause.For(ctx, d)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.store.Set(standin.Busy)
-	pause.For(ctx, rewriteAfter)
-	w.store.Restore(older)
-	w.store.Set(standin.Well)
-	pause.For(ctx, rewriteAfter)
-	return w.put()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.store.Set(standin.Busy)
+	pause.For(ctx, rewriteDelay)
+	e.store.Restore(older)
+	e.store.Set(standin.Well)
+	pause.For(ctx, rewriteDelay)
+	return e.putLastVersion()
 }
 
-// keepsUp checks that the newest version is in force everywhere in time.
-func (w *world) keepsUp(ctx context.Context) error {
-	if err := w.publish(); err != nil {
+// checkNewestVersion publishes a version and checks that it is in force at every node
+// within applyTimeout.
+func (e *env) checkNewestVersion(ctx context.Context) error {
+	if err := e.publish(); err != nil {
 		return err
 	}
-	pause.For(ctx, time.Until(w.newest().confirmed.Add(applyWithin)))
-	w.askVersion(ctx, w.newest())
+	pause.For(ctx, time.Until(e.newestVersion().confirmedAt.Add(applyTimeout)))
+	e.checkVersion(ctx, e.newestVersion())
 	return nil
 }
 
-// startsAmongVersions kills all nodes and publishes versions in quick succession while they
-// start; each node must keep up with them soon after.
-func (w *world) startsAmongVersions(ctx context.Context) error {
-	for _, b := range w.boxes {
-		if err := b.node.Signal(syscall.SIGKILL); err != nil {
+// checkStartDuringUpdates kills all nodes and publishes many versions while they start.
+// Each node must meet applyTimeout once settleTime has passed.
+func (e *env) checkStartDuringUpdates(ctx context.Context) error {
+	for _, h := range e.hosts {
+		if err := h.node.Signal(syscall.SIGKILL); err != nil {
 			return err
 		}
 	}
-	for _, b := range w.boxes {
-		if err := w.restart(ctx, b); err != nil {
+	for _, h := range e.hosts {
+		if err := e.restart(ctx, h); err != nil {
 			return err
 		}
 	}
 	started := time.Now()
-	var all []published
-	for time.Since(started) < calmAfter+versionsFor && ctx.Err() == nil {
-		if err := w.publish(); err != nil {
+	var all []publishedVersion
+	for time.Since(started) < settleTime+publishPeriod && ctx.Err() == nil {
+		if err := e.publish(); err != nil {
 			return err
 		}
-		all = append(all, w.newest())
-		pause.For(ctx, versionsEvery)
-		if time.Since(started) >= calmAfter {
-			w.askSince(ctx, all)
+		all = append(all, e.newestVersion())
+		pause.For(ctx, publishInterval)
+		if time.Since(started) >= settleTime {
+			e.checkDueVersion(ctx, all)
 		}
 	}
 	return nil
 }
 
-// askSince asks for the newest version that must be in force by now.
-func (w *world) askSince(ctx context.Context, all []published) {
+// checkDueVersion checks the newest of the versions that must be in force by now.
+func (e *env) checkDueVersion(ctx context.Context, all []publishedVersion) {
 	for i := len(all) - 1; i >= 0; i-- {
-		if time.Since(all[i].confirmed) >= applyWithin {
-			w.askVersion(ctx, all[i])
+		if time.Since(all[i].confirmedAt) >= applyTimeout {
+			e.checkVersion(ctx, all[i])
 			return
 		}
 	}
 }
 
-// askVersion asks every node for the version in force there. One that answers by an older
-// version breaks the promise; a newer one has the route of that version no more.
-func (w *world) askVersion(ctx context.Context, due published) {
+// checkVersion adds a violation for each node at which an older version than the due one
+// is in force. A node with a newer version meets the promise.
+func (e *env) checkVersion(ctx context.Context, due publishedVersion) {
 	c := newHTTP()
 	defer c.CloseIdleConnections()
-	for _, b := range w.boxes {
-		if got := w.inForce(ctx, c, b, due.version); got < due.version {
-			w.noteBroken(Broken{Promise: "a version is in force in time",
-				What: fmt.Sprintf("%s answers by version %d, %d was confirmed %v before", b.Name, got, due.version, time.Since(due.confirmed).Round(time.Millisecond))})
+	for _, h := range e.hosts {
+		if got := e.versionInForce(ctx, c, h, due.version); got < due.version {
+			e.addViolation(Broken{Promise: "a version is in force in time",
+				What: fmt.Sprintf("%s serves version %d; version %d was confirmed %v before", h.Name, got, due.version, time.Since(due.confirmedAt).Round(time.Millisecond))})
 		}
 	}
 }
 
-// inForce is the version by which a node answers: the first from least on whose route it
-// knows, zero if that is none.
-func (w *world) inForce(ctx context.Context, c *http.Client, b *box, least uint64) uint64 {
-	for version := least; version <= w.newest().version; version++ {
-		a := standin.Ask(ctx, c, b.Machine, standin.Request{Method: http.MethodPost, Host: host,
-			Path: versionPath(version) + "x", ID: fmt.Sprintf("version-%d-%s", version, b.Name), Key: calmKey, Timeout: clientTimeout})
+// versionInForce returns the version in force at a node: the first version from least on
+// whose route the node has, or zero if it has none of them.
+func (e *env) versionInForce(ctx context.Context, c *http.Client, h *host, least uint64) uint64 {
+	for version := least; version <= e.newestVersion().version; version++ {
+		a := standin.Ask(ctx, c, h.Machine, standin.Request{Method: http.MethodPost, Host: routeHost,
+			Path: versionPath(version) + "x", ID: fmt.Sprintf("version-%d-%s", version, h.Name), Key: calmKey, Timeout: clientTimeout})
 		if a.Status != http.StatusNotFound {
 			return version
 		}
@@ -153,14 +154,14 @@
 	return 0
 }
 
-func (w *world) newest() published {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.last
+func (e *env) newestVersion() publishedVersion {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.lastVersion
 }
 
-func (w *world) noteBroken(b Broken) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.broken = append(w.broken, b)
+func (e *env) addViolation(v Broken) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.violations = append(e.violations, v)
 }
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -10,8 +10,8 @@
 	"github.com/cassialoom/cassialoom/platform/standin"
 )
 
-// The workspaces: one without a quota, and one that sends many times its own. Each version
-// gives the first another key beside its own, which the next version takes away.
+// The workspaces: calm has no quota, hot sends many times its quota. Each version gives
+// calm a second key, which the next version revokes.
 const (
 	calmKey  = "calm"
 	hotKey   = "hot"
@@ -20,15 +20,15 @@
 )
 
 const (
-	// hotShare of the requests are of the workspace with a quota, oldShare bear a key of one
-	// of the latest versions.
-	hotShare = 0.15
-	oldShare = 0.1
-	// oldVersions is how many versions back such keys come from.
-	oldVersions = 5
+	// hotShare is the share of requests with the key of the hot workspace, and
+	// versionKeyShare of those with the key of one of the latest versions.
+	hotShare        = 0.15
+	versionKeyShare = 0.1
+	// maxVersionsBack is the largest age of such a key, in versions.
+	maxVersionsBack = 5
 )
 
-// versionKey is the key that one version alone has.
+// versionKey returns the key that only this version has.
 func versionKey(version uint64) string { return "v" + strconv.FormatUint(version, 10) }
 
 func workspaces(version uint64) []standin.Workspace {
@@ -38,48 +38,49 @@
 	}
 }
 
-// credential is the key that a request bears.
+// credential is the key that a request carries.
 type credential struct {
 	key string
-	// version is the one that has the key, zero if all have.
+	// version is the only one that has the key; zero if all versions have it.
 	version uint64
 }
 
-// credential draws the key of a request.
-func (w *world) credential(rng *rand.Rand) credential {
+// credential draws the credential of a request.
+func (e *env) credential(rng *rand.Rand) credential {
 	switch chance := rng.Float64(); {
 	case chance < hotShare:
 		return credential{key: hotKey}
-	case chance < hotShare+oldShare:
-		newest := w.newest().version
-		version := newest - min(newest-1, rng.Uint64N(oldVersions+1))
+	case chance < hotShare+versionKeyShare:
+		newestVersion := e.newestVersion().version
+		version := newestVersion - min(newestVersion-1, rng.Uint64N(maxVersionsBack+1))
 		return credential{key: versionKey(version), version: version}
 	}
 	return credential{key: calmKey}
 }
 
-// judgeKeys finds requests that ran though their key had been taken away for longer than
-// the bound when they were sent.
-func judgeKeys(all []told, j *standin.Journal, taken map[uint64]time.Time) []Broken {
+// checkRevokedKeys finds requests that ran although their key had been revoked for longer
+// than standin.RevokeWithin when they were sent.
+func checkRevokedKeys(exchanges []exchange, j *standin.Journal, revoked map[uint64]time.Time) []Broken {
 	var out []Broken
-	for _, t := range all {
-		since, gone := taken[t.With.version]
-		if t.With.version == 0 || !gone || len(j.Runs(t.ID)) == 0 {
+	for _, t := range exchanges {
+		since, ok := revoked[t.Credential.version]
+		if t.Credential.version == 0 || !ok || len(j.Runs(t.ID)) == 0 {
 			continue
 		}
-		if late := t.Sent.Sub(since); late > standin.RevokeWithin {
-			out = append(out, Broken{Promise: "a key that was taken away is not served beyond its bound",
-				What: fmt.Sprintf("%s was taken away %v before", t.With.key, late.Round(time.Millisecond)), ID: t.ID})
+		if age := t.Sent.Sub(since); age > standin.RevokeWithin {
+			out = append(out, Broken{Promise: "a revoked key is not served after the bound",
+				What: fmt.Sprintf("%s was revoked %v before the request was sent", t.Credential.key, age.Round(time.Millisecond)), ID: t.ID})
 		}
 	}
 	return out
 }
 
-// judgeQuota finds a window in which more of the hot workspace's requests ran than may.
-func judgeQuota(all []told, j *standin.Journal) []Broken {
+// checkQuota finds a window in which more requests of the hot workspace ran than its
+// quota and the allowed excess permit.
+func checkQuota(exchanges []exchange, j *standin.Journal) []Broken {
 	var runs []time.Time
-	for _, t := range all {
-		if at, ran := j.FirstRun(t.ID); ran && t.With.key == hotKey {
+	for _, t := range exchanges {
+		if at, ran := j.FirstRun(t.ID); ran && t.Credential.key == hotKey {
 			runs = append(runs, at)
 		}
 	}
@@ -91,7 +92,7 @@
 			first++
 		}
 		if n := i - first + 1; n > limit {
-			return []Broken{{Promise: "a workspace keeps within its quota over all nodes", What: fmt.Sprintf("%d in a window, %d may be", n, limit)}}
+			return []Broken{{Promise: "a workspace stays within its quota over all nodes", What: fmt.Sprintf("%d requests ran in a window, the limit is %d", n, limit)}}
 		}
 	}
 	return nil
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -1,6 +1,6 @@
-// Package soak runs nodes as separate processes on a stand-in platform, breaks
-// things around them at random from a seed, and checks the promises from what
-// clients and backend servers see.
+// Package soak runs nodes as separate processes on a stand-in platform, injects
+// random faults from a seed, and checks the promises against what clients received
+// and what backend servers ran.
 package soak
 
 import (
@@ -19,76 +19,77 @@
 // Config of a run.
 type Config struct {
 	Seed uint64
-	// Faults is how long things are broken; after it the system has recoverIn
-	// to serve again.
+	// Faults is the time in which faults start. Afterwards the nodes must serve again
+	// within recoveryTimeout.
 	Faults time.Duration
-	// Kinds is how many of the kinds of faults are drawn, zero for all. New
-	// kinds come at the end of the list: a kept seed names how many there were,
-	// and so plays the same timeline for good.
+	// Kinds limits the draw to the first kinds of faults in the list; zero means all.
+	// New kinds are appended, so a regression seed with its number of kinds keeps
+	// its timeline.
 	Kinds int
-	// Only names the faults that are drawn, none for all.
+	// Only lists the names of the faults to draw from and overrides Kinds; empty means all.
 	Only []string
 	// Bin is the folder with cassialoomd.
 	Bin string
-	// Machines are dealt to the services in turn; at least one each.
+	// Machines is the number of machines. They belong to the two services in turn, so
+	// there must be at least two.
 	Machines int
 	// Clients is the number of clients on each machine.
 	Clients int
-	// Net tells runs on one machine apart: the second number of their loopback
-	// addresses, 1 to 254.
+	// Net is the second number of the run's loopback addresses, 1 to 254. Runs at the
+	// same time on one computer need different ones.
 	Net int
-	// Say gets a line for each event; it must not be nil.
+	// Say is called with a line for each event; it must not be nil.
 	Say func(format string, args ...any)
 }
 
-// The services: each request of the first calls the second.
+// The routeHost and the services: each request to topService calls endService.
 const (
-	host       = "soak.example"
+	routeHost  = "soak.example"
 	topService = "top"
 	endService = "end"
 )
 
 const (
-	slots = 16
-	work  = 10 * time.Millisecond
-	beat  = 500 * time.Millisecond
-	// stopLimit is the platform's grace time.
-	stopLimit = 6 * time.Second
+	slots             = 16
+	serviceTime       = 10 * time.Millisecond
+	heartbeatInterval = 500 * time.Millisecond
+	// stopTimeout is the platform's grace time for a planned stop.
+	stopTimeout = 6 * time.Second
 )
 
-// box is one machine: its node, its backend server and the links to it.
-type box struct {
+// host is one machine with its node, its backend server and its links.
+type host struct {
 	standin.Machine
 	settings string
 	node     *rig.Process
 	target   *standin.Target
 	toStore  *proxy
-	// toBackend is nil on every second pair of machines: there the node sees
-	// a backend server's crash itself, without a link that takes connections.
+	// toBackend is nil on every second pair of machines. Without the proxy, which
+	// accepts connections in any case, the node sees a backend server's crash itself.
 	toBackend *proxy
 	// fromPeers carries the connections that other nodes open to this one.
-	fromPeers *proxy
-	starts    int
+	fromPeers    *proxy
+	incarnations int
 }
 
-// world is all that a run started.
-type world struct {
+// env holds everything that a run started and observed.
+type env struct {
 	cfg     Config
 	rig     *rig.Rig
 	store   *standin.Store
 	journal *standin.Journal
 	record  record
-	boxes   []*box
-
-	mu   sync.Mutex
-	last published
-	// taken is when the key of each version was first taken away, by the next one.
-	taken map[uint64]time.Time
-	// broken are violations that were seen while it ran.
-	broken []Broken
+	hosts   []*host
+
+	mu          sync.Mutex
+	lastVersion publishedVersion
+	// revoked maps a version to the time at which the next version revoked its key.
+	revoked map[uint64]time.Time
+	// violations are those found during the run.
+	violations []Broken
 }
 
-func newWorld(cfg Config) (*world, error) {
+func newEnv(cfg Config) (*env, error) {
 	r, err := rig.New(cfg.Bin)
 	if err != nil {
 		return nil, err
@@ -97,117 +98,118 @@
 	if err != nil {
 		return nil, errors.Join(err, r.RemoveLogs())
 	}
-	w := &world{cfg: cfg, rig: r, store: store, journal: standin.NewJournal(), taken: make(map[uint64]time.Time)}
-	if err := w.publish(); err != nil {
-		return w, err
+	e := &env{cfg: cfg, rig: r, store: store, journal: standin.NewJournal(), revoked: make(map[uint64]time.Time)}
+	if err := e.publish(); err != nil {
+		return e, err
 	}
 	for i := range cfg.Machines {
-		if err := w.addBox(i); err != nil {
-			return w, err
+		if err := e.addHost(i); err != nil {
+			return e, err
 		}
 	}
-	return w, nil
+	return e, nil
 }
 
-// close ends all that the run started, and nothing else.
-func (w *world) close() error {
-	for _, b := range w.boxes {
-		if b.node != nil {
-			_ = b.node.Signal(syscall.SIGCONT) // it may have ended
+// close stops the processes, servers and proxies of the run. It returns an error if a
+// node didn't stop in time.
+func (e *env) close() error {
+	for _, h := range e.hosts {
+		if h.node != nil {
+			_ = h.node.Signal(syscall.SIGCONT) // resume it if it is paused; it may have ended
 		}
 	}
-	err := w.rig.Close(stopLimit)
-	for _, b := range w.boxes {
-		b.target.Crash()
-		b.toStore.close()
-		b.fromPeers.close()
-		if b.toBackend != nil {
-			b.toBackend.close()
+	err := e.rig.Close(stopTimeout)
+	for _, h := range e.hosts {
+		h.target.Crash()
+		h.toStore.close()
+		h.fromPeers.close()
+		if h.toBackend != nil {
+			h.toBackend.close()
 		}
 	}
-	w.store.Close()
+	e.store.Close()
 	return err
 }
 
-func (w *world) addBox(i int) error {
-	b := &box{Machine: standin.Machine{
-		Name: fmt.Sprintf("m%d", i), IP: fmt.Sprintf("127.%d.0.%d", w.cfg.Net, i+1), Service: []string{topService, endService}[i%2],
+func (e *env) addHost(i int) error {
+	h := &host{Machine: standin.Machine{
+		Name: fmt.Sprintf("m%d", i), IP: fmt.Sprintf("127.%d.0.%d", e.cfg.Net, i+1), Service: []string{topService, endService}[i%2],
 	}}
 	var err error
-	if b.toStore, err = startProxy(w.store.Addr()); err != nil {
+	if h.toStore, err = startProxy(e.store.Addr()); err != nil {
 		return err
 	}
-	if b.fromPeers, err = startProxy(b.Peers()); err != nil {
+	if h.fromPeers, err = startProxy(h.Peers()); err != nil {
 		return err
 	}
-	backend := b.Backend()
+	backend := h.Backend()
 	if i%4 >= 2 {
-		if b.toBackend, err = startProxy(backend); err != nil {
+		if h.toBackend, err = startProxy(backend); err != nil {
 			return err
 		}
-		backend = b.toBackend.addr()
+		backend = h.toBackend.addr()
 	}
-	if b.settings, err = b.WriteSettings(w.rig.Dir(), b.toStore.addr(), backend, true); err != nil {
+	if h.settings, err = h.WriteSettings(e.rig.Dir(), h.toStore.addr(), backend, true); err != nil {
 		return err
 	}
-	if err := w.startTarget(b); err != nil {
+	if err := e.startTarget(h); err != nil {
 		return err
 	}
-	w.boxes = append(w.boxes, b)
-	return w.startNode(b)
+	e.hosts = append(e.hosts, h)
+	return e.startNode(h)
 }
 
-func (w *world) startTarget(b *box) error {
-	b.starts++
-	cfg := standin.TargetConfig{Service: b.Service, Addr: b.Backend(), Node: b.Heartbeats(), Calls: b.Callers(),
-		Slots: slots, Work: work, Beat: beat, Seed: w.cfg.Seed + uint64(b.starts)}
-	if b.toBackend != nil {
-		cfg.ID = "i-" + b.Name // on every second pair of machines starts share an id
+func (e *env) startTarget(h *host) error {
+	h.incarnations++
+	cfg := standin.TargetConfig{Service: h.Service, Addr: h.Backend(), Node: h.Heartbeats(), Calls: h.Callers(),
+		Slots: slots, Work: serviceTime, Beat: heartbeatInterval, Seed: e.cfg.Seed + uint64(h.incarnations)}
+	if h.toBackend != nil {
+		cfg.ID = "i-" + h.Name // the incarnations on this machine share an ID
 	}
-	if b.Service == topService {
-		cfg.CallHost, cfg.CallPath = host, "/end/c"
+	if h.Service == topService {
+		cfg.CallHost, cfg.CallPath = routeHost, "/end/c"
 	}
-	t, err := standin.StartTarget(cfg, w.journal)
+	t, err := standin.StartTarget(cfg, e.journal)
 	if err == nil {
-		b.target = t
+		h.target = t
 	}
 	return err
 }
 
-func (w *world) startNode(b *box) error {
-	p, err := w.rig.StartWith(b.Name, "cassialoomd", []string{
-		settings.PlatformFile + "=" + b.settings, "CASSIALOOM_PEER_ADVERTISE=" + b.fromPeers.addr(),
+func (e *env) startNode(h *host) error {
+	p, err := e.rig.StartWith(h.Name, "cassialoomd", []string{
+		settings.PlatformFile + "=" + h.settings, "CASSIALOOM_PEER_ADVERTISE=" + h.fromPeers.addr(),
 	})
 	if err == nil {
-		b.node = p
+		h.node = p
 	}
 	return err
 }
 
-// keep starts a node again whose process ended by itself, after a short delay,
-// as the platform does.
-func (w *world) keep(b *box) error {
-	if b.node.Running() {
+// restartIfEnded starts a node again if its process has ended, as the platform does.
+func (e *env) restartIfEnded(h *host) error {
+	if h.node.Running() {
 		return nil
 	}
 	time.Sleep(restartDelay)
-	return w.startNode(b)
+	return e.startNode(h)
 }
 
-// restartDelay is the platform's short delay before a process is started again.
+// restartDelay is the platform's delay before it restarts a process.
 const restartDelay = 200 * time.Millisecond
 
-// restart waits for the end of a node's process and starts it again.
-func (w *world) restart(ctx context.Context, b *box) error {
+// restart waits for the end of a node's process and starts it again. A node that exceeds
+// the grace time is a violation and is killed.
+func (e *env) restart(ctx context.Context, h *host) error {
 	select {
-	case <-b.node.Done():
-	case <-time.After(stopLimit):
-		w.noteBroken(Broken{Promise: "a planned stop ends within its grace time", What: b.Name})
-		if err := b.node.Kill(); err != nil {
+	case <-h.node.Done():
+	case <-time.After(stopTimeout):
+		e.addViolation(Broken{Promise: "a planned stop ends within its grace time", What: h.Name})
+		if err := h.node.Kill(); err != nil {
 			return err
 		}
 	case <-ctx.Done():
 		return nil
 	}
-	return w.startNode(b)
+	return e.startNode(h)
 }
