--- a/internal/rig/cluster.go
+++ b/internal/rig/cluster.go
@@ -10,7 +10,7 @@
 	"github.com/cassialoom/cassialoom/membership"
 )
 
-// The project's programs.
+// File names of the project's programs.
 const (
 	NodeProgram      = "cassialoomd"
 	BackendProgram   = "standin-backend"
@@ -18,22 +18,22 @@
 	OperatorsProgram = "cassialoom"
 )
 
-const readyPoll = 50 * time.Millisecond
+const pollInterval = 50 * time.Millisecond
 
-// seeds is the number of nodes that each node is told of at its start.
-const seeds = 3
+// seedNodes is the largest number of seed nodes in a node's arguments.
+const seedNodes = 3
 
-// Options are what all nodes of a cluster share besides the shape.
+// Options are the settings of a cluster besides its shape.
 type Options struct {
-	// NodeArgs returns further arguments of a service's nodes; nil for none.
+	// NodeArgs returns additional arguments for a service's nodes; it may be nil.
 	NodeArgs func(ServiceShape) []string
-	// Seed of the backend servers' service times.
+	// Seed is the seed of the backend servers' service times.
 	Seed uint64
-	// Journals lets every backend server keep one.
+	// Journals makes every backend server keep a journal.
 	Journals bool
 }
 
-// Cluster is one user's system as running processes.
+// Cluster is one user's system, running as processes on loopback.
 type Cluster struct {
 	Rig       *Rig
 	Shape     Shape
@@ -45,13 +45,13 @@
 }
 
 // StartCluster starts the log and all instances and waits until each node
-// answers. What was started is left to the rig's Close, also after an error.
+// answers. Rig.Close stops the processes, also those of a failed start.
 func (r *Rig) StartCluster(ctx context.Context, shape Shape, opts Options) (*Cluster, error) {
 	c := &Cluster{Rig: r, Shape: shape, ports: newPorts(), opts: opts}
 	if err := c.startLog(); err != nil {
 		return nil, err
 	}
-	if err := c.layOut(); err != nil {
+	if err := c.layOutInstances(); err != nil {
 		return nil, err
 	}
 	for n, i := range c.Instances {
@@ -75,9 +75,9 @@
 	return err
 }
 
-// layOut names the instances, gives them addresses and spreads each service
-// over the data centres.
-func (c *Cluster) layOut() error {
+// layOutInstances creates the instances with their names and addresses and spreads each
+// service over the data centres.
+func (c *Cluster) layOutInstances() error {
 	for _, s := range c.Shape.Services {
 		for k := range s.Targets {
 			i := &Instance{
@@ -118,7 +118,7 @@
 		"--ops-listen", i.OpsAddr,
 		"--log-url", c.LogURL,
 	}
-	for _, seed := range c.Instances[:min(seeds, len(c.Instances))] {
+	for _, seed := range c.Instances[:min(seedNodes, len(c.Instances))] {
 		if seed != i {
 			args = append(args, "--seed", seed.PeerAddr)
 		}
@@ -177,7 +177,7 @@
 	return list
 }
 
-// CallerAddrs returns the callers' addresses of all nodes.
+// CallerAddrs returns the addresses at which the nodes accept requests of callers.
 func (c *Cluster) CallerAddrs() []string {
 	var list []string
 	for _, i := range c.Instances {
@@ -186,7 +186,7 @@
 	return list
 }
 
-// Await waits until an operators' page of every node answers with success.
+// Await waits until an operators' page of each instance's node answers with success.
 func (c *Cluster) Await(ctx context.Context, path string, instances []*Instance) error {
 	return c.await(ctx, instances, path, func(i *Instance) error {
 		var page any
@@ -194,8 +194,8 @@
 	})
 }
 
-// AwaitView waits until each of the instances knows that each of them takes
-// work. A node that is ready itself may still know too few of the others.
+// AwaitView waits until the node of each instance lists as many alive and ready members
+// as there are instances. A node that is ready itself may not know the others yet.
 func (c *Cluster) AwaitView(ctx context.Context, instances []*Instance) error {
 	return c.await(ctx, instances, "view", func(i *Instance) error {
 		var members []member
@@ -209,13 +209,13 @@
 			}
 		}
 		if known < len(instances) {
-			return fmt.Errorf("knows %d of %d that take work", known, len(instances))
+			return fmt.Errorf("knows %d of %d ready members", known, len(instances))
 		}
 		return nil
 	})
 }
 
-// member is what AwaitView reads of a node's list of members.
+// member is the part of a node's member list that AwaitView reads.
 type member struct {
 	State string `json:"state"`
 	Ready bool   `json:"ready"`
@@ -223,9 +223,9 @@
 
 var aliveState = membership.Alive.String()
 
-var errEnded = errors.New("the node's process has ended")
+var errProcessEnded = errors.New("the node's process has ended")
 
-// await repeats a check of each node until it succeeds.
+// await repeats a check of each instance until it succeeds.
 func (c *Cluster) await(ctx context.Context, instances []*Instance, what string, check func(*Instance) error) error {
 	for _, i := range instances {
 		if err := awaitOne(ctx, i, check); err != nil {
@@ -236,7 +236,7 @@
 }
 
 func awaitOne(ctx context.Context, i *Instance, check func(*Instance) error) error {
-	ticker := time.NewTicker(readyPoll)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		err := check(i)
@@ -247,7 +247,7 @@
 		case <-ctx.Done():
 			return errors.Join(ctx.Err(), err)
 		case <-i.Node.Done():
-			return errEnded
+			return errProcessEnded
 		case <-ticker.C:
 		}
 	}
@@ -273,8 +273,8 @@
 	return nil
 }
 
-// Publish publishes the graph text with the operators' command, at the node of
-// the first instance and the log, and returns what the command printed.
+// Publish publishes a graph file to the log with the operators' command and returns the
+// command's output.
 func (c *Cluster) Publish(ctx context.Context, graphFile string) (string, error) {
 	out, err := c.Rig.Output(ctx, OperatorsProgram, "publish", "--log-url", c.LogURL, graphFile)
 	if err != nil {
@@ -283,7 +283,7 @@
 	return out, nil
 }
 
-// LogOutage makes the log fail for a time.
+// LogOutage makes the log reject requests for a time.
 func (c *Cluster) LogOutage(ctx context.Context, d time.Duration) error {
 	return post(ctx, c.LogURL+"/control/outage?for="+d.String(), nil)
 }
--- a/internal/rig/instance.go
+++ b/internal/rig/instance.go
@@ -12,37 +12,38 @@
 	"github.com/cassialoom/cassialoom/internal/standin/backend"
 )
 
-// Instance is one backend server with the node beside it.
+// Instance is one backend server with its node.
 type Instance struct {
 	Name       string
 	Service    string
 	DataCentre string
-	// Addresses of the node and of the backend server.
+	// The first four are addresses of the node, for callers, its backend server, its
+	// peers and operators.
 	CallerAddr  string
 	LocalAddr   string
 	PeerAddr    string
 	OpsAddr     string
 	BackendAddr string
-	// Journal is the backend server's, if it keeps one.
+	// Journal is the path of the backend server's journal, if it keeps one.
 	Journal string
 	Node    *Process
 	Backend *Process
 }
 
-// maxPage bounds what is read of an operators' page or an execution log.
-const maxPage = 1 << 30
+// maxResponseBytes bounds the size of an operators' page or an execution log.
+const maxResponseBytes = 1 << 30
 
-var pageClient = &http.Client{
+var httpClient = &http.Client{
 	Timeout:   30 * time.Second,
 	Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 5 * time.Second},
 }
 
-// Get reads a page of the node's operators' address into v.
+// Get decodes a JSON page at the node's operators' address into v.
 func (i *Instance) Get(ctx context.Context, path string, v any) error {
 	return getJSON(ctx, "http://"+i.OpsAddr+path, v)
 }
 
-// Summary returns what ran at the backend server.
+// Summary returns the counts of requests that ran at the backend server.
 func (i *Instance) Summary(ctx context.Context) (backend.Summary, error) {
 	var s backend.Summary
 	err := getJSON(ctx, "http://"+i.BackendAddr+"/executions", &s)
@@ -101,12 +102,12 @@
 }
 
 func do(req *http.Request, read func(io.Reader) error) error {
-	res, err := pageClient.Do(req)
+	res, err := httpClient.Do(req)
 	if err != nil {
 		return err
 	}
 	defer res.Body.Close()
-	body := io.LimitReader(res.Body, maxPage)
+	body := io.LimitReader(res.Body, maxResponseBytes)
 	if res.StatusCode/100 != 2 {
 		text, _ := io.ReadAll(io.LimitReader(body, 512))
 		return fmt.Errorf("%s %s: %s: %s", req.Method, req.URL, res.Status, bytes.TrimSpace(text))
--- a/internal/rig/load/capacity.go
+++ b/internal/rig/load/capacity.go
@@ -9,59 +9,59 @@
 	"github.com/cassialoom/cassialoom/importance"
 )
 
-// Model is what the limit of a system is computed from. A slot is held for
-// the service time and for the slowest of the calls, which are made at the
-// same time; time on the way is left out, so the limit is an upper bound.
+// Model computes the capacity of a system. A request holds a slot for its service time
+// and for the slowest of its calls, which run in parallel. Network time is ignored, so
+// the results are upper bounds.
 type Model struct {
 	Graph *graph.Graph
 	Mix   []Class
-	// Slots of each service, over all of its backend servers.
+	// Slots is the number of slots of each service, over all of its backend servers.
 	Slots map[string]float64
 	// Time draws one service time of an operation.
 	Time func(rng *rand.Rand, service, operation string) time.Duration
 }
 
-// samples for each class; the error of a mean is then about 1%.
-const samples = 10000
+// samplesPerClass is the number of requests of each class that are sampled.
+const samplesPerClass = 10000
 
 const modelSeed = 1
 
-// usage is the slot time in seconds that one request takes at each service.
-type usage map[string]float64
+// slotSeconds is an amount of slot time at each service, in seconds.
+type slotSeconds map[string]float64
 
-func (m Model) usages() []usage {
+func (m Model) slotSecondsByClass() []slotSeconds {
 	rng := rand.New(rand.NewPCG(modelSeed, 0))
-	out := make([]usage, len(m.Mix))
+	out := make([]slotSeconds, len(m.Mix))
 	for i, c := range m.Mix {
-		out[i] = make(usage)
-		for range samples {
+		out[i] = make(slotSeconds)
+		for range samplesPerClass {
 			m.sample(rng, c.Service, c.Operation, out[i])
 		}
 		for service := range out[i] {
-			out[i][service] /= samples
+			out[i][service] /= samplesPerClass
 		}
 	}
 	return out
 }
 
-func (m Model) sample(rng *rand.Rand, service, operation string, u usage) time.Duration {
-	held := m.Time(rng, service, operation)
+func (m Model) sample(rng *rand.Rand, service, operation string, u slotSeconds) time.Duration {
+	duration := m.Time(rng, service, operation)
 	var slowest time.Duration
 	if o, ok := m.Graph.Operation(service, operation); ok {
 		for _, ref := range o.DependsOn {
 			slowest = max(slowest, m.sample(rng, ref.Service, ref.Operation, u))
 		}
 	}
-	held += slowest
-	u[service] += held.Seconds()
-	return held
+	duration += slowest
+	u[service] += duration.Seconds()
+	return duration
 }
 
-// Saturation returns the rate of arrivals at which the first service has all
-// of its slots in use, and the name of that service.
+// Saturation returns the rate of arrivals, per second, at which the first service uses
+// all of its slots, and the name of that service.
 func (m Model) Saturation() (rate float64, service string) {
-	total := make(usage)
-	for i, u := range m.usages() {
+	total := make(slotSeconds)
+	for i, u := range m.slotSecondsByClass() {
 		for s, seconds := range u {
 			total[s] += m.Mix[i].Share * seconds
 		}
@@ -75,7 +75,7 @@
 	return rate, service
 }
 
-// Offered returns the rate of each class at a rate of all arrivals.
+// Offered returns the rate of each class at a total rate of arrivals.
 func (m Model) Offered(rate float64) []float64 {
 	offered := make([]float64, len(m.Mix))
 	for i, c := range m.Mix {
@@ -84,74 +84,77 @@
 	return offered
 }
 
-// Best returns the largest rate of whole requests of each class that the slots
-// allow when work goes strictly by importance: each level takes what it can
-// use of what the levels above left. Within a level all classes get the same
-// share of what is offered, until a service that they need is full.
+// Best returns the largest rate of complete requests of each class that the slots allow
+// under strict priority by importance: each level gets the slots that the higher levels
+// don't use. Within a level all classes get the same share of their offered rate, until
+// a service that they need has no free slots.
 func (m Model) Best(offered []float64) []float64 {
-	left := make(usage, len(m.Slots))
+	free := make(slotSeconds, len(m.Slots))
 	for s, slots := range m.Slots {
-		left[s] = slots
+		free[s] = slots
 	}
-	usages := m.usages()
+	slotSecondsByClass := m.slotSecondsByClass()
 	best := make([]float64, len(m.Mix))
 	for level := importance.Count - 1; level >= 0; level-- {
-		m.fillLevel(importance.Importance(level), offered, usages, left, best)
+		m.fillLevel(importance.Importance(level), offered, slotSecondsByClass, free, best)
 	}
 	return best
 }
 
-func (m Model) fillLevel(level importance.Importance, offered []float64, usages []usage, left usage, best []float64) {
-	open := make(map[int]bool)
+func (m Model) fillLevel(level importance.Importance, offered []float64, slotSecondsByClass []slotSeconds, free slotSeconds, best []float64) {
+	unfilled := make(map[int]bool)
 	for i, c := range m.Mix {
 		if c.Importance == level && offered[i] > 0 {
-			open[i] = true
+			unfilled[i] = true
 		}
 	}
-	done := 0.0 // share of the offered load that the open classes have got
-	for len(open) > 0 {
-		step := 1 - done
-		for service, seconds := range demand(open, offered, usages) {
-			step = min(step, max(left[service], 0)/seconds)
+	served := 0.0 // share of the offered rate that the unfilled classes already have
+	for len(unfilled) > 0 {
+		step := 1 - served
+		for service, seconds := range slotDemand(unfilled, offered, slotSecondsByClass) {
+			step = min(step, max(free[service], 0)/seconds)
 		}
-		grant(open, offered, step, usages, left, best)
-		done += step
-		if done >= 1 {
+		grant(unfilled, offered, step, slotSecondsByClass, free, best)
+		served += step
+		if served >= 1 {
 			return
 		}
-		closeFull(open, usages, left)
+		removeBlocked(unfilled, slotSecondsByClass, free)
 	}
 }
 
-// demand is the slot time in a second for all that is offered of the classes.
-func demand(open map[int]bool, offered []float64, usages []usage) usage {
-	d := make(usage)
-	for i := range open {
-		for service, seconds := range usages[i] {
+// slotDemand returns the slots needed for the whole offered rate of the unfilled classes.
+func slotDemand(unfilled map[int]bool, offered []float64, slotSecondsByClass []slotSeconds) slotSeconds {
+	d := make(slotSeconds)
+	for i := range unfilled {
+		for service, seconds := range slotSecondsByClass[i] {
 			d[service] += offered[i] * seconds
 		}
 	}
 	return d
 }
 
-func grant(open map[int]bool, offered []float64, share float64, usages []usage, left usage, best []float64) {
-	for i := range open {
+// grant gives the unfilled classes a share of their offered rate.
+func grant(unfilled map[int]bool, offered []float64, share float64, slotSecondsByClass []slotSeconds, free slotSeconds, best []float64) {
+	for i := range unfilled {
 		granted := offered[i] * share
 		best[i] += granted
-		for service, seconds := range usages[i] {
-			left[service] -= granted * seconds
+		for service, seconds := range slotSecondsByClass[i] {
+			free[service] -= granted * seconds
 		}
 	}
 }
 
-// full is the slots left at which a service counts as full.
-const full = 1e-6
+// minFreeSlots is the number of free slots up to which a service counts as full; above
+// zero because of rounding.
+const minFreeSlots = 1e-6
 
-func closeFull(open map[int]bool, usages []usage, left usage) {
-	for i := range open {
-		for service := range usages[i] {
-			if left[service] <= full {
-				delete(open, i)
+// removeBlocked removes the classes that need a full service.
+func removeBlocked(unfilled map[int]bool, slotSecondsByClass []slotSeconds, free slotSeconds) {
+	for i := range unfilled {
+		for service := range slotSecondsByClass[i] {
+			if free[service] <= minFreeSlots {
+				delete(unfilled, i)
 			}
 		}
 	}
--- a/internal/rig/load/figures.go
+++ b/internal/rig/load/figures.go
@@ -10,63 +10,63 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// Span of time within a run.
+// Span is a time span within a run: From is included, To is not.
 type Span struct{ From, To time.Time }
 
 // Contains reports whether t lies in the span.
 func (s Span) Contains(t time.Time) bool { return !t.Before(s.From) && t.Before(s.To) }
 
-// Seconds of the span.
+// Seconds returns the length of the span.
 func (s Span) Seconds() float64 { return s.To.Sub(s.From).Seconds() }
 
-// Figures of one run.
+// Figures are the results of one run. A request is good if its complete answer arrived
+// before its deadline. The trigger is the disturbance of the run, such as an overload.
 type Figures struct {
-	// Offered and Good are requests a second in the trigger's span.
+	// Offered and Good are requests per second in the trigger's span.
 	Offered float64
 	Good    float64
-	// GoodBy and BestBy are by importance, a second, in the same span.
+	// GoodBy and BestBy are the good and the best possible rates of each importance, per
+	// second, in the same span.
 	GoodBy [importance.Count]float64
 	BestBy [importance.Count]float64
-	// InOrder is the share of the best that was reached, level by level: what
-	// a level got beyond its best, at the cost of a more important one, does
-	// not count.
+	// InOrder is the reached share of the best possible rates. What a level gets beyond
+	// its best rate, at the expense of a more important one, doesn't count.
 	InOrder float64
-	// Before is the share of requests that were good before the trigger.
+	// Before is the share of good requests before the trigger.
 	Before float64
 	// Wasted is the share of slot time spent on requests that failed.
 	Wasted float64
-	// WastedBy divides it by how the executions ended: one that is done was
-	// of use to its caller but not to the whole request.
+	// WastedBy divides Wasted by the outcome of the executions. Done executions are
+	// among them if the whole request failed later.
 	WastedBy map[backend.Outcome]float64
-	// Attempts that callers made for a request; Runs at all backend servers
-	// for a request.
+	// Attempts is the mean number of attempts of a caller for a request, Runs the mean
+	// number of executions of a request at all backend servers.
 	Attempts float64
 	Runs     float64
-	// Recovery is the time from the trigger's end until the share of good
-	// requests was back within 5% of before, for good; Recovered is false if
-	// it was not until the end of the run.
+	// Recovery is the time from the trigger's end until the share of good requests
+	// stays within 5% of Before. Recovered is false if that doesn't happen in the run.
 	Recovery  time.Duration
 	Recovered bool
 	Orders    Orders
-	// Refusal is the 99th percentile of the time that a refusal took.
+	// Refusal is the 99th percentile of the latency of shed attempts.
 	Refusal time.Duration
-	// Refusals is the number of attempts that were refused.
+	// Refusals is the number of shed attempts.
 	Refusals int
-	// Median and P99 latency of good requests before the trigger.
+	// Median and P99 are latencies of good requests before the trigger.
 	Median time.Duration
 	P99    time.Duration
-	// Late is the 99th percentile of how late requests were sent: the
-	// generator itself was short of processor time if it is long.
+	// Late is the 99th percentile of the delay with which requests were sent. A long one
+	// means that the generator lacked processor time.
 	Late time.Duration
-	// ShedBefore is the number of requests refused before the trigger.
+	// ShedBefore is the number of requests with a shed attempt before the trigger.
 	ShedBefore int
-	// Wrong counts answers of other requests, Untrue requests that were told
-	// "not run" by all that was answered and ran. Both must be zero.
+	// Wrong is the number of answers to other requests, Untrue that of requests that ran
+	// although every attempt was answered with "not run". Both must be zero.
 	Wrong  int
 	Untrue int
 }
 
-// Run is all that was observed in one run.
+// Run is the input of Figures: everything that was observed in one run.
 type Run struct {
 	Mix        []Class
 	Before     Span // under the base load, before the trigger
@@ -74,18 +74,18 @@
 	End        time.Time // of the arrivals
 	Results    []Result
 	Executions []backend.Execution
-	// Best rate of each class in the trigger's span.
+	// Best is the best possible rate of each class in the trigger's span; see Model.Best.
 	Best []float64
 }
 
-// Figures computes them all.
+// Figures computes the results of the run.
 func (r *Run) Figures() Figures {
 	f := Figures{Before: r.goodShare(r.Before)}
 	r.goodput(&f)
-	r.work(&f)
+	r.joinExecutions(&f)
 	r.latencies(&f)
 	f.Recovery, f.Recovered = r.recovery(f.Before)
-	f.Orders = r.orders()
+	f.Orders = r.countOrderViolations()
 	return f
 }
 
@@ -108,10 +108,10 @@
 	for i, rate := range r.Best {
 		f.BestBy[r.Mix[i].Importance] += rate
 	}
-	f.InOrder = inOrder(f.GoodBy, f.BestBy)
+	f.InOrder = shareInOrder(f.GoodBy, f.BestBy)
 }
 
-func inOrder(good, best [importance.Count]float64) float64 {
+func shareInOrder(good, best [importance.Count]float64) float64 {
 	reached, possible := 0.0, 0.0
 	for level := range best {
 		reached += min(good[level], best[level])
@@ -134,9 +134,9 @@
 	return ratio(float64(good), float64(due))
 }
 
-// work joins what ran with what callers got, for requests that were due after
-// the cold start.
-func (r *Run) work(f *Figures) {
+// joinExecutions joins the executions with the callers' results, for requests that were
+// due after the cold start.
+func (r *Run) joinExecutions(f *Figures) {
 	good := make(map[string]bool, len(r.Results))
 	notRun := make(map[string]bool)
 	attempts, runs := 0, 0
@@ -147,21 +147,21 @@
 		}
 		good[res.ID] = res.Good
 		attempts += len(res.Attempts)
-		if neverRan(res) {
+		if allRefused(res) {
 			notRun[res.ID] = true
 		}
 	}
-	var all, wasted time.Duration
+	var total, wasted time.Duration
 	wastedBy := make(map[backend.Outcome]time.Duration)
 	untrue := make(map[string]bool)
 	for _, e := range r.Executions {
-		useful, known := good[e.RequestID]
+		succeeded, known := good[e.RequestID]
 		if !known {
 			continue
 		}
 		runs++
-		all += e.Slot
-		if !useful {
+		total += e.Slot
+		if !succeeded {
 			wasted += e.Slot
 			wastedBy[e.Outcome] += e.Slot
 		}
@@ -169,18 +169,18 @@
 			untrue[e.RequestID] = true
 		}
 	}
-	f.Wasted = ratio(float64(wasted), float64(all))
+	f.Wasted = ratio(float64(wasted), float64(total))
 	f.WastedBy = make(map[backend.Outcome]float64)
 	for outcome, spent := range wastedBy {
-		f.WastedBy[outcome] = ratio(float64(spent), float64(all))
+		f.WastedBy[outcome] = ratio(float64(spent), float64(total))
 	}
 	f.Attempts = ratio(float64(attempts), float64(len(good)))
 	f.Runs = ratio(float64(runs), float64(len(good)))
 	f.Untrue = len(untrue)
 }
 
-// neverRan reports whether every attempt was answered with "not run".
-func neverRan(res *Result) bool {
+// allRefused reports whether every attempt was answered with "not run".
+func allRefused(res *Result) bool {
 	for _, a := range res.Attempts {
 		if !a.Refused() {
 			return false
@@ -199,7 +199,7 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), highestLatency)) // in range
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), highestLatency)) // fails only out of range
 }
 
 func percentile(h *hdrhistogram.Histogram, p float64) time.Duration {
--- a/internal/rig/load/load_test.go
+++ b/internal/rig/load/load_test.go
@@ -13,7 +13,7 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-const text = `
+const graphText = `
 service "front" {
   operation "urgent" {
     idempotent = true
@@ -43,7 +43,7 @@
 
 func testModel(t *testing.T) Model {
 	is := is.New(t)
-	g, problems := graph.Parse("test", []byte(text))
+	g, problems := graph.Parse("test", []byte(graphText))
 	is.NoErr(problems.Err())
 	mix, err := Resolve([]Class{
 		{Service: "front", Operation: "urgent", Share: 0.4},
@@ -59,27 +59,27 @@
 	}
 }
 
-// With constant service times the limit can be worked out by hand: one deep
-// slot of 10 ms does 100 calls a second, and 0.8 of the requests make one.
-func TestBestIsTheLimitOfTheSlots(t *testing.T) {
+// Guards against a wrong capacity limit. With a constant service time of 10 ms the one
+// slot of deep serves 100 calls per second, and 0.8 of the requests make one.
+func TestBestRatesFollowSlotsAndImportance(t *testing.T) {
 	is := is.New(t)
 	m := testModel(t)
 	rate, service := m.Saturation()
 	is.Equal(service, "deep")
-	near(t, rate, 125)
+	equalWithin(t, rate, 125)
 	for _, c := range []struct{ rate, urgent, idle, alone float64 }{
-		{100, 40, 40, 20},   // all of it
-		{200, 80, 20, 40},   // deep is full: the rest of it goes to idle
-		{1000, 100, 0, 200}, // none left for idle; alone does not need it
+		{100, 40, 40, 20},   // below capacity
+		{200, 80, 20, 40},   // deep is full: idle gets the slots that urgent leaves
+		{1000, 100, 0, 200}, // urgent needs all of deep; alone doesn't call it
 	} {
 		best := m.Best(m.Offered(c.rate))
-		near(t, best[0], c.urgent)
-		near(t, best[1], c.idle)
-		near(t, best[2], c.alone)
+		equalWithin(t, best[0], c.urgent)
+		equalWithin(t, best[1], c.idle)
+		equalWithin(t, best[2], c.alone)
 	}
 }
 
-func near(t *testing.T, got, want float64) {
+func equalWithin(t *testing.T, got, want float64) {
 	t.Helper()
 	if got < want-0.01 || got > want+0.01 {
 		t.Errorf("got %v, want %v", got, want)
@@ -109,7 +109,8 @@
 	return r
 }
 
-func TestRecoveryCountsFromTheTriggersEnd(t *testing.T) {
+// Guards against a recovery time that starts elsewhere or ignores a late relapse.
+func TestRecoveryTimeCountsFromTriggerEnd(t *testing.T) {
 	is := is.New(t)
 	m := testModel(t)
 	bad := func(from, to time.Duration) func(time.Duration) bool {
@@ -127,9 +128,9 @@
 	is.True(!f.Recovered)
 }
 
-// Slot time of a request that failed is wasted, whatever part of the chain
-// spent it; a request that was "not run" and ran is found.
-func TestWorkIsJoinedWithWhatCallersGot(t *testing.T) {
+// Guards against wasted slot time that isn't counted, and against a request that ran
+// although its caller received "not run" and that isn't found.
+func TestExecutionsAreJoinedWithResults(t *testing.T) {
 	is := is.New(t)
 	r := testRun(testModel(t), func(at time.Duration) bool { return at != 1500*time.Millisecond })
 	for i := range 200 {
@@ -143,8 +144,8 @@
 	is.Equal(f.Attempts, 1.0)
 }
 
-// An important request is shed at one node while a less important one that
-// needs the same services is admitted there at the same moment.
+// Guards against order violations that aren't counted: at one node and moment an important
+// request is shed and a less important one that needs the same services is admitted.
 func TestOrderViolationsAreFound(t *testing.T) {
 	is := is.New(t)
 	m := testModel(t)
@@ -168,11 +169,11 @@
 		{other(alone, 0, time.Millisecond, 200), Orders{}},
 	} {
 		r := &Run{Mix: m.Mix, Results: []Result{shed, c.other}}
-		is.Equal(r.orders(), c.want)
+		is.Equal(r.countOrderViolations(), c.want)
 	}
 }
 
-// Every policy that is compared sees the same arrivals.
+// Guards against different arrivals for the policies that are compared.
 func TestScheduleIsRepeatable(t *testing.T) {
 	is := is.New(t)
 	mix := testModel(t).Mix
--- a/internal/rig/load/orders.go
+++ b/internal/rig/load/orders.go
@@ -8,22 +8,22 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// Orders counts violations of the order of importance at the entry nodes: a
-// request was shed while a less important one, which needs all services that
-// the shed one needs, was sent to the same node and admitted.
+// Orders counts violations of the order of importance at the entry nodes: a request is
+// shed while the same node admits a less important one that needs at least the same
+// services.
 type Orders struct {
-	// Pairs is the number of shed attempts with a less important request
-	// beside them: the cases in which a violation could show.
+	// Pairs is the number of shed attempts with a comparable less important request at
+	// the same time.
 	Pairs int
-	// Violations are those in which the less important one was admitted.
+	// Violations is the number of pairs in which the less important request was admitted.
 	Violations int
 }
 
-// beside is how far apart two decisions may lie to count as taken at the same
-// time. Admission levels move with time, so it must be short.
-const beside = 2 * time.Millisecond
+// maxDecisionGap is the largest time between two decisions that are compared. It is
+// short because admission levels change.
+const maxDecisionGap = 2 * time.Millisecond
 
-// decision is an attempt as its entry node decided about it.
+// decision is the decision of an entry node on an attempt.
 type decision struct {
 	sent       time.Time
 	importance importance.Importance
@@ -32,7 +32,7 @@
 	admitted   bool
 }
 
-func (r *Run) orders() Orders {
+func (r *Run) countOrderViolations() Orders {
 	byNode := make(map[int][]decision)
 	for i := range r.Results {
 		res := &r.Results[i]
@@ -46,18 +46,18 @@
 	var o Orders
 	for _, list := range byNode {
 		slices.SortFunc(list, func(a, b decision) int { return a.sent.Compare(b.sent) })
-		r.ordersAt(list, &o)
+		r.countAtNode(list, &o)
 	}
 	return o
 }
 
-func (r *Run) ordersAt(list []decision, o *Orders) {
+func (r *Run) countAtNode(list []decision, o *Orders) {
 	first := 0
 	for i, d := range list {
 		if !d.shed {
 			continue
 		}
-		for first < i && d.sent.Sub(list[first].sent) > beside {
+		for first < i && d.sent.Sub(list[first].sent) > maxDecisionGap {
 			first++
 		}
 		compared, violated := r.compare(d, list[first:])
@@ -70,10 +70,11 @@
 	}
 }
 
-// compare looks for less important requests around a shed one.
+// compare reports whether there is a comparable less important request near a shed one,
+// and whether such a request was admitted.
 func (r *Run) compare(shed decision, around []decision) (compared, violated bool) {
 	for _, other := range around {
-		if other.sent.Sub(shed.sent) > beside {
+		if other.sent.Sub(shed.sent) > maxDecisionGap {
 			break
 		}
 		if other.importance >= shed.importance || !r.covers(other.class, shed.class) {
--- a/internal/rig/load/result.go
+++ b/internal/rig/load/result.go
@@ -6,7 +6,7 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// Attempt is one sending of a request.
+// Attempt is one attempt of a caller at a request.
 type Attempt struct {
 	Node     int
 	Sent     time.Time
@@ -17,20 +17,20 @@
 	Reason  verdict.Reason
 }
 
-// Refused reports whether a node refused the request without running it.
+// Refused reports whether a node answered that the request has not run.
 func (a Attempt) Refused() bool { return a.Status != 0 && a.Verdict == verdict.NotRun }
 
-// Result is what one caller saw of its request.
+// Result is the result of one request as its caller saw it.
 type Result struct {
 	Arrival
 	Due      time.Time
 	Finished time.Time
-	// Good says that the complete answer came before the deadline.
+	// Good is true if the complete answer arrived before the deadline.
 	Good bool
-	// Wrong says that a complete answer was not the one to this request.
+	// Wrong is true if a complete answer was not the one to this request.
 	Wrong    bool
 	Attempts []Attempt
 }
 
-// Latency counts from the moment at which the request was due.
+// Latency returns the time from when the request was due to its end.
 func (r *Result) Latency() time.Duration { return r.Finished.Sub(r.Due) }
--- a/internal/rig/load/send.go
+++ b/internal/rig/load/send.go
@@ -17,22 +17,23 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// Callers is how callers resend. Non-idempotent requests are resent only
-// after "not run", whatever the caller.
+// Callers describes how callers retry. All callers retry a non-idempotent request only
+// after "not run".
 type Callers struct {
-	// HardAttempts and HardPause are those of callers that resend hard.
+	// HardAttempts is the number of attempts of callers that ignore Retry-After, and
+	// HardPause their pause between two attempts.
 	HardAttempts int
 	HardPause    time.Duration
-	// MildAttempts are those of callers that heed Retry-After; MildBackoff
-	// is their pause where no time is proposed. It doubles each time.
+	// MildAttempts is the number of attempts of callers that honour Retry-After.
+	// MildBackoff is their shortest pause; it doubles with each attempt.
 	MildAttempts int
 	MildBackoff  time.Duration
-	// MildJitter is the share of a pause that is added at random.
+	// MildJitter is the largest random addition to a pause, as a share of it.
 	MildJitter float64
 }
 
-// DefaultCallers are impatient programs with the usual three resends, and the
-// well-behaved client library.
+// DefaultCallers returns the retries of programs with three quick retries and of the
+// client library.
 func DefaultCallers() Callers {
 	return Callers{
 		HardAttempts: 4,
@@ -44,21 +45,22 @@
 }
 
 const (
-	maxIdleConns = 1024
-	maxAnswer    = 1 << 20
+	maxIdleConns   = 1024
+	maxAnswerBytes = 1 << 20
 )
 
-// Generator sends arrivals to nodes.
+// Generator sends requests to nodes and retries them as Callers describes.
 type Generator struct {
-	Nodes   []string // callers' addresses
+	Nodes   []string // the nodes' addresses for callers
 	Mix     []Class
 	Callers Callers
 
 	client *http.Client
 }
 
-// Run sends all arrivals at their time after start, waits for the last one to
-// be answered or given up, and returns the results in the order of arrival.
+// Run sends each arrival at its time after start, waits until all have ended, and returns
+// the results in the order of arrival. If ctx ends, later arrivals are not sent and have
+// no result.
 func (g *Generator) Run(ctx context.Context, start time.Time, arrivals []Arrival) []Result {
 	transport := &http.Transport{MaxIdleConns: 0, MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -71,23 +73,23 @@
 			results = results[:i]
 			break
 		}
-		all.Go(func() { results[i] = g.serve(ctx, a, due) })
+		all.Go(func() { results[i] = g.send(ctx, a, due) })
 	}
 	all.Wait()
 	return results
 }
 
-// serve is one caller from the moment its request is due to its end.
-func (g *Generator) serve(ctx context.Context, a Arrival, due time.Time) Result {
+// send is one caller from the moment its request is due to its end.
+func (g *Generator) send(ctx context.Context, a Arrival, due time.Time) Result {
 	r := Result{Arrival: a, Due: due}
 	class := g.Mix[a.Class]
 	deadline := due.Add(class.Deadline)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	for n := range g.attempts(a) {
+	for n := range g.maxAttempts(a) {
 		retryAfter := g.attempt(ctx, &r, class, (a.Node+n)%len(g.Nodes), deadline)
 		last := r.Attempts[len(r.Attempts)-1]
-		if r.Good || r.Wrong || !mayResend(class, last) {
+		if r.Good || r.Wrong || !mayRetry(class, last) {
 			break
 		}
 		if !pause.Until(ctx, last.Answered.Add(g.pause(a, n, retryAfter))) {
@@ -99,7 +101,7 @@
 	return r
 }
 
-func (g *Generator) attempts(a Arrival) int {
+func (g *Generator) maxAttempts(a Arrival) int {
 	if a.Hard {
 		return g.Callers.HardAttempts
 	}
@@ -114,9 +116,9 @@
 	return wait + time.Duration(float64(wait)*g.Callers.MildJitter*a.Draw)
 }
 
-// mayResend keeps non-idempotent requests from running twice; what can never
-// succeed is not worth another attempt.
-func mayResend(c Class, a Attempt) bool {
+// mayRetry reports whether a caller may retry after an attempt. Non-idempotent requests
+// must not run twice, and some errors are permanent.
+func mayRetry(c Class, a Attempt) bool {
 	switch a.Reason {
 	case verdict.BadRequest, verdict.TooLarge, verdict.UnknownService, verdict.UnknownOperation:
 		return false
@@ -124,30 +126,30 @@
 	return c.Idempotent || a.Verdict == verdict.NotRun
 }
 
-func (a Arrival) content() []byte {
+func (a Arrival) requestBody() []byte {
 	if a.Body != "" {
 		return []byte(a.Body)
 	}
 	return []byte(a.ID)
 }
 
-// attempt appends what became of it and returns the time that the node asks
-// the caller to wait.
+// attempt sends the request once, appends the attempt to the result, and returns the time
+// after which the node asks the caller to retry.
 func (g *Generator) attempt(ctx context.Context, r *Result, c Class, node int, deadline time.Time) time.Duration {
 	a := Attempt{Node: node, Sent: time.Now(), Verdict: verdict.MayHaveRun}
 	defer func() {
 		a.Answered = time.Now()
 		r.Attempts = append(r.Attempts, a)
 	}()
-	body := r.content()
+	body := r.requestBody()
 	url := "http://" + g.Nodes[node] + "/call/" + c.Service + "/" + c.Operation
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		panic(err) // addresses and names come from the rig
+		panic(err) // the rig's addresses and names are valid
 	}
 	req.Header.Set(backend.HeaderRequestID, r.ID)
-	left := max(time.Until(deadline).Milliseconds(), 1)
-	req.Header.Set(backend.HeaderDeadline, strconv.FormatInt(left, 10))
+	remaining := max(time.Until(deadline).Milliseconds(), 1)
+	req.Header.Set(backend.HeaderDeadline, strconv.FormatInt(remaining, 10))
 	res, err := g.client.Do(req)
 	if err != nil {
 		if unreachable(err) {
@@ -156,7 +158,7 @@
 		return 0
 	}
 	defer res.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
 		return 0
 	}
@@ -164,19 +166,19 @@
 	a.Verdict = verdict.Parse(res.Header.Get(backend.HeaderVerdict))
 	a.Reason = verdict.Reason(res.Header.Get(backend.HeaderReason))
 	if res.StatusCode == http.StatusOK {
-		r.judge(c, raw, body)
+		r.verify(c, raw, body)
 	}
 	ms, _ := strconv.ParseInt(res.Header.Get("Cassialoom-Retry-After-Ms"), 10, 64)
 	return time.Duration(ms) * time.Millisecond
 }
 
-// unreachable reports whether there was no connection: nothing was sent.
+// unreachable reports whether the connection failed, so that nothing was sent.
 func unreachable(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func (r *Result) judge(c Class, raw, body []byte) {
+func (r *Result) verify(c Class, raw, body []byte) {
 	var answer backend.Answer
 	err := json.Unmarshal(raw, &answer)
 	if err == nil {
--- a/internal/rig/load/timeline.go
+++ b/internal/rig/load/timeline.go
@@ -6,18 +6,17 @@
 	"github.com/cassialoom/cassialoom/importance"
 )
 
-// Bucket is a short time of a run. Requests count at the time at which they
-// were due.
+// Bucket counts the requests that were due in a short span of a run.
 type Bucket struct {
-	// At is the bucket's begin, counted from the trigger's begin.
+	// At is the begin of the bucket, relative to the begin of the trigger.
 	At      time.Duration
 	Offered [importance.Count]int
 	Good    [importance.Count]int
-	// Attempts that callers made for these requests.
+	// Attempts is the number of attempts for these requests.
 	Attempts int
 }
 
-// Timeline divides a run into buckets.
+// Timeline divides a run into buckets of the given width.
 func (r *Run) Timeline(width time.Duration) []Bucket {
 	if len(r.Results) == 0 {
 		return nil
--- a/internal/rig/load/workload.go
+++ b/internal/rig/load/workload.go
@@ -1,7 +1,7 @@
 // Package load measures a running cluster with open-loop load: requests start
 // when they are due, whether or not earlier ones have been answered, and
-// latency counts from that moment. A generator that waits for answers sends
-// less when the system slows down and hides what callers would see.
+// latency counts from that moment. A closed-loop generator would send less when
+// the system slows down and hide the latency that callers see.
 package load
 
 import (
@@ -21,20 +21,22 @@
 type Class struct {
 	Service   string
 	Operation string
-	// Share of all requests; the shares of a workload add up to 1.
+	// Share is the share of all requests; the shares of a mix add up to 1.
 	Share float64
 
-	// What the graph declares; filled in by Resolve.
+	// Resolve sets the fields below from the graph. Reach lists the services that a
+	// request needs.
 	Importance importance.Importance
 	Idempotent bool
 	Deadline   time.Duration
 	Reach      []string
 }
 
-// Name of the operation.
+// Name returns the operation's name with its service.
 func (c Class) Name() string { return c.Service + "." + c.Operation }
 
-// Resolve fills in what the graph declares for each class.
+// Resolve returns the mix with the graph's declaration of each class. It returns an error
+// if the graph lacks an operation or the shares don't add up to 1.
 func Resolve(mix []Class, g *graph.Graph) ([]Class, error) {
 	out := slices.Clone(mix)
 	sum := 0.0
@@ -56,29 +58,29 @@
 	return out, nil
 }
 
-// Phase is a time of constant load.
+// Phase is a period with a constant rate of arrivals.
 type Phase struct {
 	Length time.Duration
-	// Rate of arrivals in a second.
+	// Rate is the number of arrivals per second.
 	Rate float64
 }
 
-// Arrival is one request that is due.
+// Arrival is one request of a schedule.
 type Arrival struct {
-	At    time.Duration // since the start
-	Class int
-	Node  int // first node that the caller goes to
-	// Hard callers resend at once and ignore Retry-After.
+	At    time.Duration // when it is due, since the start
+	Class int           // index in the mix
+	Node  int           // index of the first node that the caller tries
+	// Hard is true if the caller retries quickly and ignores Retry-After.
 	Hard bool
-	// Draw decides what else is random about the request, in [0, 1).
+	// Draw is a random number in [0, 1) for the jitter of the caller's pauses.
 	Draw float64
 	ID   string
-	// Body of the request; empty for one that holds the ID.
+	// Body is the request's body; if it is empty, the ID is sent.
 	Body string
 }
 
-// Schedule draws a Poisson process over the phases; the same seed gives the
-// same arrivals to every policy that is compared.
+// Schedule draws a Poisson process over the phases. The same seed gives the same
+// arrivals, so that policies can be compared.
 func Schedule(phases []Phase, mix []Class, nodes int, hardShare float64, seed uint64) []Arrival {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	prefix := strconv.FormatUint(seed, 36)
@@ -94,7 +96,7 @@
 			}
 			list = append(list, Arrival{
 				At:    at,
-				Class: pick(mix, rng.Float64()),
+				Class: pickClass(mix, rng.Float64()),
 				Node:  rng.IntN(nodes),
 				Hard:  rng.Float64() < hardShare,
 				Draw:  rng.Float64(),
@@ -106,14 +108,14 @@
 	return list
 }
 
-// Merge returns the arrivals of both lists in the order in which they are due.
+// Merge returns the arrivals of both lists, ordered by when they are due.
 func Merge(a, b []Arrival) []Arrival {
 	all := slices.Concat(a, b)
 	slices.SortStableFunc(all, func(x, y Arrival) int { return cmp.Compare(x.At, y.At) })
 	return all
 }
 
-// Rates returns the arrivals of each class a second between two times.
+// Rates returns the arrivals of each class per second between two times.
 func Rates(arrivals []Arrival, classes int, from, to time.Duration) []float64 {
 	rates := make([]float64, classes)
 	for _, a := range arrivals {
@@ -124,7 +126,8 @@
 	return rates
 }
 
-func pick(mix []Class, u float64) int {
+// pickClass returns the class that a random number u in [0, 1) selects by share.
+func pickClass(mix []Class, u float64) int {
 	for i, c := range mix {
 		u -= c.Share
 		if u < 0 {
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -1,7 +1,7 @@
 // Package rig runs the programs of this project as separate processes on
 // loopback, for the demo and for measurements: the stand-in of the platform's
-// log, and for each instance a stand-in backend server with its node. It ends
-// what it started, by process id, and nothing else.
+// log, and for each instance a stand-in backend server with its node. It signals
+// only processes that it started, by process ID.
 package rig
 
 import (
@@ -19,29 +19,29 @@
 // Process is one child process.
 type Process struct {
 	Name    string
-	Log     string // file with all that it wrote
+	Log     string // file with its standard output and error
 	program string
 	args    []string
-	env     []string // besides the rig's own
+	env     []string // added to the driver's environment
 	cmd     *exec.Cmd
-	done    chan struct{} // closed when it has ended
-	err     error         // of Wait; read after done
+	done    chan struct{} // closed when the process has ended
+	err     error         // result of Wait; valid once done is closed
 }
 
-// PID is the process id.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
 // ExitStatus returns the exit status, or -1 if a signal ended the process.
-// It waits for the end.
+// It blocks until the process has ended.
 func (p *Process) ExitStatus() int {
 	<-p.done
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// Running reports whether the process has not ended yet.
+// Running reports whether the process is still running.
 func (p *Process) Running() bool {
 	select {
 	case <-p.done:
@@ -51,8 +51,8 @@
 	}
 }
 
-// Signal sends a signal to the process unless it has ended. The os package
-// never signals a process id that was waited for and may belong to another.
+// Signal sends a signal to the process unless it has ended. The os package doesn't
+// signal a process after Wait, when its ID may belong to another process.
 func (p *Process) Signal(sig os.Signal) error {
 	err := p.cmd.Process.Signal(sig)
 	if errors.Is(err, os.ErrProcessDone) {
@@ -61,7 +61,7 @@
 	return err
 }
 
-// Kill ends the process at once, as a crash of the instance would.
+// Kill kills the process, as in a crash of the instance, and waits for its end.
 func (p *Process) Kill() error {
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		return err
@@ -70,11 +70,12 @@
 	return nil
 }
 
-// dumpTime is what a process gets to write its goroutines before it is killed.
-const dumpTime = time.Second
+// dumpTimeout is the time that a process has to write its goroutines before it is killed.
+const dumpTimeout = time.Second
 
-// Stop asks the process to stop and waits; at the limit it is killed, which is
-// an error. Its log then shows what its goroutines waited for.
+// Stop sends SIGTERM and waits for the end of the process. A process that still runs
+// after the limit writes its goroutines to its log and is killed, and Stop returns an
+// error with its kernel state.
 func (p *Process) Stop(limit time.Duration) error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -85,24 +86,24 @@
 	case <-p.done:
 		return nil
 	case <-timer.C:
-		err := fmt.Errorf("%s did not stop within %v: %s", p.Name, limit, p.state())
-		return errors.Join(err, p.dump(), p.Kill())
+		err := fmt.Errorf("%s did not stop within %v: %s", p.Name, limit, p.kernelState())
+		return errors.Join(err, p.dumpGoroutines(), p.Kill())
 	}
 }
 
-// dump has a Go process write its goroutines to its log.
-func (p *Process) dump() error {
+// dumpGoroutines makes a Go process write its goroutines to its log and exit.
+func (p *Process) dumpGoroutines() error {
 	if err := p.Signal(syscall.SIGQUIT); err != nil {
 		return err
 	}
 	select {
 	case <-p.done:
-	case <-time.After(dumpTime):
+	case <-time.After(dumpTimeout):
 	}
 	return nil
 }
 
-// Rig owns the child processes. It is safe for concurrent use.
+// Rig starts and stops child processes. It is safe for concurrent use.
 type Rig struct {
 	bin string
 	dir string
@@ -122,21 +123,21 @@
 	return &Rig{bin: bin, dir: dir}, nil
 }
 
-// Dir is the folder with the logs.
+// Dir returns the folder with the logs.
 func (r *Rig) Dir() string { return r.dir }
 
-// Program is the path of one of the project's programs.
+// Program returns the path of one of the project's programs.
 func (r *Rig) Program(name string) string { return filepath.Join(r.bin, name) }
 
 var errClosed = errors.New("the rig is closed")
 
-// Start starts a program with the arguments. A process that is started again
-// under its name continues the same log.
+// Start starts a program with the arguments. Processes with the same name append to the
+// same log file.
 func (r *Rig) Start(name, program string, args ...string) (*Process, error) {
 	return r.StartWith(name, program, nil, args...)
 }
 
-// StartWith is Start with variables added to the environment.
+// StartWith is like Start and adds variables to the environment.
 func (r *Rig) StartWith(name, program string, env []string, args ...string) (*Process, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,7 +159,7 @@
 	return p, nil
 }
 
-// Restart starts a process that has ended again, with the same arguments.
+// Restart starts an ended process again, with the same name, arguments and environment.
 func (r *Rig) Restart(p *Process) (*Process, error) {
 	return r.StartWith(p.Name, p.program, p.env, p.args...)
 }
@@ -184,7 +185,7 @@
 	return nil
 }
 
-// Output runs a program to its end and returns what it wrote.
+// Output runs a program to its end and returns its standard output and error.
 func (r *Rig) Output(ctx context.Context, program string, args ...string) (string, error) {
 	cmd := exec.CommandContext(ctx, r.Program(program), args...)
 	cmd.SysProcAttr = childAttributes()
@@ -192,9 +193,9 @@
 	return string(out), err
 }
 
-// Close stops all processes that still run, the latest first, and waits for
-// them; those that do not stop within the limit are killed. It returns their
-// names in the error.
+// Close stops all running processes at the same time and waits for them. Those that
+// don't stop within the limit are killed and named in the error. Nothing can be started
+// afterwards.
 func (r *Rig) Close(limit time.Duration) error {
 	r.mu.Lock()
 	r.closed = true
@@ -209,7 +210,7 @@
 	return errors.Join(errs...)
 }
 
-// Running returns the processes that have not ended.
+// Running returns the processes that are still running.
 func (r *Rig) Running() []*Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -222,5 +223,5 @@
 	return out
 }
 
-// RemoveLogs deletes the logs.
+// RemoveLogs deletes the folder with the logs.
 func (r *Rig) RemoveLogs() error { return os.RemoveAll(r.dir) }
--- a/internal/rig/process_test.go
+++ b/internal/rig/process_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// limit is far beyond what a process needs to end; no test depends on it.
-const limit = time.Minute
+// stopTimeout is long enough that no test depends on it.
+const stopTimeout = time.Minute
 
 func testRig(t *testing.T, program string) *Rig {
 	is := is.New(t)
@@ -25,9 +25,9 @@
 	return r
 }
 
-// The driver ends: whatever it started ends with it, whether it was asked to
-// stop, was killed before or was started again; and nothing starts later.
-func TestCloseLeavesNothing(t *testing.T) {
+// Guards against processes that outlive the driver, including restarted ones and
+// ones that are started after Close.
+func TestCloseEndsAllProcesses(t *testing.T) {
 	is := is.New(t)
 	r := testRig(t, "sleep")
 	var procs []*Process
@@ -42,15 +42,15 @@
 	is.NoErr(err)
 	is.True(again.PID() != procs[0].PID())
 	is.Equal(len(r.Running()), 3)
-	is.NoErr(r.Close(limit))
+	is.NoErr(r.Close(stopTimeout))
 	is.Equal(len(r.Running()), 0)
 	is.True(!again.Running())
 	_, err = r.Start("d", "sleep", "600")
 	is.Equal(err, errClosed)
 }
 
-// A process ignores the request to stop: it is killed, and the error says so.
-func TestStopKillsAtTheLimit(t *testing.T) {
+// Guards against a process that ignores SIGTERM and outlives the driver.
+func TestStopKillsProcessAfterTimeout(t *testing.T) {
 	is := is.New(t)
 	r := testRig(t, "sh")
 	fifo := filepath.Join(t.TempDir(), "ready")
@@ -63,5 +63,5 @@
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "State ")) // running or asleep
 	is.True(!p.Running())
-	is.NoErr(r.Close(limit))
+	is.NoErr(r.Close(stopTimeout))
 }
--- a/internal/rig/shape.go
+++ b/internal/rig/shape.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Shape is the form of one user's system.
+// Shape describes one user's system: its services and data centres.
 type Shape struct {
 	Name        string
 	Region      string
@@ -10,20 +10,22 @@
 	Services    []ServiceShape
 }
 
-// ServiceShape is one service and its backend servers.
+// ServiceShape describes one service and its backend servers.
 type ServiceShape struct {
 	Name    string
 	Targets int
-	// Slots and Queue of each backend server.
+	// Slots is the number of requests that each backend server runs at the same time,
+	// and Queue the number that wait for a slot.
 	Slots int
 	Queue int
-	// Time is the mean service time of operations that Times does not name;
-	// zero leaves the stand-in's default.
+	// Time is the mean service time of operations that are not in Times; zero means the
+	// stand-in's default.
 	Time time.Duration
-	// Times and Calls as the stand-in backend server takes them.
+	// Times and Calls are arguments of the stand-in backend server; see its Config.
 	Times []string
 	Calls []string
-	// ColdFor and ColdFactor describe the cold start.
+	// ColdFor is the duration of the cold start; zero means none. ColdFactor multiplies
+	// the service times at its begin.
 	ColdFor    time.Duration
 	ColdFactor float64
 }
--- a/internal/rig/stall.go
+++ b/internal/rig/stall.go
@@ -6,11 +6,10 @@
 	"time"
 )
 
-const stallTick = 20 * time.Millisecond
+const stallInterval = 20 * time.Millisecond
 
-// StallWatch notes for how long this machine did not let its own goroutine
-// run. What is measured while a machine stands still says nothing about the
-// programs on it.
+// StallWatch measures for how long this machine did not schedule its goroutine.
+// Measurements during a long stall say nothing about the programs on the machine.
 type StallWatch struct {
 	stop context.CancelFunc
 	done sync.WaitGroup
@@ -19,7 +18,7 @@
 	longest time.Duration
 }
 
-// WatchStalls starts watching.
+// WatchStalls starts a watch; Stop ends it.
 func WatchStalls() *StallWatch {
 	ctx, stop := context.WithCancel(context.Background())
 	w := &StallWatch{stop: stop}
@@ -28,7 +27,7 @@
 }
 
 func (w *StallWatch) watch(ctx context.Context) {
-	ticker := time.NewTicker(stallTick)
+	ticker := time.NewTicker(stallInterval)
 	defer ticker.Stop()
 	last := time.Now()
 	for {
@@ -38,12 +37,12 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		w.note(now.Sub(last) - stallTick)
+		w.observe(now.Sub(last) - stallInterval)
 		last = now
 	}
 }
 
-func (w *StallWatch) note(stall time.Duration) {
+func (w *StallWatch) observe(stall time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.longest = max(w.longest, stall)
@@ -56,7 +55,7 @@
 	return w.longest
 }
 
-// Stop ends the watch.
+// Stop ends the watch and waits for its goroutine.
 func (w *StallWatch) Stop() {
 	w.stop()
 	w.done.Wait()
--- a/internal/rig/state.go
+++ b/internal/rig/state.go
@@ -6,12 +6,13 @@
 	"strings"
 )
 
-// state is what the kernel says of the process, for the error about one that does not
-// stop: a process that is ending already writes no goroutines.
-func (p *Process) state() string {
+// kernelState describes the state of the process as the kernel reports it. The error
+// about a process that doesn't stop contains it, since a process that is already exiting
+// can't write its goroutines.
+func (p *Process) kernelState() string {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.PID()))
 	if err != nil {
-		return "its state cannot be read: " + err.Error()
+		return "process state cannot be read: " + err.Error()
 	}
 	var lines []string
 	for line := range strings.Lines(string(status)) {
--- a/internal/rig/users.go
+++ b/internal/rig/users.go
@@ -7,7 +7,7 @@
 	"github.com/cassialoom/cassialoom/graph"
 )
 
-// Savukartta is the wildfire smoke service at its size of today.
+// Savukartta returns the shape of the wildfire smoke service at its present size.
 func Savukartta() Shape {
 	return Shape{
 		Name:        "savukartta",
@@ -22,7 +22,7 @@
 	}
 }
 
-// Hallwyl is the executive search service at its size of today.
+// Hallwyl returns the shape of the executive search service at its present size.
 func Hallwyl() Shape {
 	return Shape{
 		Name:        "hallwyl",
@@ -37,8 +37,9 @@
 	}
 }
 
-// WithGraph returns the shape with backend servers that make exactly the calls
-// that the graph declares, those of one operation at the same time.
+// WithGraph returns the shape with backend servers that make the calls that the graph
+// declares. The calls of one operation run in parallel. It returns an error if the graph
+// lacks a service of the shape.
 func (s Shape) WithGraph(g *graph.Graph) (Shape, error) {
 	services := make([]ServiceShape, len(s.Services))
 	copy(services, s.Services)
@@ -53,17 +54,18 @@
 	return s, nil
 }
 
+// calls returns the service's dependencies as arguments of a stand-in backend server.
 func calls(s *graph.Service) []string {
 	var list []string
-	for _, o := range s.Operations {
-		if len(o.DependsOn) == 0 {
+	for _, operation := range s.Operations {
+		if len(operation.DependsOn) == 0 {
 			continue
 		}
-		names := make([]string, len(o.DependsOn))
-		for i, ref := range o.DependsOn {
+		names := make([]string, len(operation.DependsOn))
+		for i, ref := range operation.DependsOn {
 			names[i] = ref.String()
 		}
-		list = append(list, o.Name+"="+strings.Join(names, "&"))
+		list = append(list, operation.Name+"="+strings.Join(names, "&"))
 	}
 	return list
 }
