--- a/internal/standin/backend/announce.go
+++ b/internal/standin/backend/announce.go
@@ -10,33 +10,33 @@
 	"time"
 )
 
-// State of a backend server as its node hears it.
+// State is the state that a backend server announces to its node.
 type State string
 
-// The states that are announced.
+// The announced states.
 const (
 	Ready    State = "ready"
 	Draining State = "draining"
 )
 
-// Announcement tells the node about its backend server. A changed Boot says
-// that the process is a new one.
+// Announcement is what a backend server sends to its node at intervals. Boot identifies
+// the backend incarnation: a changed one means a new process.
 type Announcement struct {
 	URL   string `json:"url"`
 	State State  `json:"state"`
 	Boot  string `json:"boot"`
 }
 
-// Departure tells the node that this backend server stops.
+// Departure is what a backend server sends to its node when it stops.
 type Departure struct {
 	Boot string `json:"boot"`
 }
 
-// announceTimeout is below the interval, so that one lost announcement does
-// not delay the next.
+// announceTimeout is below the default interval, so that a lost announcement
+// doesn't delay the next.
 const announceTimeout = 900 * time.Millisecond
 
-// State returns what is announced now.
+// State returns the state that is announced now.
 func (s *Server) State() State {
 	if s.draining.Load() {
 		return Draining
@@ -44,12 +44,13 @@
 	return Ready
 }
 
-// announceLoop announces until ctx ends, and at once when kick fires.
+// announceLoop sends announcements at intervals until ctx ends, and one at once for each
+// value from kick.
 func (s *Server) announceLoop(ctx context.Context, url string, kick <-chan struct{}) {
 	ticker := time.NewTicker(s.cfg.AnnounceEvery)
 	defer ticker.Stop()
 	for {
-		// A failed announcement is repeated with the next tick.
+		// The next announcement makes up for a failed one.
 		_ = s.announce(ctx, url)
 		select {
 		case <-ctx.Done():
@@ -65,19 +66,19 @@
 	if err != nil {
 		return err
 	}
-	return s.tellNode(ctx, "/backend/announce", raw)
+	return s.postToNode(ctx, "/backend/announce", raw)
 }
 
-// leave tells the node that this backend server stops.
-func (s *Server) leave(ctx context.Context) error {
+// announceLeaving sends the departure of this backend server to the node.
+func (s *Server) announceLeaving(ctx context.Context) error {
 	raw, err := json.Marshal(Departure{Boot: s.boot})
 	if err != nil {
 		return err
 	}
-	return s.tellNode(ctx, "/backend/leave", raw)
+	return s.postToNode(ctx, "/backend/leave", raw)
 }
 
-func (s *Server) tellNode(ctx context.Context, path string, raw []byte) error {
+func (s *Server) postToNode(ctx context.Context, path string, raw []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.cfg.Node+path, bytes.NewReader(raw))
--- a/internal/standin/backend/answer.go
+++ b/internal/standin/backend/answer.go
@@ -8,8 +8,8 @@
 	"hash/fnv"
 )
 
-// Answer is the body of every complete answer. Children carry the answers of
-// the calls that were made for it, in the order in which they are declared.
+// Answer is the body of every complete answer. Children holds the answers to the calls
+// that were made for it, in the declared order.
 type Answer struct {
 	Service    string   `json:"service"`
 	Operation  string   `json:"operation"`
@@ -19,24 +19,24 @@
 	Children   []Answer `json:"children,omitempty"`
 }
 
-// errForeign says that an answer belongs to another request.
-var errForeign = errors.New("answer of another request")
+// errWrongAnswer is the error for an answer that belongs to another request.
+var errWrongAnswer = errors.New("answer to another request")
 
-// Verify reports whether the answer is the one to a request with this body
-// and, if requestID is not empty, this id, through the whole chain.
+// Verify checks that the answer and all of its children are those to a request with this
+// body. An empty requestID is not checked.
 func (a *Answer) Verify(service, operation, requestID string, body []byte) error {
 	if a.Service != service || a.Operation != operation {
-		return fmt.Errorf("%w: of %s.%s, want %s.%s", errForeign, a.Service, a.Operation, service, operation)
+		return fmt.Errorf("%w: from %s.%s, want %s.%s", errWrongAnswer, a.Service, a.Operation, service, operation)
 	}
 	return a.verifyContent(requestID, hashBody(body))
 }
 
 func (a *Answer) verifyContent(requestID, sum string) error {
 	if a.BodySHA256 != sum {
-		return fmt.Errorf("%w: %s.%s saw another body", errForeign, a.Service, a.Operation)
+		return fmt.Errorf("%w: %s.%s received another body", errWrongAnswer, a.Service, a.Operation)
 	}
 	if requestID != "" && a.RequestID != requestID {
-		return fmt.Errorf("%w: %s.%s saw request id %q, want %q", errForeign, a.Service, a.Operation, a.RequestID, requestID)
+		return fmt.Errorf("%w: %s.%s received request ID %q, want %q", errWrongAnswer, a.Service, a.Operation, a.RequestID, requestID)
 	}
 	for i := range a.Children {
 		if err := a.Children[i].verifyContent(requestID, sum); err != nil {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// Calls returns the number of answers in the tree, its own included.
+// Calls returns the number of answers in the tree, including this one.
 func (a *Answer) Calls() int {
 	n := 1
 	for i := range a.Children {
--- a/internal/standin/backend/calls.go
+++ b/internal/standin/backend/calls.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Headers shared with the node.
+// Headers of the protocol between node and backend server.
 const (
 	HeaderCall       = "Cassialoom-Call"
 	HeaderDeadline   = "Cassialoom-Deadline-Ms"
@@ -23,14 +23,14 @@
 )
 
 const (
-	maxBody = 8 << 20
-	// maxIdleConns lets every slot keep a connection to the node; opening
-	// one for each call would be measured in place of the node.
+	maxBodyBytes = 8 << 20
+	// maxIdleConns lets every slot keep a connection to the node. Otherwise measurements
+	// would include a new connection for each call.
 	maxIdleConns    = 2048
 	idleConnTimeout = 90 * time.Second
 )
 
-// childError is a failed call to a dependency.
+// childError is the error of a failed call to a dependency.
 type childError struct {
 	target  target
 	status  int
@@ -48,7 +48,7 @@
 
 func (e *childError) Unwrap() error { return e.cause }
 
-// nodeClient calls other services through the node.
+// nodeClient calls other services through the node. It is safe for concurrent use.
 type nodeClient struct {
 	addr   string
 	client *http.Client
@@ -65,8 +65,8 @@
 
 func (n *nodeClient) close() { n.client.CloseIdleConnections() }
 
-// run makes the calls of a plan and stops at the first failure: what follows
-// would be work for a request that has failed already.
+// run makes the calls of a plan and stops at the first failure, since the request has
+// failed then.
 func (n *nodeClient) run(ctx context.Context, p plan, token string, body []byte) ([]Answer, error) {
 	var answers []Answer
 	for _, step := range p {
@@ -116,7 +116,7 @@
 }
 
 func readAnswer(t target, res *http.Response) (Answer, error) {
-	raw, err := io.ReadAll(io.LimitReader(res.Body, maxBody))
+	raw, err := io.ReadAll(io.LimitReader(res.Body, maxBodyBytes))
 	if err != nil {
 		return Answer{}, &childError{target: t, cause: fmt.Errorf("incomplete answer: %w", err)}
 	}
--- a/internal/standin/backend/config.go
+++ b/internal/standin/backend/config.go
@@ -1,12 +1,11 @@
 // Package backend is a stand-in for a backend server, for tests, the demo and
-// measurements. It holds a slot for each request that it runs, works for a
-// random service time, calls its dependencies through its node, and gives an
-// answer by which a caller can prove that it got the complete answer to its
-// own request. It can misbehave on demand: slow down, mislead about its load,
-// shed, cut answers short and crash.
+// measurements. It uses a slot for each request that it runs, waits for a random
+// service time, calls its dependencies through its node, and returns an answer by
+// which a caller can verify that it is complete and belongs to its request. It can
+// misbehave on demand: slow down, report a wrong load, shed, truncate answers and crash.
 //
-// Serve a Server's Handler in-process (httptest) or let Run do everything
-// that a process needs.
+// Tests can serve a Server's Handler in-process (httptest); Server.Run runs a
+// whole process.
 package backend
 
 import (
@@ -14,69 +13,67 @@
 	"time"
 )
 
-// Config of one stand-in backend server. The tags are read by go-flags.
+// Config is the configuration of one stand-in backend server. go-flags reads the tags.
 type Config struct {
-	// Service is the name in the graph; the default marker of a crash and
-	// every answer name it.
+	// Service is the name in the graph. Every answer and the default CrashMarker
+	// contain it.
 	Service string `long:"service" env:"STANDIN_SERVICE" description:"service that this backend server belongs to"`
-	// Listen is the address for requests; port 0 takes a free one.
+	// Listen is the address for requests; port 0 means any free port.
 	Listen string `long:"listen" env:"STANDIN_LISTEN" description:"address for requests"`
 	// Node is the local address of the node; empty for none.
 	Node string `long:"node" env:"STANDIN_NODE" description:"host:port of the node's local address; empty: no node, no announcements"`
-	// AnnounceEvery is how often the node hears of this backend server.
-	// One second: the interval that nodes expect.
+	// AnnounceEvery is the interval of the announcements to the node.
 	AnnounceEvery time.Duration `long:"announce-every" env:"STANDIN_ANNOUNCE_EVERY" description:"interval of the announcements to the node"`
 
 	// Slots is the number of requests that run at the same time.
 	Slots int `long:"slots" env:"STANDIN_SLOTS" description:"requests that run at the same time"`
-	// Queue is the number of requests that wait for a slot. The default is
-	// short, as in servers that keep a small accept queue.
+	// Queue is the number of requests that may wait for a slot.
 	Queue int `long:"queue" env:"STANDIN_QUEUE" description:"requests that wait for a slot"`
-	// Shed makes a full queue refuse with 503; without it requests beyond
-	// the queue wait as well, up to MaxWaiting.
+	// Shed makes the server refuse requests with 503 when the queue is full. Without
+	// it up to MaxWaiting requests wait.
 	Shed bool `long:"shed" env:"STANDIN_SHED" description:"refuse requests beyond the queue at once"`
 
 	// Time is the mean service time of operations that Times does not name.
 	Time time.Duration `long:"time" env:"STANDIN_TIME" description:"mean service time of any other operation"`
-	// Times are the service times, one operation each, as
+	// Times are the service times of operations, each as
 	// "operation=mean[,distribution]".
 	Times []string `long:"times" env:"STANDIN_TIMES" env-delim:";" description:"service time of an operation: OPERATION=MEAN[,constant|exponential|lognormal]; may be repeated"`
-	// Calls are the dependencies, one operation each, as
-	// "operation=service.op,service.op&service.op": comma for one after the
-	// other, & for at the same time.
+	// Calls are the dependencies of operations, each as
+	// "operation=service.op,service.op&service.op": calls separated by a comma run in
+	// sequence, those separated by & in parallel.
 	Calls []string `long:"calls" env:"STANDIN_CALLS" env-delim:";" description:"calls of an operation: OPERATION=SERVICE.OP[,SERVICE.OP][&SERVICE.OP], comma: in sequence, &: in parallel; may be repeated"`
 	// Seed makes the service times repeatable.
 	Seed uint64 `long:"seed" env:"STANDIN_SEED" description:"seed of the service times"`
 
-	// ColdFor is how long a start stays slow; zero for no cold start.
+	// ColdFor is the duration of the cold start; zero for none.
 	ColdFor time.Duration `long:"cold-for" env:"STANDIN_COLD_FOR" description:"duration of the cold start"`
-	// ColdFactor multiplies service times at the start; it falls linearly to 1.
+	// ColdFactor multiplies the service times at the begin of the cold start. The factor
+	// falls linearly to 1.
 	ColdFactor float64 `long:"cold-factor" env:"STANDIN_COLD_FACTOR" description:"service time factor at the begin of the cold start"`
 
-	// LoadLag is the age of what /load reports.
+	// LoadLag is the age of the load that /load reports.
 	LoadLag time.Duration `long:"load-lag" env:"STANDIN_LOAD_LAG" description:"age of the load that /load reports"`
 	// CrashMarker makes the process exit with status 3 when a request's body
 	// contains it; empty for "crash:SERVICE".
 	CrashMarker string `long:"crash-marker" env:"STANDIN_CRASH_MARKER" description:"text in a body that crashes the process (default: crash:SERVICE)"`
 
-	// DrainQuiet is how long no request may have arrived before a draining
-	// process stops: longer than a hop, so that a request under way to it
-	// is still served.
+	// DrainQuiet is the time without a new request after which a draining process stops.
+	// It is longer than a network hop, so that requests under way are still served.
 	DrainQuiet time.Duration `long:"drain-quiet" env:"STANDIN_DRAIN_QUIET" description:"time without a request after which a draining process stops"`
-	// DrainLimit bounds the whole drain.
+	// DrainLimit is the longest duration of a drain.
 	DrainLimit time.Duration `long:"drain-limit" env:"STANDIN_DRAIN_LIMIT" description:"longest drain"`
-	// Journal is a file to which every request that begins is appended, so
-	// that what ran is known after a crash as well; empty for none.
+	// Journal is a file to which every request that begins is appended, so that
+	// executions are known after a crash; empty for none.
 	Journal string `long:"journal" env:"STANDIN_JOURNAL" description:"file to which every request that begins is appended"`
-	// KeepExecutions bounds the memory of the execution log; 200,000 hold
-	// some minutes of a measurement at full load.
+	// KeepExecutions bounds the number of executions in the execution log.
 	KeepExecutions int `long:"keep-executions" env:"STANDIN_KEEP_EXECUTIONS" description:"executions kept for /executions"`
 }
 
-// MaxWaiting bounds the requests that wait when Shed is not set.
+// MaxWaiting is the largest number of waiting requests when Shed is not set.
 const MaxWaiting = 20000
 
-// DefaultConfig is a small healthy backend server without dependencies.
+// DefaultConfig returns the configuration of a small healthy backend server without
+// dependencies.
 func DefaultConfig() Config {
 	return Config{
 		Service:        "service",
@@ -93,7 +90,7 @@
 	}
 }
 
-// Check names the first setting that cannot be used.
+// Check returns an error that names the first invalid setting.
 func (c Config) Check() error {
 	for _, rule := range c.rules() {
 		if !rule.ok {
--- a/internal/standin/backend/control.go
+++ b/internal/standin/backend/control.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Control changes the behaviour of a running stand-in; fields that are not
-// set stay as they are.
+// Control changes the behaviour of a running stand-in. Settings with a nil field stay
+// as they are.
 type Control struct {
 	// SlowFactor multiplies all service times.
 	SlowFactor *float64 `json:"slow_factor,omitempty"`
 	// Load is the mode of /load.
 	Load *LoadMode `json:"load,omitempty"`
-	// LoadLagMs is the age of what /load reports.
+	// LoadLagMs is the age of the load that /load reports, in milliseconds.
 	LoadLagMs *int64 `json:"load_lag_ms,omitempty"`
-	// Cold begins the cold start anew.
+	// Cold restarts the cold start if it is true.
 	Cold *bool `json:"cold,omitempty"`
 	// FailEvery makes every n-th request fail with status 500; 0 for none.
 	FailEvery *int64 `json:"fail_every,omitempty"`
-	// CutEvery cuts every n-th answer off in the middle; 0 for none.
+	// CutEvery truncates every n-th answer; 0 for none.
 	CutEvery *int64 `json:"cut_every,omitempty"`
 }
 
@@ -39,19 +39,20 @@
 	return nil
 }
 
-// Apply changes the behaviour at once, all or nothing.
+// Apply changes the behaviour. If a field is invalid, it returns an error and changes
+// nothing.
 func (s *Server) Apply(c Control) error {
 	if err := c.check(); err != nil {
 		return err
 	}
 	if c.SlowFactor != nil {
-		s.work.setSlowFactor(*c.SlowFactor)
+		s.serviceTimer.setSlowFactor(*c.SlowFactor)
 	}
 	if c.Load != nil || c.LoadLagMs != nil {
 		s.applyLoad(c)
 	}
 	if c.Cold != nil && *c.Cold {
-		s.work.restartCold(time.Now())
+		s.serviceTimer.restartCold(time.Now())
 	}
 	if c.FailEvery != nil {
 		s.failEvery.Store(*c.FailEvery)
--- a/internal/standin/backend/execute.go
+++ b/internal/standin/backend/execute.go
@@ -12,32 +12,31 @@
 	"github.com/gorilla/mux"
 )
 
-// execute runs a request that holds a slot. Its own work comes first, so that
-// a call refused further down wastes as much as it can: the worst case for an
-// overload policy.
+// execute runs a request that has a slot. Its own service time precedes its calls, so a
+// refused call wastes the most work: the worst case for an overload policy.
 func (s *Server) execute(ctx context.Context, w http.ResponseWriter, r *http.Request, body []byte) {
 	operation := mux.Vars(r)["operation"]
-	n := s.begun.Add(1)
+	n := s.requestCount.Add(1)
 	e := s.begin(r, operation, body)
 	if bytes.Contains(body, []byte(s.cfg.CrashMarker)) {
 		s.exit(CrashStatus)
 	}
 	children, err := s.process(ctx, r, operation, body)
-	if err == nil && every(s.failEvery.Load(), n) {
+	if err == nil && isEvery(s.failEvery.Load(), n) {
 		err = errInjected
 	}
-	s.execs.end(e, time.Now(), outcomeOf(ctx, err))
+	s.executions.end(e, time.Now(), outcomeOf(ctx, err))
 	if err != nil {
 		s.answerFailure(ctx, w, err)
 		return
 	}
-	s.answer(w, r, operation, body, children, every(s.cutEvery.Load(), n))
+	s.answer(w, r, operation, body, children, isEvery(s.cutEvery.Load(), n))
 }
 
 var errInjected = errors.New("failure on demand")
 
-// every reports whether the n-th request is one of each k; k = 0 for never.
-func every(k, n int64) bool { return k > 0 && n%k == 0 }
+// isEvery reports whether n is a multiple of k; false for k = 0.
+func isEvery(k, n int64) bool { return k > 0 && n%k == 0 }
 
 func (s *Server) begin(r *http.Request, operation string, body []byte) *Execution {
 	e := &Execution{
@@ -48,13 +47,13 @@
 		Action:     findAction(body),
 		Start:      time.Now(),
 	}
-	s.execs.begin(e)
+	s.executions.begin(e)
 	s.journal.write(e)
 	return e
 }
 
 func (s *Server) process(ctx context.Context, r *http.Request, operation string, body []byte) ([]Answer, error) {
-	if err := pause(ctx, s.work.draw(time.Now(), operation)); err != nil {
+	if err := sleep(ctx, s.serviceTimer.draw(time.Now(), operation)); err != nil {
 		return nil, err
 	}
 	return s.node.run(ctx, s.plans[operation], r.Header.Get(HeaderCall), body)
@@ -76,7 +75,8 @@
 	}
 }
 
-// answerFailure never says "not run": the request has begun.
+// answerFailure answers a failed request. It never sends "not run", since the request
+// has begun.
 func (s *Server) answerFailure(ctx context.Context, w http.ResponseWriter, err error) {
 	var child *childError
 	switch {
--- a/internal/standin/backend/executions.go
+++ b/internal/standin/backend/executions.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Outcome of one execution.
+// Outcome is the way in which an execution ended.
 type Outcome string
 
-// How an execution ended. One that is still running has no outcome.
+// The outcomes. A running execution has an empty one.
 const (
 	Done        Outcome = "done"
 	Canceled    Outcome = "canceled"
@@ -18,7 +18,8 @@
 	Failed      Outcome = "failed"
 )
 
-// Execution is one request that this backend server began to run.
+// Execution is one request that this backend server began to run. Slot is the time for
+// which it used a slot; Action is the ID after "action:" in the body.
 type Execution struct {
 	RequestID  string        `json:"request_id"`
 	Operation  string        `json:"operation"`
@@ -30,27 +31,27 @@
 	Outcome    Outcome       `json:"outcome,omitempty"`
 }
 
-// Summary counts executions. ByAction is what at-most-once is judged by: an
-// action counts as soon as it began.
+// Summary counts executions, including running ones. ByAction shows whether an action
+// ran more than once.
 type Summary struct {
 	Service     string         `json:"service"`
 	Boot        string         `json:"boot"`
 	Total       int            `json:"total"`
 	ByAction    map[string]int `json:"by_action"`
 	ByOperation map[string]int `json:"by_operation"`
-	// Unbegun counts requests refused, canceled or expired in the queue.
+	// Unbegun counts requests that were refused, or canceled or expired in the queue.
 	Unbegun int `json:"unbegun"`
-	// Forgotten counts executions that the log no longer holds; while it is
-	// not zero, ByAction is not complete.
+	// Forgotten counts executions that were dropped from the log. If it isn't zero,
+	// ByAction and ByOperation are incomplete.
 	Forgotten int `json:"forgotten"`
-	// LastArrival is when the last request arrived.
+	// LastArrival is the time at which the last request arrived.
 	LastArrival time.Time `json:"last_arrival"`
 }
 
-// actionMarker finds the id of the action in a request's body.
+// actionMarker matches the ID of an action in a request's body.
 var actionMarker = regexp.MustCompile(`action:([A-Za-z0-9._-]+)`)
 
-// findAction returns the id in the body, or "".
+// findAction returns the ID of the action in the body, or "".
 func findAction(body []byte) string {
 	m := actionMarker.FindSubmatch(body)
 	if m == nil {
@@ -59,66 +60,66 @@
 	return string(m[1])
 }
 
-// executions is the log of all requests that began.
-type executions struct {
+// executionLog is the log of all requests that began.
+type executionLog struct {
 	mu          sync.Mutex
-	keep        int
-	log         []*Execution
+	maxKept     int
+	kept        []*Execution
 	forgotten   int
-	unbegun     int
+	refused     int
 	lastArrival time.Time
 }
 
-func newExecutions(keep int) *executions { return &executions{keep: keep} }
+func newExecutionLog(maxKept int) *executionLog { return &executionLog{maxKept: maxKept} }
 
-func (x *executions) arrived(now time.Time) {
+func (x *executionLog) recordArrival(now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.lastArrival = now
 }
 
-func (x *executions) lastArrived() time.Time {
+func (x *executionLog) lastArrivalTime() time.Time {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.lastArrival
 }
 
-func (x *executions) notBegun() {
+func (x *executionLog) recordRefusal() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.unbegun++
+	x.refused++
 }
 
-func (x *executions) begin(e *Execution) {
+func (x *executionLog) begin(e *Execution) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if len(x.log) >= x.keep {
-		half := len(x.log) - x.keep/2
+	if len(x.kept) >= x.maxKept {
+		half := len(x.kept) - x.maxKept/2
 		x.forgotten += half
-		x.log = append([]*Execution(nil), x.log[half:]...)
+		x.kept = append([]*Execution(nil), x.kept[half:]...)
 	}
-	x.log = append(x.log, e)
+	x.kept = append(x.kept, e)
 }
 
-func (x *executions) end(e *Execution, now time.Time, outcome Outcome) {
+func (x *executionLog) end(e *Execution, now time.Time, outcome Outcome) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	e.Slot = now.Sub(e.Start)
 	e.Outcome = outcome
 }
 
-func (x *executions) summary() Summary {
+func (x *executionLog) summary() Summary {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	s := Summary{
-		Total:       len(x.log) + x.forgotten,
+		Total:       len(x.kept) + x.forgotten,
 		ByAction:    make(map[string]int),
 		ByOperation: make(map[string]int),
-		Unbegun:     x.unbegun,
+		Unbegun:     x.refused,
 		Forgotten:   x.forgotten,
 		LastArrival: x.lastArrival,
 	}
-	for _, e := range x.log {
+	for _, e := range x.kept {
 		s.ByOperation[e.Operation]++
 		if e.Action != "" {
 			s.ByAction[e.Action]++
@@ -127,12 +128,12 @@
 	return s
 }
 
-// list returns copies, oldest first.
-func (x *executions) list() []Execution {
+// list returns copies of the executions in the log, oldest first.
+func (x *executionLog) list() []Execution {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	out := make([]Execution, len(x.log))
-	for i, e := range x.log {
+	out := make([]Execution, len(x.kept))
+	for i, e := range x.kept {
 		out[i] = *e
 	}
 	return out
--- a/internal/standin/backend/journal.go
+++ b/internal/standin/backend/journal.go
@@ -9,14 +9,14 @@
 	"sync"
 )
 
-// journal appends each execution to a file as it begins. The execution log in
-// memory dies with the process; what ran before a crash is read from here.
+// journal appends each execution to a file when it begins, so that executions before a
+// crash are known. A nil journal does nothing.
 type journal struct {
 	mu   sync.Mutex
 	file *os.File
 }
 
-// openJournal returns nil, which journals nothing, for an empty path.
+// openJournal opens or creates a journal. It returns nil for an empty path.
 func openJournal(path string) (*journal, error) {
 	if path == "" {
 		return nil, nil
@@ -28,15 +28,15 @@
 	return &journal{file: file}, nil
 }
 
-// write hands the line to the system at once: what a crash of the process
-// leaves is complete, short of a crash of the machine.
+// write appends an execution without a buffer, so that the journal is complete after a
+// crash of the process. It isn't after a crash of the machine.
 func (j *journal) write(e *Execution) {
 	if j == nil {
 		return
 	}
 	raw, err := json.Marshal(e)
 	if err != nil {
-		panic(fmt.Sprintf("journal: %v", err)) // the type has only plain fields
+		panic(fmt.Sprintf("journal: %v", err)) // an Execution can always be encoded
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -54,8 +54,8 @@
 	j.file.Close()
 }
 
-// ReadJournal returns the executions in a journal, oldest first. Slot and
-// Outcome are not known: an entry is made when a request begins.
+// ReadJournal returns the executions in a journal, oldest first. Slot and Outcome are
+// empty, since entries are written when a request begins.
 func ReadJournal(path string) ([]Execution, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/standin/backend/load.go
+++ b/internal/standin/backend/load.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// LoadMode says how truthful /load is.
+// LoadMode selects what /load reports.
 type LoadMode string
 
-// The modes of /load. A lag comes on top of LoadTrue.
+// The modes of /load. The lag applies to LoadTrue only.
 const (
 	LoadTrue      LoadMode = "true"
 	LoadStuckZero LoadMode = "stuck-zero"
@@ -25,7 +25,7 @@
 	}
 }
 
-// Load is the answer of /load.
+// Load is the body of an answer of /load; its field Load is the share of slots in use.
 type Load struct {
 	Slots   int     `json:"slots"`
 	InUse   int     `json:"in_use"`
@@ -33,8 +33,8 @@
 	Load    float64 `json:"load"`
 }
 
-// maxLoadSamples bounds the history that a lag needs; older samples are then
-// thinned out, so a very long lag is reported with less precision.
+// maxLoadSamples bounds the history of the load. Beyond it every second sample is
+// dropped, so a very long lag is less exact.
 const maxLoadSamples = 4096
 
 type loadSample struct {
@@ -42,7 +42,7 @@
 	load Load
 }
 
-// loadReport keeps what /load said, so that it can report it late.
+// loadReport determines what /load reports. It keeps a history for the lag.
 type loadReport struct {
 	mu      sync.Mutex
 	mode    LoadMode
@@ -52,8 +52,8 @@
 
 func newLoadReport(lag time.Duration) *loadReport { return &loadReport{mode: LoadTrue, lag: lag} }
 
-// note records the load at now; without a lag nothing is kept.
-func (r *loadReport) note(now time.Time, load Load) {
+// record adds the load at now to the history if there is a lag.
+func (r *loadReport) record(now time.Time, load Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.lag == 0 {
@@ -70,7 +70,7 @@
 	r.history = append(r.history[:half], r.history[2*half:]...)
 }
 
-// report returns what /load says at now.
+// report returns what /load reports at now.
 func (r *loadReport) report(now time.Time, current Load) Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/backend/pages.go
+++ b/internal/standin/backend/pages.go
@@ -10,8 +10,8 @@
 	writeJSON(w, s.load.report(time.Now(), s.currentLoad()))
 }
 
-// handleHealth misleads as real ones do: it is fine as long as the process
-// answers, also while the server drains or is far too slow.
+// handleHealth always reports success, also while the server drains or is much too slow,
+// as many real health checks do.
 func (s *Server) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusOK)
 }
@@ -20,11 +20,11 @@
 	writeJSON(w, s.Summary())
 }
 
-// handleLog streams one JSON object a line.
+// handleLog writes the execution log with one JSON object per line.
 func (s *Server) handleLog(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	enc := json.NewEncoder(w)
-	for _, e := range s.execs.list() {
+	for _, e := range s.executions.list() {
 		if err := enc.Encode(e); err != nil {
 			return
 		}
--- a/internal/standin/backend/parse.go
+++ b/internal/standin/backend/parse.go
@@ -14,8 +14,8 @@
 
 func (t target) String() string { return t.Service + "." + t.Operation }
 
-// plan is what one operation calls: the steps follow each other, the targets
-// of a step are called at the same time.
+// plan lists the calls of one operation. Its steps run in sequence, the targets of a step
+// in parallel.
 type plan [][]target
 
 func parseCalls(specs []string) (map[string]plan, error) {
@@ -61,7 +61,7 @@
 	lognormal   distribution = "lognormal"
 )
 
-// serviceTime of one operation.
+// serviceTime is the service time of one operation.
 type serviceTime struct {
 	Mean         time.Duration
 	Distribution distribution
--- a/internal/standin/backend/run.go
+++ b/internal/standin/backend/run.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	drainPoll       = 20 * time.Millisecond
-	shutdownTimeout = 2 * time.Second
-	headerTimeout   = 5 * time.Second
-	leaveTimeout    = time.Second
+	drainPollInterval = 20 * time.Millisecond
+	shutdownTimeout   = 2 * time.Second
+	headerTimeout     = 5 * time.Second
+	leaveTimeout      = time.Second
 )
 
-// Run serves until ctx ends and then drains: it announces that it leaves,
-// finishes all that is in flight or still arrives, and stops.
+// Run serves until ctx ends and then drains: it announces the state Draining, finishes
+// requests that are in flight or still arrive, sends the departure to the node and stops.
 func (s *Server) Run(ctx context.Context, log zerolog.Logger) error {
 	listener, err := net.Listen("tcp", s.cfg.Listen)
 	if err != nil {
@@ -44,11 +44,12 @@
 	s.drain(kick, log)
 	stop()
 	<-announcing
-	s.sayLeave(log)
+	s.leaveNode(log)
 	return s.shutdown(server)
 }
 
-// startAnnouncing returns a channel that is closed when the loop has ended.
+// startAnnouncing starts the announcements, if there is a node, and returns a channel that
+// is closed when they have ended.
 func (s *Server) startAnnouncing(ctx context.Context, url string, kick <-chan struct{}) <-chan struct{} {
 	done := make(chan struct{})
 	if s.cfg.Node == "" {
@@ -62,43 +63,43 @@
 	return done
 }
 
-// drain returns when nothing is in flight and nothing has arrived for a
-// while, or at the limit.
+// drain waits until no request is in flight and none has arrived for DrainQuiet, or until
+// DrainLimit.
 func (s *Server) drain(kick chan<- struct{}, log zerolog.Logger) {
 	s.draining.Store(true)
 	kick <- struct{}{}
 	log.Info().Msg("draining")
 	start := time.Now()
 	for time.Since(start) < s.cfg.DrainLimit {
-		if s.quiet(start) {
+		if s.isQuiet(start) {
 			log.Info().Dur("took", time.Since(start)).Msg("drained")
 			return
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	log.Warn().Dur("limit", s.cfg.DrainLimit).Msg("drain limit reached with requests in flight")
 }
 
-func (s *Server) quiet(since time.Time) bool {
+func (s *Server) isQuiet(since time.Time) bool {
 	inUse, waiting := s.slots.usage()
 	if inUse+waiting > 0 {
 		return false
 	}
-	last := s.execs.lastArrived()
+	last := s.executions.lastArrivalTime()
 	if last.Before(since) {
 		last = since
 	}
 	return time.Since(last) >= s.cfg.DrainQuiet
 }
 
-func (s *Server) sayLeave(log zerolog.Logger) {
+func (s *Server) leaveNode(log zerolog.Logger) {
 	if s.cfg.Node == "" {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	if err := s.leave(ctx); err != nil {
-		log.Warn().Err(err).Msg("node did not hear that this backend server leaves")
+	if err := s.announceLeaving(ctx); err != nil {
+		log.Warn().Err(err).Msg("departure could not be sent to the node")
 	}
 }
 
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -19,25 +19,26 @@
 
 // Server is one stand-in backend server. It is safe for concurrent use.
 type Server struct {
-	cfg   Config
-	boot  string
-	plans map[string]plan
-	slots *slots
-	work  *work
-	load  *loadReport
-	execs *executions
-	node  *nodeClient
-	exit  func(status int)
-	// journal is nil if there is none.
+	cfg          Config
+	boot         string
+	plans        map[string]plan
+	slots        *slots
+	serviceTimer *serviceTimer
+	load         *loadReport
+	executions   *executionLog
+	node         *nodeClient
+	exit         func(status int)
+	// journal may be nil.
 	journal *journal
 
-	failEvery atomic.Int64
-	cutEvery  atomic.Int64
-	begun     atomic.Int64
-	draining  atomic.Bool
+	failEvery    atomic.Int64
+	cutEvery     atomic.Int64
+	requestCount atomic.Int64
+	draining     atomic.Bool
 }
 
-// New returns a server; exit is called for a crash (os.Exit in a process).
+// New returns a server. It calls exit with CrashStatus for a crash; a process passes
+// os.Exit.
 func New(cfg Config, exit func(status int)) (*Server, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -57,46 +58,46 @@
 	if cfg.CrashMarker == "" {
 		cfg.CrashMarker = "crash:" + cfg.Service
 	}
-	maxWait := cfg.Queue
+	maxWaiting := cfg.Queue
 	if !cfg.Shed {
-		maxWait = MaxWaiting
+		maxWaiting = MaxWaiting
 	}
 	return &Server{
-		cfg:   cfg,
-		boot:  rand.Text(),
-		plans: plans,
-		slots: newSlots(cfg.Slots, maxWait),
-		work:  newWork(cfg, times, time.Now()),
-		load:  newLoadReport(cfg.LoadLag),
-		execs: newExecutions(cfg.KeepExecutions),
-		node:  newNodeClient(cfg.Node),
-		exit:  exit,
+		cfg:          cfg,
+		boot:         rand.Text(),
+		plans:        plans,
+		slots:        newSlots(cfg.Slots, maxWaiting),
+		serviceTimer: newServiceTimer(cfg, times, time.Now()),
+		load:         newLoadReport(cfg.LoadLag),
+		executions:   newExecutionLog(cfg.KeepExecutions),
+		node:         newNodeClient(cfg.Node),
+		exit:         exit,
 
 		journal: j,
 	}, nil
 }
 
-// Close frees the connections to the node and the journal.
+// Close closes the journal and the idle connections to the node.
 func (s *Server) Close() {
 	s.node.close()
 	s.journal.close()
 }
 
-// Boot names this start of the backend server.
+// Boot returns the ID of this backend incarnation.
 func (s *Server) Boot() string { return s.boot }
 
-// Summary counts what ran here.
+// Summary returns the counts of the executions.
 func (s *Server) Summary() Summary {
-	sum := s.execs.summary()
+	sum := s.executions.summary()
 	sum.Service = s.cfg.Service
 	sum.Boot = s.boot
 	return sum
 }
 
-// Executions returns the log of what ran here, oldest first.
-func (s *Server) Executions() []Execution { return s.execs.list() }
+// Executions returns the execution log, oldest first.
+func (s *Server) Executions() []Execution { return s.executions.list() }
 
-// Handler serves the operations and the stand-in's own pages.
+// Handler returns the handler for the operations and the stand-in's own pages.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/load", s.handleLoad).Methods(http.MethodGet)
@@ -109,8 +110,8 @@
 }
 
 func (s *Server) handleOperation(w http.ResponseWriter, r *http.Request) {
-	s.execs.arrived(time.Now())
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	s.executions.recordArrival(time.Now())
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		s.refuse(w, http.StatusBadRequest, "body: "+err.Error())
 		return
@@ -122,12 +123,12 @@
 	}
 	defer cancel()
 	if err := s.slots.acquire(ctx); err != nil {
-		s.refuseUnbegun(w, err)
+		s.refuseQueued(w, err)
 		return
 	}
-	defer s.noteLoad()
+	defer s.recordLoad()
 	defer s.slots.release()
-	s.noteLoad()
+	s.recordLoad()
 	s.execute(ctx, w, r, body)
 }
 
@@ -145,11 +146,11 @@
 	return ctx, cancel, nil
 }
 
-// refuseUnbegun answers a request that never got a slot: it may say "not
-// run", because nothing has begun.
-func (s *Server) refuseUnbegun(w http.ResponseWriter, err error) {
+// refuseQueued answers a request that got no slot. It sends "not run", since nothing
+// has begun.
+func (s *Server) refuseQueued(w http.ResponseWriter, err error) {
 	switch {
-	case errors.Is(err, errFull):
+	case errors.Is(err, errQueueFull):
 		s.refuse(w, http.StatusServiceUnavailable, "shed: "+err.Error())
 	case errors.Is(err, context.DeadlineExceeded):
 		s.refuse(w, http.StatusServiceUnavailable, "deadline passed in the queue")
@@ -159,12 +160,12 @@
 }
 
 func (s *Server) refuse(w http.ResponseWriter, status int, detail string) {
-	s.execs.notBegun()
+	s.executions.recordRefusal()
 	w.Header().Set(HeaderVerdict, "not run")
 	http.Error(w, detail, status)
 }
 
-func (s *Server) noteLoad() { s.load.note(time.Now(), s.currentLoad()) }
+func (s *Server) recordLoad() { s.load.record(time.Now(), s.currentLoad()) }
 
 func (s *Server) currentLoad() Load {
 	inUse, waiting := s.slots.usage()
--- a/internal/standin/backend/server_test.go
+++ b/internal/standin/backend/server_test.go
@@ -46,9 +46,9 @@
 	return w
 }
 
-// The caller holds the answer to its own request, with those of all calls
-// that were made for it, and can tell it from anybody else's.
-func TestAnswerProvesWholeChain(t *testing.T) {
+// Guards against an answer to another request that a caller can't recognise, also if it
+// is only the answer to one of the calls.
+func TestAnswerIsVerifiedThroughWholeChain(t *testing.T) {
 	is := is.New(t)
 	s := testServer(t, func(c *Config) {
 		c.Times = []string{"forecast=0s"}
@@ -77,9 +77,9 @@
 	is.True(a.Verify("plumecast", "forecast", "r1", []byte("smoke over action:a7")) != nil)
 }
 
-// A refused dependency ends the request: nothing more is called for it, and
-// the failure does not claim that the request did not run.
-func TestFailedCallStopsTheRest(t *testing.T) {
+// Guards against calls for a request that has failed already, and against a false
+// "not run".
+func TestFailedCallStopsFurtherCalls(t *testing.T) {
 	is := is.New(t)
 	s := testServer(t, func(c *Config) {
 		c.Times = []string{"forecast=0s"}
@@ -100,9 +100,8 @@
 	is.Equal(s.Executions()[0].Outcome, ChildFailed)
 }
 
-// One slot, one place in the queue: the second request waits until its own
-// deadline, the third is shed at once. Both hear "not run", and neither is in
-// the execution log.
+// Guards against refused requests that run. With one slot and a queue of one the second
+// request expires in the queue and the third is shed.
 func TestQueueAndShedding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -124,8 +123,7 @@
 	})
 }
 
-// The caller goes away while its request runs: the slot is free at once and
-// serves the request that waited.
+// Guards against a slot that stays in use after its caller has gone away.
 func TestCancellationFreesTheSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -146,20 +144,21 @@
 	})
 }
 
-// A slow start and a load endpoint that tells anything but the truth.
+// Guards against a wrong service time in a cold start and against controls of /load
+// without effect.
 func TestControlAndColdStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := testServer(t, func(c *Config) { c.ColdFor, c.ColdFactor = time.Second, 5 })
-		is.Equal(s.work.draw(time.Now(), "forecast"), 500*time.Millisecond)
+		is.Equal(s.serviceTimer.draw(time.Now(), "forecast"), 500*time.Millisecond)
 		time.Sleep(time.Second)
-		is.Equal(s.work.draw(time.Now(), "forecast"), 100*time.Millisecond)
+		is.Equal(s.serviceTimer.draw(time.Now(), "forecast"), 100*time.Millisecond)
 		control := func(text string) int {
 			r := httptest.NewRequest(http.MethodPost, "/control", strings.NewReader(text))
 			return serve(s, r).Code
 		}
 		is.Equal(control(`{"slow_factor":20,"load":"stuck-full"}`), http.StatusNoContent)
-		is.Equal(s.work.draw(time.Now(), "forecast"), 2*time.Second)
+		is.Equal(s.serviceTimer.draw(time.Now(), "forecast"), 2*time.Second)
 		is.Equal(s.load.report(time.Now(), s.currentLoad()).Load, 1.0)
 		is.Equal(control(`{"load":"true","load_lag_ms":200,"slow_factor":1}`), http.StatusNoContent)
 		go serve(s, request(t.Context(), "1", "1000"))
@@ -172,6 +171,7 @@
 	})
 }
 
+// Guards against invalid settings that are accepted.
 func TestSettingsAreChecked(t *testing.T) {
 	is := is.New(t)
 	for _, change := range []func(*Config){
@@ -187,9 +187,9 @@
 	}
 }
 
-// A request crashes the process. Everything that had begun, the fatal request
-// too, is in the journal, which the next start continues.
-func TestJournalOutlivesACrash(t *testing.T) {
+// Guards against a journal that lacks requests from before a crash, or that the next
+// incarnation overwrites.
+func TestJournalIsCompleteAfterCrash(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "journal")
 	for range 2 {
--- a/internal/standin/backend/slots.go
+++ b/internal/standin/backend/slots.go
@@ -7,21 +7,22 @@
 	"sync"
 )
 
-// errFull says that the queue has no room.
-var errFull = errors.New("queue is full")
+// errQueueFull is the error for a request that finds no free place in the queue.
+var errQueueFull = errors.New("queue is full")
 
-// slots is a counting semaphore with a bounded first-in-first-out queue.
+// slots is a counting semaphore with a bounded FIFO queue.
 type slots struct {
-	mu      sync.Mutex
-	size    int
-	inUse   int
-	maxWait int
-	waiting list.List // of chan struct{}, closed when the slot is granted
+	mu         sync.Mutex
+	size       int
+	inUse      int
+	maxWaiting int
+	waiting    list.List // of chan struct{}, closed when the slot is granted
 }
 
-func newSlots(size, maxWait int) *slots { return &slots{size: size, maxWait: maxWait} }
+func newSlots(size, maxWaiting int) *slots { return &slots{size: size, maxWaiting: maxWaiting} }
 
-// acquire takes a slot, waits for one in the queue, or fails at once.
+// acquire takes a free slot or waits for one in the queue. It returns errQueueFull at
+// once if the queue is full, or the error of ctx.
 func (s *slots) acquire(ctx context.Context) error {
 	s.mu.Lock()
 	if s.inUse < s.size {
@@ -29,32 +30,32 @@
 		s.mu.Unlock()
 		return nil
 	}
-	if s.waiting.Len() >= s.maxWait {
+	if s.waiting.Len() >= s.maxWaiting {
 		s.mu.Unlock()
-		return errFull
+		return errQueueFull
 	}
 	granted := make(chan struct{})
-	place := s.waiting.PushBack(granted)
+	element := s.waiting.PushBack(granted)
 	s.mu.Unlock()
 
 	select {
 	case <-granted:
 		return nil
 	case <-ctx.Done():
-		return s.abandon(ctx, granted, place)
+		return s.abandon(ctx, granted, element)
 	}
 }
 
-// abandon leaves the queue. A slot that was granted in the same moment goes
-// back; otherwise it would be lost for good.
-func (s *slots) abandon(ctx context.Context, granted chan struct{}, place *list.Element) error {
+// abandon leaves the queue. It releases a slot that was granted at the same moment,
+// which would be lost otherwise.
+func (s *slots) abandon(ctx context.Context, granted chan struct{}, element *list.Element) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
 	case <-granted:
 		s.releaseLocked()
 	default:
-		s.waiting.Remove(place)
+		s.waiting.Remove(element)
 	}
 	return ctx.Err()
 }
@@ -75,7 +76,7 @@
 	close(first.Value.(chan struct{}))
 }
 
-// usage returns the slots in use and the requests that wait.
+// usage returns the numbers of slots in use and of waiting requests.
 func (s *slots) usage() (inUse, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/backend/work.go
+++ b/internal/standin/backend/work.go
@@ -8,49 +8,48 @@
 	"time"
 )
 
-// lognormalSigma gives a 99th percentile of about 3.1 times the mean, a
-// usual tail of a storage-backed service.
+// lognormalSigma gives the tail latency that is usual for a service with storage.
 const lognormalSigma = 0.7
 
-// work draws service times.
-type work struct {
-	mu       sync.Mutex
-	rng      *rand.Rand
-	times    map[string]serviceTime
-	fallback serviceTime
+// serviceTimer draws service times. It is safe for concurrent use.
+type serviceTimer struct {
+	mu          sync.Mutex
+	rng         *rand.Rand
+	times       map[string]serviceTime
+	defaultTime serviceTime
 
 	slowFactor float64
 	coldFor    time.Duration
 	coldFactor float64
-	started    time.Time
+	coldSince  time.Time
 }
 
-func newWork(cfg Config, times map[string]serviceTime, now time.Time) *work {
-	return &work{
-		rng:        rand.New(rand.NewPCG(cfg.Seed, hashName(cfg.Service))),
-		times:      times,
-		fallback:   serviceTime{Mean: cfg.Time, Distribution: exponential},
-		slowFactor: 1,
-		coldFor:    cfg.ColdFor,
-		coldFactor: cfg.ColdFactor,
-		started:    now,
+func newServiceTimer(cfg Config, times map[string]serviceTime, now time.Time) *serviceTimer {
+	return &serviceTimer{
+		rng:         rand.New(rand.NewPCG(cfg.Seed, hashName(cfg.Service))),
+		times:       times,
+		defaultTime: serviceTime{Mean: cfg.Time, Distribution: exponential},
+		slowFactor:  1,
+		coldFor:     cfg.ColdFor,
+		coldFactor:  cfg.ColdFactor,
+		coldSince:   now,
 	}
 }
 
-// draw returns the service time of one request.
-func (w *work) draw(now time.Time, operation string) time.Duration {
+// draw draws the service time of one request.
+func (w *serviceTimer) draw(now time.Time, operation string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	st, ok := w.times[operation]
 	if !ok {
-		st = w.fallback
+		st = w.defaultTime
 	}
-	factor := w.sample(st.Distribution) * w.slowFactor * w.coldness(now)
+	factor := w.sample(st.Distribution) * w.slowFactor * w.coldFactorAt(now)
 	return time.Duration(float64(st.Mean) * factor)
 }
 
 // sample returns a random factor with mean 1.
-func (w *work) sample(d distribution) float64 {
+func (w *serviceTimer) sample(d distribution) float64 {
 	switch d {
 	case exponential:
 		return w.rng.ExpFloat64()
@@ -61,31 +60,32 @@
 	}
 }
 
-// coldness falls linearly from coldFactor to 1.
-func (w *work) coldness(now time.Time) float64 {
-	age := now.Sub(w.started)
+// coldFactorAt returns the factor of the cold start, which falls linearly from coldFactor
+// to 1.
+func (w *serviceTimer) coldFactorAt(now time.Time) float64 {
+	age := now.Sub(w.coldSince)
 	if age >= w.coldFor {
 		return 1
 	}
-	left := 1 - float64(age)/float64(w.coldFor)
-	return 1 + (w.coldFactor-1)*left
+	remaining := 1 - float64(age)/float64(w.coldFor)
+	return 1 + (w.coldFactor-1)*remaining
 }
 
-func (w *work) setSlowFactor(f float64) {
+func (w *serviceTimer) setSlowFactor(f float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slowFactor = f
 }
 
-// restartCold begins the cold start anew.
-func (w *work) restartCold(now time.Time) {
+// restartCold restarts the cold start.
+func (w *serviceTimer) restartCold(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.started = now
+	w.coldSince = now
 }
 
-// pause works for d or until nobody waits for the answer any more.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d or until ctx ends, and returns the error of ctx.
+func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
 	}
--- a/internal/standin/logserver/control.go
+++ b/internal/standin/logserver/control.go
@@ -52,7 +52,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.slow.Store(int64(d))
+	s.delayNanos.Store(int64(d))
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/internal/standin/logserver/server.go
+++ b/internal/standin/logserver/server.go
@@ -1,5 +1,5 @@
-// Package logserver is a small stand-in of the platform's log service over
-// HTTP, for tests and demonstrations, with control endpoints for its faults.
+// Package logserver is a stand-in for the platform's log service over HTTP, for tests
+// and demonstrations, with control endpoints that inject faults.
 //
 //	POST /streams/{stream}/records              body = record -> {"offset": 7}
 //	GET  /streams/{stream}/records?from=0&max=100 -> a applog.Page in JSON
@@ -25,18 +25,17 @@
 	"github.com/cassialoom/cassialoom/internal/fakelog"
 )
 
-// Config of the stand-in.
+// Config is the configuration of the stand-in.
 type Config struct {
-	// Retention is how long a record is kept. One hour makes a
-	// demonstration see trimming; the platform's own value is unknown to us.
+	// Retention is the time for which a record is kept.
 	Retention time.Duration
-	// MaxRecords bounds each stream, and with it memory.
+	// MaxRecords is the largest number of records in a stream; it bounds memory.
 	MaxRecords int
-	// AppendsPerSecond over all streams: the platform takes several hundred.
+	// AppendsPerSecond is the largest rate of appends to all streams together.
 	AppendsPerSecond int
-	// MaxRecordBytes bounds one record.
+	// MaxRecordBytes is the largest size of a record.
 	MaxRecordBytes int64
-	// MaxPageBytes ends a page early, so that a reader's memory is bounded.
+	// MaxPageBytes bounds the size of a page, and so the memory of a reader.
 	MaxPageBytes int
 }
 
@@ -52,20 +51,20 @@
 }
 
 const (
-	streamPattern = "[A-Za-z0-9._-]+"
-	defaultMax    = 100
-	mostMax       = 1000
+	streamPattern  = "[A-Za-z0-9._-]+"
+	defaultRecords = 100
+	maxRecords     = 1000
 )
 
-// Server is the stand-in. Its handler is safe for concurrent use.
+// Server is the stand-in log service. Its handler is safe for concurrent use.
 type Server struct {
-	cfg   Config
-	clock func() time.Time
-	log   *fakelog.Log
-	slow  atomic.Int64
+	cfg        Config
+	clock      func() time.Time
+	log        *fakelog.Log
+	delayNanos atomic.Int64
 }
 
-// New returns an empty log server that asks clock for the time.
+// New returns a log server without records that takes the time from clock.
 func New(cfg Config, clock func() time.Time) *Server {
 	log := fakelog.New(fakelog.Config{
 		Retention:        cfg.Retention,
@@ -76,10 +75,10 @@
 	return &Server{cfg: cfg, clock: clock, log: log}
 }
 
-// Log gives tests the faults without the control endpoints.
+// Log returns the log, so that tests can inject faults without the control endpoints.
 func (s *Server) Log() *fakelog.Log { return s.log }
 
-// Handler returns the HTTP interface.
+// Handler returns the handler for the log and the control endpoints.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter()
 	records := r.Path("/streams/{stream:" + streamPattern + "}/records").Subrouter()
@@ -93,9 +92,9 @@
 	return r
 }
 
-// wait happens before the request takes effect, also when its sender has
-// given up: a slow log writes late what its writer no longer waits for.
-func (s *Server) wait() { time.Sleep(time.Duration(s.slow.Load())) }
+// delay delays a request before it takes effect. It ignores cancellation, since a slow
+// log also writes records whose writer has stopped waiting.
+func (s *Server) delay() { time.Sleep(time.Duration(s.delayNanos.Load())) }
 
 func (s *Server) append(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.cfg.MaxRecordBytes))
@@ -103,7 +102,7 @@
 		http.Error(w, fmt.Sprintf("record: %v", err), http.StatusRequestEntityTooLarge)
 		return
 	}
-	s.wait()
+	s.delay()
 	offset, err := s.log.Append(withoutCancel(r), mux.Vars(r)["stream"], data)
 	if err != nil {
 		failAppend(w, err)
@@ -123,23 +122,23 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	// The connection ends without an answer.
+	// Close the connection without an answer.
 	panic(http.ErrAbortHandler)
 }
 
 func (s *Server) read(w http.ResponseWriter, r *http.Request) {
-	s.wait()
+	s.delay()
 	from, err := uintParam(r, "from", 0)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	most, err := uintParam(r, "max", defaultMax)
+	limit, err := uintParam(r, "max", defaultRecords)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	page, err := s.log.Read(r.Context(), mux.Vars(r)["stream"], from, int(min(most, mostMax)))
+	page, err := s.log.Read(r.Context(), mux.Vars(r)["stream"], from, int(min(limit, maxRecords)))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -161,6 +160,6 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// A failure to write means that the client has gone.
+	// Writing fails only if the client has gone away.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/internal/standin/logserver/server_test.go
+++ b/internal/standin/logserver/server_test.go
@@ -17,16 +17,16 @@
 
 var ctx = context.Background()
 
-// stand is a stand-in on a loopback port with its own time.
-type stand struct {
+// testLog is a client of a stand-in on a loopback port with a settable clock.
+type testLog struct {
 	applog.Log
 	t      *testing.T
 	url    string
 	millis atomic.Int64
 }
 
-func start(t *testing.T, cfg logserver.Config) *stand {
-	s := &stand{t: t}
+func startLog(t *testing.T, cfg logserver.Config) *testLog {
+	s := &testLog{t: t}
 	clock := func() time.Time { return time.UnixMilli(s.millis.Load()) }
 	server := httptest.NewServer(logserver.New(cfg, clock).Handler())
 	t.Cleanup(server.Close)
@@ -35,20 +35,19 @@
 	return s
 }
 
-func (s *stand) advance(d time.Duration) { s.millis.Add(d.Milliseconds()) }
+func (s *testLog) advance(d time.Duration) { s.millis.Add(d.Milliseconds()) }
 
-func (s *stand) control(path string) {
+func (s *testLog) control(path string) {
 	resp, err := http.Post(s.url+"/control/"+path, "", nil)
 	if err != nil || resp.StatusCode != http.StatusNoContent {
 		s.t.Fatal(path, resp, err)
 	}
 }
 
-// A reader that was away for longer than the retention sees that records are
-// missing: the page starts behind the offset it asked for and says so.
+// Guards against trimmed records that a reader doesn't notice.
 func TestReadSaysWhatWasTrimmed(t *testing.T) {
 	is := is.New(t)
-	s := start(t, logserver.DefaultConfig())
+	s := startLog(t, logserver.DefaultConfig())
 	for _, data := range []string{"a", "b", "c"} {
 		s.advance(40 * time.Minute)
 		_, err := s.Append(ctx, "config", []byte(data))
@@ -62,14 +61,13 @@
 	is.Equal(page, applog.Page{Oldest: 1, Next: 3})
 }
 
-// The writer sees an error although its record was written, or will be. Only
-// a refusal before the write may be reported as "not written": a writer that
-// believes it writes the record again.
+// Guards against "not written" for a record that was or will be written, after which the
+// writer would write it again.
 func TestErrorsSayWhetherTheRecordMayBeWritten(t *testing.T) {
 	is := is.New(t)
 	cfg := logserver.DefaultConfig()
 	cfg.AppendsPerSecond = 20 // burst of two
-	s := start(t, cfg)
+	s := startLog(t, cfg)
 	attempt := func(data []byte, want error, records uint64) {
 		t.Helper()
 		_, err := s.Append(ctx, "config", data)
@@ -97,8 +95,8 @@
 	attempt(nil, nil, 5)
 }
 
-// Nothing listens at the log's address, so nothing can have been written; a
-// proxy answers with a redirect, and following it could write twice.
+// Guards against following a redirect, which could write twice, and against an unknown
+// outcome when the connection was refused.
 func TestAppendWithoutLog(t *testing.T) {
 	is := is.New(t)
 	requests := 0
@@ -111,8 +109,8 @@
 	is.True(errors.Is(err, applog.ErrUnknownOutcome))
 	is.Equal(requests, 1)
 	server.Close()
-	// A client of its own: on the first one's idle connection, whose end it
-	// may not have seen yet, an append could have been written.
+	// A new client, since the first may still hold an idle connection, and an append on
+	// it has an unknown outcome.
 	_, err = applog.NewHTTP(server.URL, nil).Append(ctx, "config", nil)
 	is.True(errors.Is(err, applog.ErrNotWritten))
 }
