--- a/internal/fakelog/fakelog.go
+++ b/internal/fakelog/fakelog.go
@@ -1,6 +1,6 @@
 // Package fakelog is an in-memory applog.Log driven by an injected clock,
-// with the faults of the real one: outages, answers that are lost after the
-// write took effect, writes that take effect late, and limited retention.
+// that can inject the faults of a real log: outages, answers that are lost after
+// the write took effect, writes that take effect late, and limited retention.
 package fakelog
 
 import (
@@ -16,30 +16,31 @@
 	"github.com/cassialoom/cassialoom/applog"
 )
 
-// Config of a fake log. The zero value has no limits.
+// Config is the configuration of a fake log. The zero value has no limits.
 type Config struct {
-	// Retention is how long a record is kept; zero keeps it for good.
+	// Retention is the time for which a record is kept; zero means forever.
 	Retention time.Duration
-	// MaxRecords bounds each stream; zero means no bound.
+	// MaxRecords is the largest number of records in a stream; zero means no limit.
 	MaxRecords int
-	// AppendsPerSecond over all streams, with a burst of a tenth of it; zero
-	// means no bound.
+	// AppendsPerSecond is the largest rate of appends to all streams together, with a
+	// burst of a tenth of it; zero means no limit.
 	AppendsPerSecond int
-	// MaxPageBytes ends a page early, but never before its first record;
-	// zero means no bound.
+	// MaxPageBytes is the largest size of a page with more than one record; zero means
+	// no limit.
 	MaxPageBytes int
-	// KeepHistory keeps trimmed records for History.
+	// KeepHistory keeps all records for History, including trimmed ones.
 	KeepHistory bool
-	// Before runs before each request: a test lets others write there.
+	// Before, if set, is called before each request, without the log's lock. A test can
+	// append there, as a concurrent writer does.
 	Before func()
 }
 
-// ErrOutage marks what fails because of Outage. To an append's caller it says
-// nothing more than that the outcome is unknown.
+// ErrOutage is wrapped by the errors of requests that fail because of Outage. The outcome
+// of such an append is unknown to its caller.
 var ErrOutage = errors.New("outage")
 
-// burstShare of the append rate is allowed at once.
-const burstShare = 10
+// burstDivisor is the append rate divided by the burst.
+const burstDivisor = 10
 
 // Log implements applog.Log. It is safe for concurrent use.
 type Log struct {
@@ -51,14 +52,14 @@
 	limiter     *rate.Limiter
 	outageUntil time.Time
 	loseAnswers int
-	delayNext   int
+	delayCount  int
 	delayBy     time.Duration
 	delayed     []delayedAppend
 }
 
 type entry struct {
-	data     []byte
-	appended time.Time
+	data       []byte
+	appendedAt time.Time
 }
 
 type stream struct {
@@ -73,11 +74,11 @@
 	data   []byte
 }
 
-// New returns an empty log that asks clock for the time.
+// New returns a log without records that takes the time from clock.
 func New(cfg Config, clock func() time.Time) *Log {
 	l := &Log{cfg: cfg, clock: clock, streams: map[string]*stream{}}
 	if cfg.AppendsPerSecond > 0 {
-		burst := max(1, cfg.AppendsPerSecond/burstShare)
+		burst := max(1, cfg.AppendsPerSecond/burstDivisor)
 		l.limiter = rate.NewLimiter(rate.Limit(cfg.AppendsPerSecond), burst)
 	}
 	return l
@@ -98,30 +99,30 @@
 	l.loseAnswers = n
 }
 
-// DelayAppends makes the next n appends report that their outcome is unknown,
-// and take effect only after d: behind what was appended in between.
+// DelayAppends makes the next n appends report that their outcome is unknown and take
+// effect after d. Their records follow those that were appended in the meantime.
 func (l *Log) DelayAppends(n int, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.delayNext, l.delayBy = n, d
+	l.delayCount, l.delayBy = n, d
 }
 
-// History returns all records ever appended to a stream, trimmed ones too. It
+// History returns all records that were appended to a stream, including trimmed ones. It
 // needs Config.KeepHistory.
 func (l *Log) History(name string) []applog.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.settle(l.clock())
+	l.applyDelayed(l.clock())
 	return slices.Clone(l.stream(name).history)
 }
 
 // Append implements applog.Log.
 func (l *Log) Append(ctx context.Context, name string, data []byte) (uint64, error) {
-	l.before()
+	l.runBefore()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock()
-	l.settle(now)
+	l.applyDelayed(now)
 	if err := ctx.Err(); err != nil {
 		return 0, fmt.Errorf("append to %s: %w: %w", name, applog.ErrNotWritten, err)
 	}
@@ -131,8 +132,8 @@
 	if l.limiter != nil && !l.limiter.AllowN(now, 1) {
 		return 0, fmt.Errorf("append to %s: %w: too many appends", name, applog.ErrNotWritten)
 	}
-	if l.delayNext > 0 {
-		l.delayNext--
+	if l.delayCount > 0 {
+		l.delayCount--
 		l.delayed = append(l.delayed, delayedAppend{now.Add(l.delayBy), name, slices.Clone(data)})
 		return 0, fmt.Errorf("append to %s: %w: no answer yet", name, applog.ErrUnknownOutcome)
 	}
@@ -146,11 +147,11 @@
 
 // Read implements applog.Log.
 func (l *Log) Read(ctx context.Context, name string, from uint64, max int) (applog.Page, error) {
-	l.before()
+	l.runBefore()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock()
-	l.settle(now)
+	l.applyDelayed(now)
 	if err := ctx.Err(); err != nil {
 		return applog.Page{}, fmt.Errorf("read %s: %w: %w", name, applog.ErrUnavailable, err)
 	}
@@ -162,14 +163,14 @@
 	return l.page(s, from, max), nil
 }
 
-func (l *Log) before() {
+func (l *Log) runBefore() {
 	if l.cfg.Before != nil {
 		l.cfg.Before()
 	}
 }
 
 func (l *Log) page(s *stream, from uint64, max int) applog.Page {
-	page := applog.Page{Oldest: s.oldest, Next: s.next()}
+	page := applog.Page{Oldest: s.oldest, Next: s.nextOffset()}
 	if from < s.oldest {
 		from = s.oldest
 	}
@@ -185,8 +186,8 @@
 	return page
 }
 
-// settle lets the delayed appends take effect that are due.
-func (l *Log) settle(now time.Time) {
+// applyDelayed writes the records of the delayed appends that are due.
+func (l *Log) applyDelayed(now time.Time) {
 	kept := l.delayed[:0]
 	for _, d := range l.delayed {
 		if d.due.After(now) {
@@ -200,7 +201,7 @@
 
 func (l *Log) write(now time.Time, name string, data []byte) uint64 {
 	s := l.stream(name)
-	offset := s.next()
+	offset := s.nextOffset()
 	data = slices.Clone(data)
 	s.records = append(s.records, entry{data, now})
 	if l.cfg.KeepHistory {
@@ -223,7 +224,7 @@
 }
 
 func (l *Log) expired(e entry, now time.Time) bool {
-	return l.cfg.Retention > 0 && now.Sub(e.appended) > l.cfg.Retention
+	return l.cfg.Retention > 0 && now.Sub(e.appendedAt) > l.cfg.Retention
 }
 
 func (l *Log) stream(name string) *stream {
@@ -235,4 +236,4 @@
 	return s
 }
 
-func (s *stream) next() uint64 { return s.oldest + uint64(len(s.records)) }
+func (s *stream) nextOffset() uint64 { return s.oldest + uint64(len(s.records)) }
