--- a/internal/fakelog/fakelog.go
+++ b/internal/fakelog/fakelog.go
@@ -31,7 +31,7 @@
 	// KeepHistory keeps all records for History, including trimmed ones.
 	KeepHistory bool
 	// Before, if set, is called before each request, without the log's lock. A test can
-	// append there, as a concurrent writer does.
+	// append there, as a concurrent writer does; it must return at once for those requests.
 	Before func()
 }
 
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -27,7 +27,8 @@
 	clientPause = 40 * time.Millisecond
 )
 
-// Result is the outcome of a run.
+// Result is the outcome of a run: the numbers of requests, served requests and injected
+// faults, and the broken promises.
 type Result struct {
 	Requests, Served int
 	Faults           int
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -26,7 +26,7 @@
 	// New kinds are appended, so a regression seed with its number of kinds keeps
 	// its timeline.
 	Kinds int
-	// Only lists the names of the faults to draw from and overrides Kinds; empty means all.
+	// Only lists the names of the faults to draw from. If it isn't empty, Kinds is ignored.
 	Only []string
 	// Bin is the folder with cassialoomd.
 	Bin string
@@ -42,7 +42,8 @@
 	Say func(format string, args ...any)
 }
 
-// The routeHost and the services: each request to topService calls endService.
+// The host of all routes and the two services. Each request to topService calls
+// endService.
 const (
 	routeHost  = "soak.example"
 	topService = "top"
@@ -68,11 +69,12 @@
 	// accepts connections in any case, the node sees a backend server's crash itself.
 	toBackend *proxy
 	// fromPeers carries the connections that other nodes open to this one.
-	fromPeers    *proxy
+	fromPeers *proxy
+	// incarnations is the number of starts of the backend server.
 	incarnations int
 }
 
-// env holds everything that a run started and observed.
+// env is the test environment: everything that a run started and observed.
 type env struct {
 	cfg     Config
 	rig     *rig.Rig
