--- a/internal/testnode/backend.go
+++ b/internal/testnode/backend.go
@@ -16,15 +16,16 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Script is what a backend server does with one request. The context ends when
-// its node has given the request up.
+// Script handles one request at a backend server. The context ends when the
+// node cancels the request.
 type Script func(ctx context.Context, w *Work) Answer
 
-// Work is one request at a backend server.
+// Work is one request that a backend server received.
 type Work struct {
 	Operation string
 	RequestID string
-	// Budget is the time that the backend server was told to have.
+	// Budget is the remaining deadline that the node sent; 0 if the header is
+	// missing.
 	Budget time.Duration
 	Query  string
 	Header http.Header
@@ -38,16 +39,17 @@
 	return w.instance.CallAs(ctx, w.Header.Get(headers.Call), service, operation, body)
 }
 
-// CallAs makes a call as the backend server for the running call that the
-// token names.
+// CallAs makes a call through the node's local listener, as a part of the
+// running call that the token identifies.
 func (i *Instance) CallAs(ctx context.Context, token, service, operation string, body []byte) (Answer, error) {
 	url := "http://" + i.Local + "/call/" + service + "/" + operation
-	return i.cluster.exchange(ctx, url, body, headers.Call, token)
+	return i.cluster.post(ctx, url, body, headers.Call, token)
 }
 
-// Backend is a scripted backend server.
+// Backend is a backend server that runs a Script.
 type Backend struct {
-	URL  string
+	URL string
+	// Boot identifies the backend incarnation.
 	Boot string
 
 	srv  *server
@@ -55,19 +57,19 @@
 	runs map[string]int
 }
 
-// maxCounted is the longest body that is counted: fuzzers send many others.
-const maxCounted = 64
+// maxCountedBytes bounds the memory for counted bodies: fuzzers send many long ones.
+const maxCountedBytes = 64
 
-// Runs returns how many requests with the body, of at most 64 bytes, have
-// reached the script.
+// Runs returns how many requests with this body reached the script. Bodies of
+// more than 64 bytes are not counted.
 func (b *Backend) Runs(body string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.runs[body]
 }
 
-func (b *Backend) ran(body []byte) {
-	if len(body) > maxCounted {
+func (b *Backend) countRun(body []byte) {
+	if len(body) > maxCountedBytes {
 		return
 	}
 	b.mu.Lock()
@@ -81,17 +83,17 @@
 	b.srv = serve(&http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			return // the node has gone away
+			return // the node closed the connection
 		}
-		b.ran(body)
-		answer(rw, script(r.Context(), i.work(r, body)))
+		b.countRun(body)
+		writeAnswer(rw, script(r.Context(), i.newWork(r, body)))
 	})}, ln)
 	i.Backend = b
 	i.Announce("ready")
 }
 
-func (i *Instance) work(r *http.Request, body []byte) *Work {
-	ms, _ := strconv.ParseInt(r.Header.Get(headers.DeadlineMs), 10, 64) // zero if it is missing
+func (i *Instance) newWork(r *http.Request, body []byte) *Work {
+	ms, _ := strconv.ParseInt(r.Header.Get(headers.DeadlineMs), 10, 64) // 0 if the header is missing
 	return &Work{
 		Operation: path.Base(r.URL.Path),
 		RequestID: r.Header.Get(headers.RequestID),
@@ -103,15 +105,16 @@
 	}
 }
 
-func answer(rw http.ResponseWriter, a Answer) {
+func writeAnswer(rw http.ResponseWriter, a Answer) {
 	for name, values := range a.Header {
 		rw.Header()[name] = values
 	}
 	rw.WriteHeader(a.Status)
-	_, _ = rw.Write(a.Body) // the node may have gone away
+	_, _ = rw.Write(a.Body) // the node may have closed the connection
 }
 
-// Announce lets the backend server say its state.
+// Announce sends the state of the backend server to its node, for example
+// "ready".
 func (i *Instance) Announce(state string) {
 	i.cluster.tb.Helper()
 	text, err := json.Marshal(local.Announcement{URL: i.Backend.URL, State: state, Boot: i.Backend.Boot})
@@ -124,19 +127,20 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusNoContent {
-		i.cluster.tb.Fatalf("announcement: status %d", resp.StatusCode)
+		i.cluster.tb.Fatalf("announce backend server: status %d", resp.StatusCode)
 	}
 }
 
-// OK is an answer with the body.
+// OK returns an answer with status 200 and the body.
 func OK(body []byte) Answer { return Answer{Status: http.StatusOK, Body: body} }
 
-// Declined is the answer of a backend server that says it did not begin.
+// Declined returns status 503 with the verdict "not run": the backend server
+// refused the request before it began to run.
 func Declined() Answer {
 	h := http.Header{}
 	h.Set(headers.Verdict, "not run")
 	return Answer{Status: http.StatusServiceUnavailable, Header: h}
 }
 
-// Echo answers every request with its own body.
+// Echo is a Script that answers with the body of the request.
 func Echo(_ context.Context, w *Work) Answer { return OK(w.Body) }
--- a/internal/testnode/cluster.go
+++ b/internal/testnode/cluster.go
@@ -1,6 +1,6 @@
-// Package testnode runs whole nodes in one process for tests: real sockets on
-// loopback, the platform's log in memory, and backend servers that do what a
-// test tells them. Everything that it starts ends with the test.
+// Package testnode runs complete nodes inside the process of a test. They use
+// real sockets on loopback, an in-memory platform log and backend servers that
+// run a Script of the test. Everything that it starts stops with the test.
 package testnode
 
 import (
@@ -16,18 +16,18 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Config of a Cluster.
+// Config configures a Cluster.
 type Config struct {
-	// Graph is the text in force from the start; empty for none.
+	// Graph is the graph text that Start publishes; empty publishes nothing.
 	Graph string
-	// Change adjusts the configuration of every node; nil for none.
+	// Change adjusts the configuration of every node; nil changes nothing.
 	Change func(*node.Config)
 }
 
-// DefaultConfig has neither a graph nor changes.
+// DefaultConfig returns a Config without a graph and without changes.
 func DefaultConfig() Config { return Config{} }
 
-// Cluster is a log and the nodes that know each other by it.
+// Cluster is a set of nodes that share one platform log.
 type Cluster struct {
 	Log *fakelog.Log
 
@@ -38,16 +38,16 @@
 	instances []*Instance
 }
 
-// Start returns a cluster without nodes, with the graph published.
+// Start publishes the graph and returns a cluster without nodes.
 func Start(tb testing.TB, cfg Config) *Cluster {
 	c := &Cluster{
 		Log:  fakelog.New(fakelog.Config{}, time.Now),
 		tb:   tb,
 		cfg:  cfg,
-		name: wire.NewNodeID().String(), // apart from all other tests
+		name: wire.NewNodeID().String(), // unique, so that nodes of other tests cannot join
 		client: &http.Client{
 			Transport: &http.Transport{DisableCompression: true},
-			// A redirect is an answer like any other.
+			// Redirects are returned as answers, not followed.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}
@@ -58,14 +58,15 @@
 	return c
 }
 
-// Publish puts the text's services into force.
+// Publish publishes a section of the configuration for each service of the
+// graph text; it fails the test unless the publication is accepted.
 func (c *Cluster) Publish(text string) {
 	c.tb.Helper()
 	sections, problems := graph.Split("test", []byte(text))
 	if err := problems.Err(); err != nil {
 		c.tb.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	before, err := config.ReadState(ctx, c.Log)
 	if err != nil {
@@ -82,41 +83,41 @@
 	}
 }
 
-// nodeConfig is a node's own configuration with shorter periods, so that what
-// takes a fleet seconds takes a test a fraction of one.
+// nodeConfig returns the default configuration of a node with short intervals,
+// so that tests don't wait for periodic work.
 func (c *Cluster) nodeConfig(service string) node.Config {
-	const often = 50 * time.Millisecond
+	const interval = 50 * time.Millisecond
 	cfg := node.DefaultConfig()
 	cfg.Service = service
 	cfg.DataCentre = "dc"
 	cfg.Region = "region"
-	cfg.DrainGrace = 4 * often
+	cfg.DrainGrace = 4 * interval
 	cfg.BackendSilence = time.Hour // backend servers announce themselves once
 	cfg.Transport.Cluster = c.name
-	cfg.Membership.JoinInterval = often
-	cfg.Membership.GossipInterval = often
-	cfg.Membership.RepairAgain = often
-	cfg.Membership.AnnounceWithin = often
-	cfg.Spread.PollEvery = often
-	cfg.Spread.RepairEvery = often
-	cfg.Spread.PullRetry = often
+	cfg.Membership.JoinInterval = interval
+	cfg.Membership.GossipInterval = interval
+	cfg.Membership.RepairAgain = interval
+	cfg.Membership.AnnounceWithin = interval
+	cfg.Spread.PollEvery = interval
+	cfg.Spread.RepairEvery = interval
+	cfg.Spread.PullRetry = interval
 	cfg.Serve.Once.BatchEvery = time.Millisecond
-	cfg.Serve.Once.PendingFor = 8 * often
-	cfg.Serve.Once.RetryEvery = often
-	cfg.Serve.Once.ReadEvery = often
+	cfg.Serve.Once.PendingFor = 8 * interval
+	cfg.Serve.Once.RetryEvery = interval
+	cfg.Serve.Once.ReadEvery = interval
 	if c.cfg.Change != nil {
 		c.cfg.Change(&cfg)
 	}
 	return cfg
 }
 
-// AwaitWhole waits until every node that runs knows all others and which of
-// them take work, and has a configuration if there is one.
+// AwaitWhole waits until every running node sees all others with their
+// readiness and has a configuration, if one was published.
 func (c *Cluster) AwaitWhole() {
 	c.tb.Helper()
-	Await(c.tb, "nodes know each other", func() bool {
+	Await(c.tb, "every node sees all others", func() bool {
 		for _, i := range c.instances {
-			if !i.stopped && !c.knownBy(i) {
+			if !i.stopped && !c.hasFullView(i) {
 				return false
 			}
 		}
@@ -124,7 +125,7 @@
 	})
 }
 
-func (c *Cluster) knownBy(viewer *Instance) bool {
+func (c *Cluster) hasFullView(viewer *Instance) bool {
 	if c.cfg.Graph != "" && viewer.Node.Version().Version == 0 {
 		return false
 	}
@@ -144,17 +145,17 @@
 	return true
 }
 
-// patience bounds every wait: it only ends tests that fail.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait. Only failing tests reach it.
+const waitTimeout = 20 * time.Second
 
-// Await polls until the condition holds.
+// Await polls until the condition holds; after 20 seconds it fails the test.
 func Await(tb testing.TB, what string, condition func() bool) {
 	tb.Helper()
 	const poll = 2 * time.Millisecond
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(poll) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(poll) {
 		if condition() {
 			return
 		}
 	}
-	tb.Fatalf("not in time: %s", what)
+	tb.Fatalf("timed out waiting for: %s", what)
 }
--- a/internal/testnode/instance.go
+++ b/internal/testnode/instance.go
@@ -14,13 +14,14 @@
 	"github.com/cassialoom/cassialoom/ops"
 )
 
-// Instance is a node and the backend server beside it.
+// Instance is a node with its optional backend server.
 type Instance struct {
 	Node     *node.Node
 	Counters *ops.Counters
 	// Backend is nil for a node without one.
 	Backend *Backend
-	// Callers, Local and Peers are the node's addresses.
+	// Callers, Local and Peers are the listen addresses of the node: for
+	// callers, for its backend server and for other nodes.
 	Callers, Local, Peers string
 
 	cluster *Cluster
@@ -28,7 +29,8 @@
 	stopped bool
 }
 
-// Add starts a node of a service, with a backend server if script is not nil.
+// Add starts a node of the service, and a backend server that runs the script.
+// A nil script starts the node alone.
 func (c *Cluster) Add(service string, script Script) *Instance {
 	c.tb.Helper()
 	callers, local, peers := c.listen(), c.listen(), c.listen()
@@ -78,34 +80,34 @@
 	}
 }
 
-// server is an HTTP server whose goroutine can be waited for.
+// server is an HTTP server whose close waits for its goroutine.
 type server struct {
 	*http.Server
-	done chan struct{}
-	once sync.Once
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
 func serve(srv *http.Server, ln net.Listener) *server {
 	s := &server{Server: srv, done: make(chan struct{})}
 	go func() {
 		defer close(s.done)
-		_ = srv.Serve(ln) // ends with the server
+		_ = srv.Serve(ln) // returns when the server is closed
 	}()
 	return s
 }
 
 func (s *server) close() {
-	s.once.Do(func() {
+	s.closeOnce.Do(func() {
 		s.Close()
 		<-s.done
 	})
 }
 
-// State is the node's dump.
+// State returns the diagnostic dump of the node.
 func (i *Instance) State() node.State { return i.Node.State().(node.State) }
 
-// Kill ends the instance as a crash would: its connections break and nobody is
-// told.
+// Kill stops the instance like a crash: its connections break without a notice
+// to peers. It does nothing on a stopped instance.
 func (i *Instance) Kill() {
 	if i.stopped {
 		return
@@ -115,7 +117,8 @@
 	i.close()
 }
 
-// Stop is the planned stop of the instance.
+// Stop drains the node and stops the instance. It returns an error if the
+// drain does not finish before ctx ends.
 func (i *Instance) Stop(ctx context.Context) error {
 	i.Node.Drain()
 	err := i.Node.Wait(ctx)
@@ -127,7 +130,8 @@
 	return err
 }
 
-// close ends the sockets first: what runs would hold up the end of the node.
+// close closes the sockets before the node: running requests would delay
+// Node.Stop.
 func (i *Instance) close() {
 	if i.Backend != nil {
 		i.Backend.srv.close()
--- a/internal/testnode/peer.go
+++ b/internal/testnode/peer.go
@@ -12,17 +12,18 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Nowhere is a loopback address at which nothing listens.
+// Nowhere is a loopback address without a listener.
 const Nowhere = "127.0.0.1:1"
 
-// Peer is a connection to a node that said a valid hello and then sends
-// whatever a test wants.
+// Peer is a connection to a node from a simulated node. It completes the hello
+// and then sends the messages that a test chooses.
 type Peer struct {
 	ID wire.NodeID
 	ws *websocket.Conn
 }
 
-// Dial connects to a node as a peer of its cluster until the test ends.
+// Dial connects to the node as a peer of its cluster and closes the connection
+// when the test ends.
 func (i *Instance) Dial(tb testing.TB, id wire.NodeID) *Peer {
 	tb.Helper()
 	p, err := i.Connect(id)
@@ -33,9 +34,10 @@
 	return p
 }
 
-// Connect is Dial for a connection that outlives one test; Close must follow.
+// Connect is Dial for a connection that outlives one test. The caller must
+// close it.
 func (i *Instance) Connect(id wire.NodeID) (*Peer, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	ws, _, err := websocket.Dial(ctx, "ws://"+i.Peers+transport.Path, nil)
 	if err != nil {
@@ -48,15 +50,15 @@
 		return nil, err
 	}
 	if f, err := p.Next(); err != nil || f.Kind != wire.KindHello {
-		return nil, fmt.Errorf("no hello: %w", err)
+		return nil, fmt.Errorf("the node did not answer the hello: %w", err)
 	}
 	return p, nil
 }
 
-// Close ends the connection.
+// Close closes the connection without a closing handshake.
 func (p *Peer) Close() { p.ws.CloseNow() }
 
-// Send sends a message.
+// Send encodes and sends a message.
 func (p *Peer) Send(kind wire.Kind, msg any) error {
 	data, err := wire.Encode(kind, msg)
 	if err != nil {
@@ -67,14 +69,15 @@
 
 // SendRaw sends bytes as one message.
 func (p *Peer) SendRaw(data []byte) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	return p.ws.Write(ctx, websocket.MessageBinary, data)
 }
 
-// Next returns the next message; an error says that the connection has ended.
+// Next returns the next message. It returns an error when the connection ends,
+// when no message arrives in 20 seconds, or for a malformed frame.
 func (p *Peer) Next() (wire.Frame, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	_, data, err := p.ws.Read(ctx)
 	if err != nil {
@@ -83,7 +86,8 @@
 	return wire.Decode(data)
 }
 
-// NextOf returns the body of the next message of one kind.
+// NextOf skips messages of other kinds and decodes the next one of this kind
+// into msg.
 func (p *Peer) NextOf(kind wire.Kind, msg any) error {
 	for {
 		f, err := p.Next()
@@ -96,17 +100,18 @@
 	}
 }
 
-// mintRequest asks for a key, as nodes encode it.
+// mintRequest has the encoding of a node's request for a key.
 type mintRequest struct {
 	Seq uint64 `cbor:"1,keyasint"`
 }
 
-// Sync returns when the node has handled all that was sent before, by asking
-// for a key that it refuses. Other messages that come meanwhile are dropped.
+// Sync waits until the node has handled all messages sent so far: it requests
+// a key, which the node refuses, and waits for the answer. It drops other
+// messages that arrive meanwhile.
 func (p *Peer) Sync() error { return p.SyncTaking(func(wire.Frame) {}) }
 
-// SyncTaking is Sync that hands the other messages to take.
-func (p *Peer) SyncTaking(take func(wire.Frame)) error {
+// SyncTaking is Sync, but calls handle for each other message.
+func (p *Peer) SyncTaking(handle func(wire.Frame)) error {
 	if err := p.Send(wire.KindMint, mintRequest{Seq: 1}); err != nil {
 		return err
 	}
@@ -115,12 +120,12 @@
 		if err != nil || f.Kind == wire.KindMinted {
 			return err
 		}
-		take(f)
+		handle(f)
 	}
 }
 
-// Join makes the node believe that a ready backend server of the service is
-// beside this peer.
+// Join announces this peer to the node as a member with a ready backend server
+// of the service.
 func (p *Peer) Join(service string) error {
 	r := membership.Record{ID: p.ID, Service: service, DataCentre: "dc", Region: "region",
 		PeerAddr: Nowhere, Ready: true, Incarnation: 1, Content: 1}
