--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -1,6 +1,6 @@
-// Package proptest runs rapid's properties the same way everywhere: with a
-// fixed seed by default, so that CI gives one verdict every time, and long
-// with a fresh seed, which it prints, when PROVE is set.
+// Package proptest runs properties of rapid with common settings. By default
+// the seed is fixed, so that CI results are repeatable. If PROVE is set, runs
+// are longer and use a new seed, which is logged.
 package proptest
 
 import (
@@ -14,24 +14,25 @@
 )
 
 const (
-	// fixedSeed is arbitrary; what matters is that it stays the same.
+	// fixedSeed is the seed of runs without PROVE.
 	fixedSeed = "20261202"
-	// proveChecks is the default number of schedules of a long run.
+	// proveChecks is the default number of checks of a run with PROVE.
 	proveChecks = "3000"
-	// defaultSteps is rapid's own mean length of a state machine's schedule.
+	// defaultSteps is rapid's default mean number of actions in one check of a
+	// state machine.
 	defaultSteps = 30
 )
 
-// Check runs the property. PROVE=1 runs it with a fresh seed; PROVE_SEED,
-// PROVE_CHECKS and PROVE_STEPS choose the seed, the number of schedules and
-// their mean length.
+// Check checks the property. With PROVE=1 it uses a new seed. PROVE_SEED sets
+// the seed and PROVE_CHECKS the number of checks of such a run; PROVE_STEPS
+// sets the mean number of actions of every run.
 func Check(t *testing.T, property func(*rapid.T)) {
 	t.Helper()
 	CheckSteps(t, defaultSteps, property)
 }
 
-// CheckSteps is Check for a state machine whose schedules have to be longer,
-// on average, to get where it can fail.
+// CheckSteps is Check with a mean number of actions, for state machines that
+// fail only after more actions than rapid's default.
 func CheckSteps(t *testing.T, steps int, property func(*rapid.T)) {
 	t.Helper()
 	configure(t, steps)
@@ -39,20 +40,20 @@
 }
 
 func configure(t *testing.T, steps int) {
-	set(t, "rapid.nofailfile", "true")
-	set(t, "rapid.steps", envOr("PROVE_STEPS", strconv.Itoa(steps)))
+	setFlag(t, "rapid.nofailfile", "true")
+	setFlag(t, "rapid.steps", envOr("PROVE_STEPS", strconv.Itoa(steps)))
 	if os.Getenv("PROVE") == "" {
-		set(t, "rapid.seed", fixedSeed)
+		setFlag(t, "rapid.seed", fixedSeed)
 		return
 	}
 	seed := envOr("PROVE_SEED", strconv.FormatInt(time.Now().UnixNano(), 10))
 	checks := envOr("PROVE_CHECKS", proveChecks)
 	t.Logf("seed %s, %s schedules", seed, checks)
-	set(t, "rapid.seed", seed)
-	set(t, "rapid.checks", checks)
+	setFlag(t, "rapid.seed", seed)
+	setFlag(t, "rapid.checks", checks)
 }
 
-func set(t *testing.T, name, value string) {
+func setFlag(t *testing.T, name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		t.Fatalf("flag %s: %v", name, err)
 	}
