--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits without outliving its context.
+// Package pause sleeps until a time has passed or a context ends.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a time and reports whether it passed before the context ended.
+// For sleeps for d. It returns false if the context ends first.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -18,8 +18,8 @@
 	}
 }
 
-// Until is For up to a moment; one that has passed counts unless the context has
-// ended.
+// Until sleeps until the time at. It returns false if the context ends first or
+// has already ended; a time in the past returns at once.
 func Until(ctx context.Context, at time.Time) bool {
 	if d := time.Until(at); d > 0 {
 		return For(ctx, d)
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -29,7 +29,7 @@
 		begin := time.Now()
 		is.True(Until(ctx, begin.Add(time.Second)))
 		is.Equal(time.Since(begin), time.Second)
-		is.True(Until(ctx, begin)) // it has passed
+		is.True(Until(ctx, begin)) // a time in the past
 		cancel()
 		is.True(!Until(ctx, begin))
 	})
