--- a/internal/prove/answers_test.go
+++ b/internal/prove/answers_test.go
@@ -23,7 +23,7 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-const echoText = `
+const echoGraph = `
 service "echo" {
   operation "read" {
     idempotent     = true
@@ -40,26 +40,26 @@
 }`
 
 func echoOptions() Options {
-	shape := options().Shape
+	shape := defaultOptions().Shape
 	shape.Services = []rig.ServiceShape{{Name: "echo", Targets: 4}}
-	return Options{Graph: echoText, Shape: shape, Bare: []string{"echo"}}
+	return Options{Graph: echoGraph, Shape: shape, InProcess: []string{"echo"}}
 }
 
-// echoFleet is a fleet whose backend servers the test plays, by echo.
+// echoFleet starts a fleet whose backend servers run echo inside the test.
 func echoFleet(t *testing.T) *Fleet {
 	t.Helper()
 	is := is.New(t)
-	f := start(t, echoOptions())
+	f := startFleet(t, echoOptions())
 	for _, i := range f.Instances {
-		b, err := f.Play(i, http.HandlerFunc(echo))
+		b, err := f.StartBackend(i, http.HandlerFunc(echo))
 		is.NoErr(err)
-		t.Cleanup(b.Die)
+		t.Cleanup(b.Kill)
 	}
 	is.NoErr(f.Await(t.Context(), "/readyz", f.Instances))
 	return f
 }
 
-// framing is how the test's backend server sends its answer.
+// framing is how the backend server of the test frames its answer.
 type framing string
 
 const (
@@ -67,24 +67,25 @@
 	byChunks     framing = "by-chunks"
 	lengthCut    framing = "length-cut"
 	chunksCut    framing = "chunks-cut"
-	untilClose   framing = "until-close" // an HTTP/1.0 answer, cut off or not
-	tooMuch      framing = "too-much"    // more than announced, then kept open
+	untilClose   framing = "until-close" // an HTTP/1.0 answer, complete or truncated
+	extraAnswer  framing = "too-much"    // an additional answer after the announced length, on a connection that stays open
 	maxEchoBytes         = 200 << 10
 )
 
-// honest are the framings of a backend server that gives one answer to each
-// request, whole or not.
-var honest = []framing{byLength, byChunks, lengthCut, chunksCut, untilClose}
+// singleAnswerFramings are the framings with one answer to each request,
+// complete or truncated.
+var singleAnswerFramings = []framing{byLength, byChunks, lengthCut, chunksCut, untilClose}
 
-// expected is the answer to a body: its hash, and as many bytes as it asks for.
-func expected(body []byte) []byte {
+// expectedAnswer returns the hash of the body, followed by padding whose length
+// depends on the hash.
+func expectedAnswer(body []byte) []byte {
 	sum := sha256.Sum256(body)
 	size := 100 + int(sum[0])*int(sum[1])*maxEchoBytes/(255*255)
 	answer := []byte(hex.EncodeToString(sum[:]))
 	return append(answer, bytes.Repeat([]byte{'a' + sum[2]%26}, size)...)
 }
 
-// echo answers in the framing that the request's body names, by raw bytes.
+// echo writes raw bytes of HTTP in the framing that the request's body names.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -95,7 +96,7 @@
 		return
 	}
 	defer conn.Close()
-	answer := expected(body)
+	answer := expectedAnswer(body)
 	cut := len(answer) * int(answer[0]) / 256
 	switch frame := frameOf(body); frame {
 	case byLength:
@@ -110,20 +111,20 @@
 		fmt.Fprintf(buf, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", cut+1, answer[:cut+1])
 	case untilClose:
 		fmt.Fprintf(buf, "HTTP/1.0 200 OK\r\n\r\n%s", answer[:cut])
-	case tooMuch:
+	case extraAnswer:
 		fmt.Fprintf(buf, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%sHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", len(answer), answer)
 	}
 	buf.Flush()
 	if answer[1]%2 == 0 {
-		conn.(*net.TCPConn).SetLinger(0) // a reset in place of an orderly end
+		conn.(*net.TCPConn).SetLinger(0) // closes with a reset
 	}
-	if frameOf(body) == tooMuch {
-		time.Sleep(20 * time.Millisecond) // the connection looks fit for the next request
+	if frameOf(body) == extraAnswer {
+		time.Sleep(20 * time.Millisecond) // the connection looks reusable for the next request
 	}
 }
 
 func frameOf(body []byte) framing {
-	for _, f := range append(honest, tooMuch) {
+	for _, f := range append(singleAnswerFramings, extraAnswer) {
 		if strings.Contains(string(body), "frame:"+string(f)+" ") {
 			return f
 		}
@@ -131,58 +132,55 @@
 	return byLength
 }
 
-// Backend servers send whole answers and answers that break off, in every
-// framing of HTTP, with an end or a reset, while nodes are killed and links
-// between them cut or stalled. Dozens of callers ask at once. Whatever a
-// caller takes for a complete answer is the whole one to its own request.
-func TestProveEveryAnswerIsWholeAndItsOwn(t *testing.T) {
+// Guards against answers that are truncated or belong to another request, while
+// backend servers break off answers, nodes are killed and links are cut.
+func TestProveAnswersAreCompleteAndMatchTheirRequests(t *testing.T) {
 	is := is.New(t)
 	f := echoFleet(t)
-	rng := random(t)
-	callers := askEchoes(t, f, rng, honest)
+	rng := newRand(t)
+	callers := startEchoCallers(t, f, rng, singleAnswerFramings)
 	peers := f.PeerAddrs()
 	for range 8 {
-		time.Sleep(between2(rng, 300*time.Millisecond, 900*time.Millisecond))
+		time.Sleep(randomDuration(rng, 300*time.Millisecond, 900*time.Millisecond))
 		victim := pick(rng, f.Instances)
 		f.Network.Isolate(victim.PeerAddr, peers, pick(rng, []LinkState{Cut, Stalled}))
-		time.Sleep(between2(rng, 0, 700*time.Millisecond))
+		time.Sleep(randomDuration(rng, 0, 700*time.Millisecond))
 		f.Network.SetAll(Open)
 		is.NoErr(victim.Node.Kill())
 		is.NoErr(f.RestartNode(victim))
 	}
 	callers.end(t)
-	is.True(callers.whole.Load() > 500)
-	is.True(callers.broken.Load() > 100)
+	is.True(callers.complete.Load() > 500)
+	is.True(callers.incomplete.Load() > 100)
 	is.Equal(callers.wrong.Load(), int64(0))
 }
 
-// A backend server sends a second answer after the one that it was asked for,
-// on a connection that is kept. It belongs to nobody: the request that goes
-// out next on that connection must not get it.
-func TestProveASecondAnswerReachesNobody(t *testing.T) {
+// Guards against passing an unrequested second answer on a kept connection to
+// the next request.
+func TestProveUnrequestedAnswerIsDropped(t *testing.T) {
 	is := is.New(t)
 	f := echoFleet(t)
-	callers := askEchoes(t, f, random(t), []framing{byLength, tooMuch})
+	callers := startEchoCallers(t, f, newRand(t), []framing{byLength, extraAnswer})
 	time.Sleep(4 * time.Second)
 	callers.end(t)
 	is.Equal(callers.wrong.Load(), int64(0))
 }
 
-// echoCallers ask without a pause and count what they get.
+// echoCallers send requests without a pause and count the results.
 type echoCallers struct {
-	stop                 context.CancelFunc
-	done                 sync.WaitGroup
-	whole, broken, wrong atomic.Int64
+	stop                        context.CancelFunc
+	done                        sync.WaitGroup
+	complete, incomplete, wrong atomic.Int64
 }
 
-func askEchoes(t *testing.T, f *Fleet, rng *rand.Rand, frames []framing) *echoCallers {
+func startEchoCallers(t *testing.T, f *Fleet, rng *rand.Rand, frames []framing) *echoCallers {
 	ctx, stop := context.WithCancel(t.Context())
 	c := &echoCallers{stop: stop}
 	for k := range 32 {
 		own := rand.New(rand.NewPCG(rng.Uint64(), uint64(k)))
 		c.done.Go(func() {
 			for ctx.Err() == nil {
-				c.ask(t, f, own, pick(own, frames))
+				c.send(t, f, own, pick(own, frames))
 			}
 		})
 	}
@@ -192,25 +190,25 @@
 func (c *echoCallers) end(t *testing.T) {
 	c.stop()
 	c.done.Wait()
-	t.Logf("%d whole answers, %d requests without one, %d wrong", c.whole.Load(), c.broken.Load(), c.wrong.Load())
+	t.Logf("%d complete answers, %d requests without one, %d wrong answers", c.complete.Load(), c.incomplete.Load(), c.wrong.Load())
 }
 
-func (c *echoCallers) ask(t *testing.T, f *Fleet, rng *rand.Rand, frame framing) {
-	s := Sending{Action: f.NewAction(), Number: 1, Operation: graph.Ref{Service: "echo", Operation: pick(rng, []string{"read", "write"})}}
+func (c *echoCallers) send(t *testing.T, f *Fleet, rng *rand.Rand, frame framing) {
+	s := Invocation{Action: f.NewAction(), Number: 1, Operation: graph.Ref{Service: "echo", Operation: pick(rng, []string{"read", "write"})}}
 	s.Node = pick(rng, f.Instances).CallerAddr
 	body := fmt.Appendf(nil, "action:%s frame:%s %s", s.Action, frame, strings.Repeat("x", rng.IntN(20000)))
-	told := f.SendBody(t.Context(), s, body)
-	if !told.Answered || told.Reason != verdict.None {
-		c.broken.Add(1)
+	result := f.SendBody(t.Context(), s, body)
+	if !result.Answered || result.Reason != verdict.None {
+		c.incomplete.Add(1)
 		return
 	}
-	if !bytes.Equal(told.Body, expected(body)) {
+	if !bytes.Equal(result.Body, expectedAnswer(body)) {
 		c.wrong.Add(1)
-		t.Logf("%s, %s: %d bytes %.80s, want %d bytes", s.Action, frame, len(told.Body), told.Body, len(expected(body)))
+		t.Logf("%s, %s: %d bytes %.80s, want %d bytes", s.Action, frame, len(result.Body), result.Body, len(expectedAnswer(body)))
 		return
 	}
 	if frame == lengthCut || frame == chunksCut || frame == untilClose {
-		t.Errorf("%s: an answer sent %s was taken for a whole one", s.Action, frame)
+		t.Errorf("%s: a truncated answer (%s) was accepted as complete", s.Action, frame)
 	}
-	c.whole.Add(1)
+	c.complete.Add(1)
 }
--- a/internal/prove/bare.go
+++ b/internal/prove/bare.go
@@ -16,9 +16,9 @@
 	"github.com/cassialoom/cassialoom/internal/standin/backend"
 )
 
-// Bare is a backend server that the test plays itself, to fail in ways that
-// the stand-in does not know.
-type Bare struct {
+// InProcessBackend is a backend server inside the test process. It fails in ways
+// that the stand-in backend server does not support.
+type InProcessBackend struct {
 	server *http.Server
 	stop   context.CancelFunc
 	done   sync.WaitGroup
@@ -27,25 +27,26 @@
 	arrivals map[string]int
 }
 
-// Play serves h beside the instance's node and announces it as ready.
-func (f *Fleet) Play(i *rig.Instance, h http.Handler) (*Bare, error) {
+// StartBackend serves h as the backend server of the instance and announces it
+// to the node as ready until Kill.
+func (f *Fleet) StartBackend(i *rig.Instance, h http.Handler) (*InProcessBackend, error) {
 	ln, err := net.Listen("tcp", i.BackendAddr)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	b := &Bare{stop: stop, arrivals: make(map[string]int)}
+	b := &InProcessBackend{stop: stop, arrivals: make(map[string]int)}
 	b.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b.arrived(r.Header.Get(headers.RequestID))
+		b.countArrival(r.Header.Get(headers.RequestID))
 		h.ServeHTTP(w, r)
 	})}
 	b.done.Go(func() { b.server.Serve(ln) })
 	boot := fmt.Sprint(time.Now().UnixNano())
 	b.done.Go(func() {
 		for {
-			// A failed announcement is repeated with the next.
+			// A failed announcement is repeated after the interval.
 			_ = f.announce(ctx, i, boot)
-			if !pause.For(ctx, announceEvery) {
+			if !pause.For(ctx, announceInterval) {
 				return
 			}
 		}
@@ -53,7 +54,7 @@
 	return b, nil
 }
 
-const announceEvery = 500 * time.Millisecond
+const announceInterval = 500 * time.Millisecond
 
 func (f *Fleet) announce(ctx context.Context, i *rig.Instance, boot string) error {
 	raw, err := json.Marshal(backend.Announcement{URL: "http://" + i.BackendAddr, State: backend.Ready, Boot: boot})
@@ -64,21 +65,21 @@
 	if err != nil {
 		return err
 	}
-	res, err := f.callers.Do(req)
+	res, err := f.client.Do(req)
 	if err != nil {
 		return err
 	}
 	return res.Body.Close()
 }
 
-func (b *Bare) arrived(requestID string) {
+func (b *InProcessBackend) countArrival(requestID string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.arrivals[requestID]++
 }
 
-// Arrivals returns how often each request id arrived.
-func (b *Bare) Arrivals() map[string]int {
+// Arrivals returns the number of arrivals of each request ID.
+func (b *InProcessBackend) Arrivals() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	counts := make(map[string]int, len(b.arrivals))
@@ -88,9 +89,9 @@
 	return counts
 }
 
-// Die ends the backend server as a crash does: nothing listens any more, and
-// nothing is said.
-func (b *Bare) Die() {
+// Kill stops the backend server like a crash: it closes the listener and the
+// connections without an announcement to the node.
+func (b *InProcessBackend) Kill() {
 	b.stop()
 	b.server.Close()
 	b.done.Wait()
--- a/internal/prove/config_test.go
+++ b/internal/prove/config_test.go
@@ -17,46 +17,48 @@
 	"github.com/cassialoom/cassialoom/internal/rig"
 )
 
-// inForceLimit is the users' aim for the whole of the design size; a handful
-// of nodes must not need more.
-const inForceLimit = 10 * time.Second
+// versionTimeout is the longest time in which all nodes of the full design size
+// have to apply a new version.
+const versionTimeout = 10 * time.Second
 
-// bareOptions is a fleet of nodes alone.
-func bareOptions() Options {
-	opts := options()
-	opts.Bare = []string{"alertdesk", "fieldlog", "stationlog"}
+// nodesOnlyOptions returns options of a fleet without backend servers.
+func nodesOnlyOptions() Options {
+	opts := defaultOptions()
+	opts.InProcess = []string{"alertdesk", "fieldlog", "stationlog"}
 	return opts
 }
 
-// variant is the graph text with another deadline of a section's operation.
-func variant(service string, milliseconds int) string {
-	at := strings.Index(text, fmt.Sprintf("service %q", service))
-	head, tail := text[:at], text[at:]
+// graphWithDeadline returns the graph text with another deadline of the first
+// operation of the service.
+func graphWithDeadline(service string, milliseconds int) string {
+	at := strings.Index(graphText, fmt.Sprintf("service %q", service))
+	head, tail := graphText[:at], graphText[at:]
 	from := strings.Index(tail, `deadline       = "`) + len(`deadline       = "`)
 	to := from + strings.Index(tail[from:], `"`)
 	return head + tail[:from] + fmt.Sprintf("%dms", milliseconds) + tail[to:]
 }
 
-// awaitConfiguration waits until all nodes run the first publication.
-func awaitConfiguration(t *testing.T, f *Fleet, w *Watch) {
+// awaitFirstVersion waits until all nodes have the first publication in force.
+func awaitFirstVersion(t *testing.T, f *Fleet, w *VersionWatcher) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), inForceLimit)
+	ctx, cancel := context.WithTimeout(t.Context(), versionTimeout)
 	defer cancel()
-	_, err := w.InForce(ctx, 1, f.Instances)
+	_, err := w.AwaitVersion(ctx, 1, f.Instances)
 	is.New(t).NoErr(err)
 }
 
-func inForce(t *testing.T, f *Fleet, w *Watch, version uint64) time.Duration {
+func awaitVersion(t *testing.T, f *Fleet, w *VersionWatcher, version uint64) time.Duration {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), inForceLimit)
+	ctx, cancel := context.WithTimeout(t.Context(), versionTimeout)
 	defer cancel()
-	took, err := w.InForce(ctx, version, f.Instances)
+	took, err := w.AwaitVersion(ctx, version, f.Instances)
 	is.New(t).NoErr(err)
 	return took
 }
 
-// sameState fails unless all nodes and a reader of the log hold the same.
-func sameState(t *testing.T, f *Fleet) *config.State {
+// checkSameState fails unless all nodes have the same configuration as a reader
+// of the log, which it returns.
+func checkSameState(t *testing.T, f *Fleet) *config.State {
 	t.Helper()
 	is := is.New(t)
 	state, err := config.ReadState(t.Context(), applog.NewHTTP(f.LogURL, nil))
@@ -67,58 +69,56 @@
 		}
 		is.NoErr(i.Get(t.Context(), "/state", &s))
 		if s.Config.Version != state.Version() || s.Config.Sum != state.Sum() {
-			t.Errorf("%s holds version %d, sum %x; the log says %d, %x",
+			t.Errorf("%s has version %d, sum %x; the log has %d, %x",
 				i.Name, s.Config.Version, s.Config.Sum, state.Version(), state.Sum())
 		}
 	}
 	return state
 }
 
-// Two operators publish other texts of the same section in the same moment.
-// One wins, the other is told that its publication changed nothing, and all
-// nodes have the winner's text within seconds. Changes of two sections do not
-// disturb each other.
+// Guards against two concurrent publications of a section that both succeed,
+// that both fail, or that leave nodes with different texts.
 func TestProveTwoOperatorsPublishAtOnce(t *testing.T) {
 	is := is.New(t)
-	f := start(t, bareOptions())
-	w := f.StartWatch(t.Context())
-	awaitConfiguration(t, f, w)
+	f := startFleet(t, nodesOnlyOptions())
+	w := f.WatchVersions(t.Context())
+	awaitFirstVersion(t, f, w)
 	races := 0
 	var slowest time.Duration
 	for round := range 15 {
-		texts := [2]string{variant("alertdesk", 1000+2*round), variant("alertdesk", 1001+2*round)}
-		var said [2]Published
+		texts := [2]string{graphWithDeadline("alertdesk", 1000+2*round), graphWithDeadline("alertdesk", 1001+2*round)}
+		var results [2]PublishResult
 		var errs [2]error
-		both(func(k int) {
-			said[k], errs[k] = f.PublishText(t.Context(), fmt.Sprintf("operator-%d", k), texts[k])
+		inParallel(func(k int) {
+			results[k], errs[k] = f.PublishText(t.Context(), fmt.Sprintf("operator-%d", k), texts[k])
 		})
 		is.NoErr(errs[0])
 		is.NoErr(errs[1])
 		winner := -1
-		for k, p := range said {
-			if p.Accepted && (winner < 0 || p.Version > said[winner].Version) {
+		for k, p := range results {
+			if p.Accepted && (winner < 0 || p.Version > results[winner].Version) {
 				winner = k
 			}
-			is.True(p.Accepted || p.Refused()) // nobody is left without an outcome
+			is.True(p.Accepted || p.Refused()) // each publication has a known outcome
 		}
 		is.True(winner >= 0)
-		if !said[1-winner].Accepted {
+		if !results[1-winner].Accepted {
 			races++
-			is.True(strings.Contains(said[1-winner].Output, "operator-")) // it names who won
+			is.True(strings.Contains(results[1-winner].Output, "operator-")) // the refusal names the winner
 		}
-		slowest = max(slowest, inForce(t, f, w, said[winner].Version))
-		state := sameState(t, f)
+		slowest = max(slowest, awaitVersion(t, f, w, results[winner].Version))
+		state := checkSameState(t, f)
 		section, ok := state.Section("alertdesk")
 		is.True(ok)
 		is.True(strings.Contains(texts[winner], strings.TrimSpace(section.Text)))
 	}
-	asked, err := w.End()
-	t.Logf("%d of 15 rounds were races; slowest in force everywhere: %v; %d versions read", races, slowest, asked)
+	polls, err := w.End()
+	t.Logf("%d of 15 rounds were races; slowest until in force at all nodes: %v; %d polls", races, slowest, polls)
 	is.NoErr(err)
 	is.True(races > 0)
 }
 
-func both(f func(k int)) {
+func inParallel(f func(k int)) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -128,14 +128,13 @@
 	<-done
 }
 
-// The log writes a publication and its answer is lost, or it writes it only
-// after the command has given up. The command, run again with the same
-// publication, says what became of it, and it counts once.
-func TestProvePublicationWhoseAnswerIsLost(t *testing.T) {
+// Guards against applying a publication twice when the log's answer is lost or
+// late and the command runs again with the same publication ID.
+func TestProvePublishAgainAfterLostAnswer(t *testing.T) {
 	is := is.New(t)
-	f := start(t, bareOptions())
-	w := f.StartWatch(t.Context())
-	awaitConfiguration(t, f, w)
+	f := startFleet(t, nodesOnlyOptions())
+	w := f.WatchVersions(t.Context())
+	awaitFirstVersion(t, f, w)
 	unsettled := 0
 	for round, c := range []struct{ fault, patience string }{
 		{"lose-answers?n=1", "30s"}, {"lose-answers?n=4", "30s"},
@@ -143,7 +142,7 @@
 		{"delay-appends?n=9&by=3s", "1s"},
 	} {
 		is.NoErr(f.LogControl(t.Context(), c.fault))
-		text := variant("fieldlog", 1100+round)
+		text := graphWithDeadline("fieldlog", 1100+round)
 		first, err := f.PublishText(t.Context(), "operator", text, "--timeout", c.patience)
 		is.NoErr(err)
 		t.Logf("%s: status %d, accepted %v", c.fault, first.Status, first.Accepted)
@@ -154,33 +153,31 @@
 		again, err := f.PublishText(t.Context(), "operator", text, "--id", first.ID)
 		is.NoErr(err)
 		if !again.Accepted {
-			t.Errorf("%s: run again: %s", c.fault, again.Output)
+			t.Errorf("%s: second run of the command: %s", c.fault, again.Output)
 		}
 		is.True(!first.Accepted || first.Version == again.Version)
-		inForce(t, f, w, again.Version)
-		time.Sleep(5 * time.Second) // what was delayed is written by now
-		state := sameState(t, f)
-		is.Equal(state.Version(), again.Version) // no copy counted again
+		awaitVersion(t, f, w, again.Version)
+		time.Sleep(5 * time.Second) // longer than the delays of appends
+		state := checkSameState(t, f)
+		is.Equal(state.Version(), again.Version) // applied once
 	}
-	is.True(unsettled > 0) // the command itself once could not tell
+	is.True(unsettled > 0) // at least one outcome was unknown at first
 	_, err := w.End()
 	is.NoErr(err)
 }
 
-// Operators publish all the time. Meanwhile the log is frozen or fails, nodes
-// are killed and start anew, one is frozen, one is cut off, and new ones join.
-// No node ever goes back, and when the faults have ended all have the newest
-// accepted version within seconds.
-func TestProveNothingEverGoesBack(t *testing.T) {
+// Guards against nodes that return to an older configuration, or never reach
+// the newest one, after faults of the log, of nodes and of links.
+func TestProveConfigurationNeverGoesBack(t *testing.T) {
 	is := is.New(t)
-	f := start(t, bareOptions())
-	rng := random(t)
-	w := f.StartWatch(t.Context())
-	awaitConfiguration(t, f, w)
+	f := startFleet(t, nodesOnlyOptions())
+	rng := newRand(t)
+	w := f.WatchVersions(t.Context())
+	awaitFirstVersion(t, f, w)
 	publishing, stop := context.WithCancel(t.Context())
-	accepted := publishAll(publishing, f)
+	accepted := publishUntilDone(publishing, f)
 	for range 10 {
-		disturb(t, f, rng, w)
+		injectFault(t, f, rng, w)
 	}
 	f.Network.SetAll(Open)
 	time.Sleep(time.Second)
@@ -188,23 +185,23 @@
 	all := <-accepted
 	is.True(len(all) > 5)
 	newest := all[len(all)-1]
-	took := inForce(t, f, w, newest)
-	state := sameState(t, f)
+	took := awaitVersion(t, f, w, newest)
+	state := checkSameState(t, f)
 	is.True(state.Version() >= newest)
-	asked, err := w.End()
-	t.Logf("%d accepted, the newest in force everywhere %v after the end; %d versions read", len(all), took, asked)
+	polls, err := w.End()
+	t.Logf("%d accepted; the newest in force at all nodes %v after the faults; %d polls", len(all), took, polls)
 	is.NoErr(err)
 }
 
-// publishAll publishes until ctx ends and returns the accepted versions.
-func publishAll(ctx context.Context, f *Fleet) <-chan []uint64 {
+// publishUntilDone publishes until ctx ends, then sends the accepted versions.
+func publishUntilDone(ctx context.Context, f *Fleet) <-chan []uint64 {
 	result := make(chan []uint64, 1)
 	go func() {
 		var accepted []uint64
 		for n := 0; pause.For(ctx, 150*time.Millisecond); n++ {
-			// The command is not cut off: it says what became of it.
+			// The command outlives ctx, so that its outcome is known.
 			limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), 20*time.Second)
-			p, err := f.PublishText(limited, "operator", variant("stationlog", 500+n), "--timeout", "4s")
+			p, err := f.PublishText(limited, "operator", graphWithDeadline("stationlog", 500+n), "--timeout", "4s")
 			cancel()
 			if err == nil && p.Accepted {
 				accepted = append(accepted, p.Version)
@@ -215,19 +212,19 @@
 	return result
 }
 
-func disturb(t *testing.T, f *Fleet, rng *rand.Rand, w *Watch) {
+func injectFault(t *testing.T, f *Fleet, rng *rand.Rand, w *VersionWatcher) {
 	t.Helper()
 	is := is.New(t)
 	victim := pick(rng, f.Instances)
-	during := between2(rng, 500*time.Millisecond, 2500*time.Millisecond)
+	during := randomDuration(rng, 500*time.Millisecond, 2500*time.Millisecond)
 	switch rng.IntN(6) {
 	case 0:
 		is.NoErr(f.Log.Signal(syscall.SIGSTOP))
-		joinDuring(t, f, rng, w, during)
+		addNodeDuring(t, f, rng, w, during)
 		is.NoErr(f.Log.Signal(syscall.SIGCONT))
 	case 1:
 		is.NoErr(f.LogControl(t.Context(), fmt.Sprintf("outage?for=%v", during)))
-		joinDuring(t, f, rng, w, during)
+		addNodeDuring(t, f, rng, w, during)
 	case 2:
 		is.NoErr(victim.Node.Kill())
 		time.Sleep(during / 2)
@@ -244,14 +241,15 @@
 		is.NoErr(f.LogControl(t.Context(), pick(rng, []string{"lose-answers?n=2", "delay-appends?n=2&by=1s"})))
 		time.Sleep(during)
 	}
-	time.Sleep(between2(rng, 0, 500*time.Millisecond))
+	time.Sleep(randomDuration(rng, 0, 500*time.Millisecond))
 }
 
-// maxInstances bounds how many join.
+// maxInstances bounds the size of a fleet that nodes join.
 const maxInstances = 14
 
-// joinDuring adds a node, which cannot learn the configuration from the log.
-func joinDuring(t *testing.T, f *Fleet, rng *rand.Rand, w *Watch, during time.Duration) {
+// addNodeDuring adds a node during a fault of the log, so that it has to get the
+// configuration from peers.
+func addNodeDuring(t *testing.T, f *Fleet, rng *rand.Rand, w *VersionWatcher, during time.Duration) {
 	t.Helper()
 	if len(f.Instances) < maxInstances {
 		i, err := f.Add("stationlog", pick(rng, f.Shape.DataCentres))
@@ -261,17 +259,17 @@
 	time.Sleep(during)
 }
 
-// The log does not answer. A node that starts then gets the configuration from
-// its peers and serves it.
-func TestProveNewcomerInAnOutageOfTheLog(t *testing.T) {
+// Guards against a node that cannot start while the log is frozen or gone: it
+// has to get the configuration from its peers.
+func TestProveNodeStartsDuringLogOutage(t *testing.T) {
 	is := is.New(t)
-	f := start(t, bareOptions())
-	w := f.StartWatch(t.Context())
-	awaitConfiguration(t, f, w)
-	p, err := f.PublishText(t.Context(), "operator", variant("stationlog", 700))
+	f := startFleet(t, nodesOnlyOptions())
+	w := f.WatchVersions(t.Context())
+	awaitFirstVersion(t, f, w)
+	p, err := f.PublishText(t.Context(), "operator", graphWithDeadline("stationlog", 700))
 	is.NoErr(err)
 	is.True(p.Accepted)
-	inForce(t, f, w, p.Version)
+	awaitVersion(t, f, w, p.Version)
 	for _, frozen := range []bool{true, false} {
 		if frozen {
 			is.NoErr(f.Log.Signal(syscall.SIGSTOP))
@@ -281,11 +279,11 @@
 		i, err := f.Add("stationlog", f.Shape.DataCentres[0])
 		is.NoErr(err)
 		w.Add(i)
-		ctx, cancel := context.WithTimeout(t.Context(), inForceLimit)
-		took, err := w.InForce(ctx, p.Version, []*rig.Instance{i})
+		ctx, cancel := context.WithTimeout(t.Context(), versionTimeout)
+		took, err := w.AwaitVersion(ctx, p.Version, []*rig.Instance{i})
 		cancel()
 		is.NoErr(err)
-		t.Logf("log frozen %v: a newcomer had the configuration after %v", frozen, took)
+		t.Logf("log frozen %v: the new node had the configuration after %v", frozen, took)
 		if frozen {
 			is.NoErr(f.Log.Signal(syscall.SIGCONT))
 		}
--- a/internal/prove/fleet.go
+++ b/internal/prove/fleet.go
@@ -14,61 +14,61 @@
 	"github.com/cassialoom/cassialoom/internal/rig"
 )
 
-// Options of a fleet.
+// Options configures a fleet.
 type Options struct {
 	// Graph is the graph text. The backend servers make the calls that it
-	// declares, those of one operation at the same time.
+	// declares; those of one operation run concurrently.
 	Graph string
 	Shape rig.Shape
-	// Bare names services whose backend servers the test plays itself.
-	Bare []string
+	// InProcess names the services whose backend servers run in the test process.
+	InProcess []string
 	// NodeArgs, BackendArgs and LogArgs are added to the programs' arguments.
 	NodeArgs    []string
 	BackendArgs []string
 	LogArgs     []string
-	// Unpublished leaves the publication to the test: the nodes start
-	// without a configuration.
+	// Unpublished starts the nodes without a configuration; the test
+	// publishes it.
 	Unpublished bool
 }
 
-// Fleet is a few nodes with their backend servers and the log, as processes,
-// and what callers were told by them. Each instance has an IP number of its
-// own on loopback, and a relay before its peer address.
+// Fleet is a set of processes, nodes with their backend servers and the log,
+// with the history of all invocations. Each instance has its own IP address on
+// loopback and a relay in front of its peer address.
 type Fleet struct {
 	*rig.Cluster
 	Graph   *graph.Graph
 	Network *Network
-	Record  Record
+	History History
 
-	opts    Options
-	subnet  string
-	file    string // of the graph text
-	callers *http.Client
-	actions counter
+	opts      Options
+	subnet    string
+	graphFile string // path of the graph text
+	client    *http.Client
+	actions   actionCounter
 }
 
-// The ports at each instance's IP number. They are below the range from which
-// systems take the ports of outgoing connections.
+// The ports at the IP address of each instance. They are below the range of
+// ephemeral ports.
 const (
 	callerPort  = 7400
 	localPort   = 7401
 	peerPort    = 7402
 	opsPort     = 7403
 	backendPort = 8000
-	// hiddenOffset is added to an instance's number for the IP number at
-	// which its node listens behind the relay.
-	hiddenOffset = 100
-	logHost      = 250
+	// nodeHostOffset is added to the host number of an instance to get the one
+	// at which its node listens behind the relay.
+	nodeHostOffset = 100
+	logHost        = 250
 )
 
 const (
-	startLimit = 30 * time.Second
-	closeLimit = 15 * time.Second
-	seedCount  = 3
+	startTimeout = 30 * time.Second
+	closeTimeout = 15 * time.Second
+	seedCount    = 3
 )
 
-// Start starts a fleet, publishes the graph text and waits until all nodes
-// serve and know each other. Close must be called, also after an error.
+// Start starts a fleet, publishes the graph text and waits until all nodes are
+// ready and see each other. The caller must call Close, also after an error.
 func Start(ctx context.Context, bin string, opts Options) (*Fleet, error) {
 	r, err := rig.New(bin)
 	if err != nil {
@@ -78,10 +78,10 @@
 		Cluster: &rig.Cluster{Rig: r},
 		Network: NewNetwork(),
 		opts:    opts,
-		// Two fleets at once on one machine get different numbers.
-		subnet:  fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250)),
-		file:    filepath.Join(r.Dir(), "graph.hcl"),
-		callers: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callerConns}},
+		// Random, so that fleets of parallel test runs don't collide.
+		subnet:    fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250)),
+		graphFile: filepath.Join(r.Dir(), "graph.hcl"),
+		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
 	}
 	return f, f.start(ctx)
 }
@@ -96,7 +96,7 @@
 		return err
 	}
 	f.Graph, f.Shape = g, shape
-	if err := os.WriteFile(f.file, []byte(f.opts.Graph), 0o644); err != nil {
+	if err := os.WriteFile(f.graphFile, []byte(f.opts.Graph), 0o644); err != nil {
 		return err
 	}
 	if err := f.startLog(); err != nil {
@@ -109,20 +109,20 @@
 			}
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := f.Await(ctx, "/healthz", f.Instances); err != nil || f.opts.Unpublished {
 		return err
 	}
-	if out, err := f.Publish(ctx, f.file); err != nil {
+	if out, err := f.Publish(ctx, f.graphFile); err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
 	return f.AwaitServing(ctx)
 }
 
-// AwaitServing waits until all nodes serve and know each other.
+// AwaitServing waits until all nodes are ready and see each other.
 func (f *Fleet) AwaitServing(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	var all []*rig.Instance
 	for _, i := range f.Instances {
@@ -137,49 +137,49 @@
 }
 
 func (f *Fleet) startLog() error {
-	addr := f.at(logHost, backendPort)
+	addr := f.addrOf(logHost, backendPort)
 	f.LogURL = "http://" + addr
 	var err error
 	f.Log, err = f.Rig.Start("log", rig.LogProgram, append([]string{"--listen", addr}, f.opts.LogArgs...)...)
 	return err
 }
 
-// at is an address at an instance's IP number.
-func (f *Fleet) at(instance, port int) string {
+// addrOf returns the address of a port at the IP address of an instance.
+func (f *Fleet) addrOf(instance, port int) string {
 	return fmt.Sprintf("%s.%d:%d", f.subnet, instance, port)
 }
 
-// Add starts one more instance.
+// Add starts another instance and returns it.
 func (f *Fleet) Add(service, dataCentre string) (*rig.Instance, error) {
 	n := len(f.Instances) + 1
-	at := func(port int) string { return f.at(n, port) }
+	addrOf := func(port int) string { return f.addrOf(n, port) }
 	i := &rig.Instance{
 		Name:        fmt.Sprintf("%s-%d", service, n),
 		Service:     service,
 		DataCentre:  dataCentre,
-		CallerAddr:  at(callerPort),
-		LocalAddr:   at(localPort),
-		PeerAddr:    at(peerPort),
-		OpsAddr:     at(opsPort),
-		BackendAddr: at(backendPort),
+		CallerAddr:  addrOf(callerPort),
+		LocalAddr:   addrOf(localPort),
+		PeerAddr:    addrOf(peerPort),
+		OpsAddr:     addrOf(opsPort),
+		BackendAddr: addrOf(backendPort),
 	}
 	i.Journal = filepath.Join(f.Rig.Dir(), i.Name+".journal")
-	hidden := f.at(hiddenOffset+n, peerPort)
-	if err := f.Network.Relay(i.PeerAddr, hidden); err != nil {
+	nodeAddr := f.addrOf(nodeHostOffset+n, peerPort)
+	if err := f.Network.Relay(i.PeerAddr, nodeAddr); err != nil {
 		return nil, err
 	}
 	f.Instances = append(f.Instances, i)
-	return i, f.startInstance(i, hidden, fmt.Sprintf("%s.%d", f.subnet, n))
+	return i, f.startInstance(i, nodeAddr, fmt.Sprintf("%s.%d", f.subnet, n))
 }
 
-func (f *Fleet) startInstance(i *rig.Instance, hidden, ip string) error {
+func (f *Fleet) startInstance(i *rig.Instance, nodeAddr, ip string) error {
 	args := []string{
 		"--service", i.Service, "--data-centre", i.DataCentre, "--region", f.Shape.Region,
 		"--listen", i.CallerAddr, "--local-listen", i.LocalAddr, "--ops-listen", i.OpsAddr,
-		"--peer-listen", hidden, "--advertise", ip, "--log-url", f.LogURL,
+		"--peer-listen", nodeAddr, "--advertise", ip, "--log-url", f.LogURL,
 	}
 	for n := 1; n <= min(seedCount, f.Shape.Instances()); n++ {
-		if seed := f.at(n, peerPort); seed != i.PeerAddr {
+		if seed := f.addrOf(n, peerPort); seed != i.PeerAddr {
 			args = append(args, "--seed", seed)
 		}
 	}
@@ -187,15 +187,15 @@
 	if i.Node, err = f.Rig.Start(i.Name+"-node", rig.NodeProgram, append(args, f.opts.NodeArgs...)...); err != nil {
 		return err
 	}
-	if f.bare(i.Service) {
+	if f.isInProcess(i.Service) {
 		return nil
 	}
 	i.Backend, err = f.Rig.Start(i.Name+"-backend", rig.BackendProgram, f.backendArgs(i)...)
 	return err
 }
 
-func (f *Fleet) bare(service string) bool {
-	for _, name := range f.opts.Bare {
+func (f *Fleet) isInProcess(service string) bool {
+	for _, name := range f.opts.InProcess {
 		if name == service {
 			return true
 		}
@@ -231,7 +231,8 @@
 	return rig.ServiceShape{}
 }
 
-// PeerAddrs returns the addresses that nodes know each other by.
+// PeerAddrs returns the peer addresses of all nodes, which are those of the
+// relays.
 func (f *Fleet) PeerAddrs() []string {
 	var list []string
 	for _, i := range f.Instances {
@@ -240,27 +241,28 @@
 	return list
 }
 
-// Close ends everything that was started. A frozen process is continued, so
-// that it can stop.
+// Close stops all processes. It resumes frozen ones first, because they cannot
+// handle the stop signal.
 func (f *Fleet) Close() error {
 	for _, p := range f.Rig.Running() {
 		if err := p.Signal(syscall.SIGCONT); err != nil {
 			return err
 		}
 	}
-	f.callers.CloseIdleConnections()
-	err := f.Rig.Close(closeLimit)
+	f.client.CloseIdleConnections()
+	err := f.Rig.Close(closeTimeout)
 	f.Network.Close()
 	return err
 }
 
-// LogControl makes the log fail in one of its ways.
+// LogControl sends a fault, such as "outage?for=1s", to the control endpoint of
+// the log.
 func (f *Fleet) LogControl(ctx context.Context, fault string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, f.LogURL+"/control/"+fault, nil)
 	if err != nil {
 		return err
 	}
-	res, err := f.callers.Do(req)
+	res, err := f.client.Do(req)
 	if err != nil {
 		return err
 	}
--- a/internal/prove/half_test.go
+++ b/internal/prove/half_test.go
@@ -12,24 +12,23 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// A caller's connection ends in the middle of the head or of the body, with
-// and without an end of its sending side alone. What did not arrive whole must
-// not run, though the action can be read in what did.
-func TestProveHalfSentRequestsDoNotRun(t *testing.T) {
+// Guards against running a request whose head or body arrives incomplete,
+// whether the caller closes the connection or only its sending side.
+func TestProveIncompleteRequestsDoNotRun(t *testing.T) {
 	is := is.New(t)
-	f := start(t, options())
+	f := startFleet(t, defaultOptions())
 	for n := range 40 {
-		s := Sending{Action: f.NewAction(), Number: 1, Operation: file, Node: f.Instances[n%len(f.Instances)].CallerAddr}
-		is.NoErr(sendHalf(s, n))
-		s.Verdict = verdict.NotRun // what the caller may rely on
-		s.Heard = time.Now()
-		f.Record.Add(s)
+		s := Invocation{Action: f.NewAction(), Number: 1, Operation: fileOp, Node: f.Instances[n%len(f.Instances)].CallerAddr}
+		is.NoErr(sendIncomplete(s, n))
+		s.Verdict = verdict.NotRun // an incomplete request must not run
+		s.Completed = time.Now()
+		f.History.Add(s)
 	}
-	tally, _ := judge(t, f)
+	tally, _ := settleAndCheck(t, f)
 	is.Equal(tally.Executions, 0)
 }
 
-func sendHalf(s Sending, n int) error {
+func sendIncomplete(s Invocation, n int) error {
 	conn, err := net.Dial("tcp", s.Node)
 	if err != nil {
 		return err
@@ -57,19 +56,19 @@
 	return nil
 }
 
-// Callers close their connection while their request is on its way, waits or
-// runs, and most of them send it again under its key.
-func TestProveCallersThatGoAway(t *testing.T) {
+// Guards against repeated runs when callers close their connection at any stage
+// of a request and resend it under its key.
+func TestProveCallersThatDisconnect(t *testing.T) {
 	is := is.New(t)
-	f := start(t, options())
-	rng := random(t)
+	f := startFleet(t, defaultOptions())
+	rng := newRand(t)
 	cfg := DefaultTraffic(rng.Uint64())
-	cfg.MinPatience, cfg.MaxPatience = time.Millisecond, 60*time.Millisecond
+	cfg.MinTimeout, cfg.MaxTimeout = time.Millisecond, 60*time.Millisecond
 	cfg.Callers = 24
 	traffic := f.StartTraffic(t.Context(), cfg)
 	time.Sleep(6 * time.Second)
 	traffic.End()
-	tally, _ := judge(t, f)
+	tally, _ := settleAndCheck(t, f)
 	is.True(tally.ActionsToldRan > 100)
 	is.True(tally.MayHaveRun > 100)
 }
--- a/internal/prove/hello.go
+++ b/internal/prove/hello.go
@@ -10,23 +10,23 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// The parts of a WebSocket frame's head (RFC 6455, section 5.2).
+// The parts of the header of a WebSocket frame (RFC 6455, section 5.2).
 const (
-	lengthMask     = 0x7f
-	twoByteLength  = 126
-	maskBytes      = 4
-	maxHelloLength = 4096
-	maxHead        = 4096
+	lengthMask    = 0x7f
+	twoByteLength = 126
+	maskBytes     = 4
+	maxHelloBytes = 4096
+	maxHeadBytes  = 4096
 )
 
-var errHello = errors.New("the first message is no hello")
+var errHello = errors.New("first message is not a hello")
 
-// passHead passes the head of an HTTP message on and not a byte more.
-func passHead(from io.Reader, to io.Writer) error {
+// forwardHead forwards the header of an HTTP message and reads nothing after it.
+func forwardHead(from io.Reader, to io.Writer) error {
 	var head []byte
 	var next [1]byte
 	for !bytes.HasSuffix(head, []byte("\r\n\r\n")) {
-		if len(head) == maxHead {
+		if len(head) == maxHeadBytes {
 			return errHello
 		}
 		if _, err := io.ReadFull(from, next[:]); err != nil {
@@ -38,10 +38,10 @@
 	return err
 }
 
-// passHello passes the begin of a node's connection on, up to its hello, and
-// returns the peer address that the node names there.
-func passHello(client io.Reader, server io.Writer) (string, error) {
-	if err := passHead(client, server); err != nil {
+// forwardHello forwards the start of a node's connection up to its hello and
+// returns the peer address in the hello.
+func forwardHello(client io.Reader, server io.Writer) (string, error) {
+	if err := forwardHead(client, server); err != nil {
 		return "", err
 	}
 	var read bytes.Buffer
@@ -61,7 +61,7 @@
 	return h.Addr, err
 }
 
-// readFrame reads one short frame of a client, which is always masked.
+// readFrame reads and unmasks one frame of a client, of at most maxHelloBytes.
 func readFrame(r io.Reader) ([]byte, error) {
 	var head [2]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -75,7 +75,7 @@
 		}
 		length = int(binary.BigEndian.Uint16(long[:]))
 	}
-	if length > maxHelloLength {
+	if length > maxHelloBytes {
 		return nil, errHello
 	}
 	var mask [maskBytes]byte
--- a/internal/prove/network.go
+++ b/internal/prove/network.go
@@ -6,104 +6,104 @@
 	"sync"
 )
 
-// LinkState is what the network does with the traffic between two nodes.
+// LinkState says how a link between two nodes treats its traffic.
 type LinkState uint8
 
 const (
-	// Open passes everything on.
+	// Open forwards all traffic.
 	Open LinkState = iota
-	// Cut ends the connections and lets no new one come about.
+	// Cut closes the connections and refuses new ones.
 	Cut
-	// Stalled holds everything back, in order, until the state changes: what
-	// was sent arrives late, when its sender may have given up.
+	// Stalled buffers the traffic until the state changes, then delivers it in
+	// order, possibly after the sender timed out.
 	Stalled
 )
 
-// Network is a relay in front of the peer address of each node. It learns the
-// two ends of a connection from the first message, so that the traffic
-// between two nodes can be stopped and nothing else.
+// Network relays the connections to the peer address of each node. It reads the
+// address of the connecting node from the hello, so that a test can stop the
+// traffic between two given nodes.
 type Network struct {
-	mu      sync.Mutex
-	changed *sync.Cond
-	all     LinkState
-	links   map[link]LinkState
-	conns   map[*relayed]struct{}
-	lns     []net.Listener
-	closed  bool
-	wg      sync.WaitGroup
+	mu           sync.Mutex
+	changed      *sync.Cond
+	defaultState LinkState
+	links        map[link]LinkState
+	conns        map[*relayedConn]struct{}
+	listeners    []net.Listener
+	closed       bool
+	wg           sync.WaitGroup
 }
 
-// link is a pair of peer addresses, in no particular order.
+// link is an unordered pair of peer addresses.
 type link struct{ a, b string }
 
-func between(a, b string) link {
+func linkBetween(a, b string) link {
 	if a > b {
 		a, b = b, a
 	}
 	return link{a, b}
 }
 
-// NewNetwork returns a network that passes everything on.
+// NewNetwork returns a network in which all links are open.
 func NewNetwork() *Network {
-	n := &Network{links: make(map[link]LinkState), conns: make(map[*relayed]struct{})}
+	n := &Network{links: make(map[link]LinkState), conns: make(map[*relayedConn]struct{})}
 	n.changed = sync.NewCond(&n.mu)
 	return n
 }
 
-// Relay passes what comes to the address public on to target.
+// Relay forwards connections at the address public to target.
 func (n *Network) Relay(public, target string) error {
 	ln, err := net.Listen("tcp", public)
 	if err != nil {
 		return err
 	}
 	n.mu.Lock()
-	n.lns = append(n.lns, ln)
+	n.listeners = append(n.listeners, ln)
 	n.mu.Unlock()
 	n.wg.Go(func() { n.accept(ln, public, target) })
 	return nil
 }
 
-// SetAll sets the state between any two nodes.
+// SetAll sets the state of all links.
 func (n *Network) SetAll(s LinkState) {
-	n.set(func() {
-		n.all = s
+	n.update(func() {
+		n.defaultState = s
 		clear(n.links)
 	})
 }
 
-// Set sets the state between the nodes of two peer addresses.
+// Set sets the state of the link between two peer addresses.
 func (n *Network) Set(a, b string, s LinkState) {
-	n.set(func() { n.links[between(a, b)] = s })
+	n.update(func() { n.links[linkBetween(a, b)] = s })
 }
 
-// Isolate sets the state between one node and all others.
+// Isolate sets the state of all links between a and the others.
 func (n *Network) Isolate(a string, others []string, s LinkState) {
-	n.set(func() {
+	n.update(func() {
 		for _, b := range others {
 			if a != b {
-				n.links[between(a, b)] = s
+				n.links[linkBetween(a, b)] = s
 			}
 		}
 	})
 }
 
-func (n *Network) set(change func()) {
+func (n *Network) update(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change()
 	for c := range n.conns {
-		if n.state(c) == Cut {
+		if n.linkState(c) == Cut {
 			c.close()
 		}
 	}
 	n.changed.Broadcast()
 }
 
-// Close ends all connections and waits for the relay's goroutines.
+// Close closes all connections and waits for the goroutines of the relay.
 func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
-	for _, ln := range n.lns {
+	for _, ln := range n.listeners {
 		ln.Close()
 	}
 	for c := range n.conns {
@@ -124,13 +124,13 @@
 	}
 }
 
-// relayed is one connection from a node to another.
-type relayed struct {
-	from, to       string // from is empty until the first message has told it
+// relayedConn is a connection from one node to another.
+type relayedConn struct {
+	from, to       string // from is empty until the hello has been read
 	client, server net.Conn
 }
 
-func (c *relayed) close() {
+func (c *relayedConn) close() {
 	c.client.Close()
 	c.server.Close()
 }
@@ -141,7 +141,7 @@
 	if err != nil {
 		return
 	}
-	c := &relayed{to: public, client: client, server: server}
+	c := &relayedConn{to: public, client: client, server: server}
 	defer c.close()
 	if !n.register(c) {
 		return
@@ -149,21 +149,21 @@
 	defer n.unregister(c)
 	n.wg.Go(func() {
 		defer c.close()
-		// What follows the head waits until both ends are known: a node
-		// that is cut off must not hear the other one's hello.
-		if passHead(server, client) == nil && n.awaitHello(c) {
-			n.pass(c, server, client)
+		// Only the HTTP header is forwarded before both ends are known: a
+		// partitioned node must not receive the hello of its peer.
+		if forwardHead(server, client) == nil && n.awaitHello(c) {
+			n.forward(c, server, client)
 		}
 	})
-	from, err := passHello(client, server)
+	from, err := forwardHello(client, server)
 	if err != nil {
 		return
 	}
-	n.learn(c, from)
-	n.pass(c, client, server)
+	n.setSource(c, from)
+	n.forward(c, client, server)
 }
 
-func (n *Network) register(c *relayed) bool {
+func (n *Network) register(c *relayedConn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -173,53 +173,54 @@
 	return true
 }
 
-func (n *Network) unregister(c *relayed) {
+func (n *Network) unregister(c *relayedConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, c)
 	n.changed.Broadcast()
 }
 
-func (n *Network) learn(c *relayed, from string) {
+func (n *Network) setSource(c *relayedConn, from string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c.from = from
-	if n.state(c) == Cut {
+	if n.linkState(c) == Cut {
 		c.close()
 	}
 	n.changed.Broadcast()
 }
 
-// awaitHello waits until the other end is known; false if it never will be.
-func (n *Network) awaitHello(c *relayed) bool {
+// awaitHello waits until the hello has been read; it returns false if the
+// connection ends first.
+func (n *Network) awaitHello(c *relayedConn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for c.from == "" && !n.closed && n.has(c) {
+	for c.from == "" && !n.closed && n.isRegistered(c) {
 		n.changed.Wait()
 	}
 	return c.from != ""
 }
 
-func (n *Network) has(c *relayed) bool {
+func (n *Network) isRegistered(c *relayedConn) bool {
 	_, ok := n.conns[c]
 	return ok
 }
 
-// state of a connection; the caller holds the lock.
-func (n *Network) state(c *relayed) LinkState {
-	if s, ok := n.links[between(c.from, c.to)]; ok {
+// linkState returns the state of the connection's link. The caller holds n.mu.
+func (n *Network) linkState(c *relayedConn) LinkState {
+	if s, ok := n.links[linkBetween(c.from, c.to)]; ok {
 		return s
 	}
-	return n.all
+	return n.defaultState
 }
 
-const blockBytes = 32 << 10
+const bufferBytes = 32 << 10
 
-func (n *Network) pass(c *relayed, from io.Reader, to io.Writer) {
-	buf := make([]byte, blockBytes)
+func (n *Network) forward(c *relayedConn, from io.Reader, to io.Writer) {
+	buf := make([]byte, bufferBytes)
 	for {
 		count, err := from.Read(buf)
-		if count > 0 && (!n.mayPass(c) || !writeAll(to, buf[:count])) {
+		if count > 0 && (!n.awaitOpen(c) || !writeAll(to, buf[:count])) {
 			return
 		}
 		if err != nil {
@@ -228,14 +229,15 @@
 	}
 }
 
-// mayPass waits while the link is stalled; false ends the connection.
-func (n *Network) mayPass(c *relayed) bool {
+// awaitOpen waits while the link is stalled; it returns false if the connection
+// must end.
+func (n *Network) awaitOpen(c *relayedConn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for !n.closed && n.state(c) == Stalled {
+	for !n.closed && n.linkState(c) == Stalled {
 		n.changed.Wait()
 	}
-	return !n.closed && n.state(c) != Cut
+	return !n.closed && n.linkState(c) != Cut
 }
 
 func writeAll(w io.Writer, b []byte) bool {
--- a/internal/prove/once_test.go
+++ b/internal/prove/once_test.go
@@ -11,16 +11,15 @@
 	"github.com/cassialoom/cassialoom/internal/rig"
 )
 
-// Callers send notices, filings and reads, give up at random and resend as
-// they may. Meanwhile nodes, backend servers and whole instances are killed
-// with requests in flight and started again on the same addresses.
+// Guards against repeated runs when nodes, backend servers and instances are
+// killed with requests in flight and restarted on the same addresses.
 func TestProveAtMostOnceUnderKills(t *testing.T) {
 	is := is.New(t)
-	f := start(t, options())
-	rng := random(t)
+	f := startFleet(t, defaultOptions())
+	rng := newRand(t)
 	traffic := f.StartTraffic(t.Context(), DefaultTraffic(rng.Uint64()))
 	for range 14 {
-		time.Sleep(between2(rng, 300*time.Millisecond, time.Second))
+		time.Sleep(randomDuration(rng, 300*time.Millisecond, time.Second))
 		victim := pick(rng, f.Instances)
 		node, server := rng.IntN(3) != 0, rng.IntN(3) != 0
 		if server {
@@ -29,7 +28,7 @@
 		if node {
 			is.NoErr(victim.Node.Kill())
 		}
-		time.Sleep(between2(rng, 0, 800*time.Millisecond))
+		time.Sleep(randomDuration(rng, 0, 800*time.Millisecond))
 		if node {
 			is.NoErr(f.RestartNode(victim))
 		}
@@ -38,47 +37,45 @@
 		}
 	}
 	traffic.End()
-	tally, _ := judge(t, f)
-	is.True(tally.ActionsToldRan > 200) // the fleet went on working
-	is.True(tally.MayHaveRun > 0)       // the kills were felt
+	tally, _ := settleAndCheck(t, f)
+	is.True(tally.ActionsToldRan > 200) // most requests still succeed
+	is.True(tally.MayHaveRun > 0)       // the kills interrupted requests
 }
 
-// Nodes are frozen with requests in flight and go on after a while, some only
-// when all others hold them for dead. A frozen node wakes up with requests in
-// its sockets that their callers have sent again elsewhere meanwhile.
+// Guards against repeated runs when a frozen node resumes with buffered requests
+// that their callers have resent through other nodes.
 func TestProveAtMostOnceUnderFreezes(t *testing.T) {
 	is := is.New(t)
-	f := start(t, options())
-	rng := random(t)
+	f := startFleet(t, defaultOptions())
+	rng := newRand(t)
 	traffic := f.StartTraffic(t.Context(), DefaultTraffic(rng.Uint64()))
 	for range 6 {
-		time.Sleep(between2(rng, 200*time.Millisecond, 600*time.Millisecond))
+		time.Sleep(randomDuration(rng, 200*time.Millisecond, 600*time.Millisecond))
 		victim := pick(rng, f.Instances)
 		frozen := victim.Node
 		if rng.IntN(3) == 0 {
 			frozen = victim.Backend
 		}
 		is.NoErr(frozen.Signal(syscall.SIGSTOP))
-		time.Sleep(between2(rng, 300*time.Millisecond, 5*time.Second))
+		time.Sleep(randomDuration(rng, 300*time.Millisecond, 5*time.Second))
 		is.NoErr(frozen.Signal(syscall.SIGCONT))
 	}
 	traffic.End()
-	tally, _ := judge(t, f)
+	tally, _ := settleAndCheck(t, f)
 	is.True(tally.ActionsToldRan > 100)
 	is.True(tally.MayHaveRun > 0)
 }
 
-// Connections between nodes are cut with messages in flight, and links stall
-// so that messages arrive late, when their senders have given up and callers
-// have resent through other nodes.
+// Guards against repeated runs when connections break with messages in flight,
+// or messages arrive after callers have resent through other nodes.
 func TestProveAtMostOnceUnderCuts(t *testing.T) {
 	is := is.New(t)
-	f := start(t, options())
-	rng := random(t)
+	f := startFleet(t, defaultOptions())
+	rng := newRand(t)
 	traffic := f.StartTraffic(t.Context(), DefaultTraffic(rng.Uint64()))
 	peers := f.PeerAddrs()
 	for range 16 {
-		time.Sleep(between2(rng, 100*time.Millisecond, 500*time.Millisecond))
+		time.Sleep(randomDuration(rng, 100*time.Millisecond, 500*time.Millisecond))
 		state := pick(rng, []LinkState{Cut, Stalled})
 		switch rng.IntN(3) {
 		case 0:
@@ -88,49 +85,49 @@
 		default:
 			f.Network.Set(pick(rng, peers), pick(rng, peers), state)
 		}
-		time.Sleep(between2(rng, 50*time.Millisecond, 1500*time.Millisecond))
+		time.Sleep(randomDuration(rng, 50*time.Millisecond, 1500*time.Millisecond))
 		f.Network.SetAll(Open)
 	}
 	traffic.End()
-	tally, _ := judge(t, f)
+	tally, _ := settleAndCheck(t, f)
 	is.True(tally.ActionsToldRan > 100)
 	is.True(tally.MayHaveRun > 0)
 }
 
-// slowFiling is a fleet in which a filing takes long enough for a test to do
-// something meanwhile.
-func slowFiling() Options {
-	opts := options()
+// slowFilingOptions returns options in which a filing takes long enough for
+// faults during its run.
+func slowFilingOptions() Options {
+	opts := defaultOptions()
 	opts.Shape.Services[1].Times = []string{"file=700ms,constant"}
 	return opts
 }
 
-// keyOf returns a key of the kind, for one action.
-func keyOf(t *testing.T, f *Fleet, kind KeyKind, action string) string {
+// newKey returns a key of the kind for the action.
+func newKey(t *testing.T, f *Fleet, kind KeyKind, action string) string {
 	t.Helper()
-	if kind == OwnKey {
+	if kind == CallerKey {
 		return "own-" + action
 	}
-	key, err := f.Mint(t.Context(), f.Instances[0].CallerAddr, file)
+	key, err := f.Mint(t.Context(), f.Instances[0].CallerAddr, fileOp)
 	is.New(t).NoErr(err)
 	return key
 }
 
-// sendLater sends in the background.
-func sendLater(f *Fleet, ctx context.Context, s Sending) <-chan Sending {
-	told := make(chan Sending, 1)
-	go func() { told <- f.Send(ctx, s) }()
-	return told
+// sendAsync sends in a new goroutine.
+func sendAsync(f *Fleet, ctx context.Context, s Invocation) <-chan Invocation {
+	result := make(chan Invocation, 1)
+	go func() { result <- f.Send(ctx, s) }()
+	return result
 }
 
-// awaitRun returns the instance where an action runs.
+// awaitRun waits until a filing of the action runs and returns its instance.
 func awaitRun(t *testing.T, f *Fleet, action string) *rig.Instance {
 	t.Helper()
 	is := is.New(t)
 	for range 100 {
 		runs, err := f.Runs()
 		is.NoErr(err)
-		for _, r := range runsOf(runs, file, action) {
+		for _, r := range runsFor(runs, fileOp, action) {
 			for _, i := range f.Instances {
 				if i.Name == r.Instance {
 					return i
--- a/internal/prove/oracle.go
+++ b/internal/prove/oracle.go
@@ -10,72 +10,71 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// Judge is the oracle. Callers send a non-idempotent request again only under
-// its key, or after nothing but "not run". Then three things must hold,
-// whatever failed meanwhile:
+// CheckHistory is the oracle. Callers resend a non-idempotent request only under
+// its key, or if every verdict so far was "not run". Whatever failed, the
+// following must hold:
 //
-//  1. What was told "not run" ran nowhere: no journal has its request id.
-//  2. What was told "ran" is in a journal of its operation.
-//  3. A non-idempotent operation ran for one action no more often than one
-//     request of it is declared to run it, over all sendings.
-//
-// and every complete answer is the one to its own request.
-func Judge(g *graph.Graph, sendings []Sending, runs []Run) error {
+//  1. After the verdict "not run" no journal has the request ID.
+//  2. After the verdict "ran" a journal of the operation has the action.
+//  3. A non-idempotent operation runs for one action, over all invocations, no
+//     more often than the graph declares for one request.
+//  4. Every complete answer belongs to its request.
+func CheckHistory(g *graph.Graph, invocations []Invocation, runs []Run) error {
 	return errors.Join(
-		judgeNotRun(sendings, runs),
-		judgeRan(sendings, runs),
-		judgeTwice(g, sendings, runs),
-		judgeAnswers(sendings),
+		checkNotRun(invocations, runs),
+		checkRan(invocations, runs),
+		checkAtMostOnce(g, invocations, runs),
+		checkAnswers(invocations),
 	)
 }
 
-func judgeNotRun(sendings []Sending, runs []Run) error {
+func checkNotRun(invocations []Invocation, runs []Run) error {
 	ran := make(map[string]Run)
 	for _, r := range runs {
 		ran[r.RequestID] = r
 	}
 	var errs []error
-	for _, s := range sendings {
+	for _, s := range invocations {
 		if r, found := ran[s.RequestID()]; found && s.Verdict == verdict.NotRun {
-			errs = append(errs, fmt.Errorf("%s was told not run (%s: %s) but ran as %s at %s, %v after the caller heard",
-				s.RequestID(), s.Reason, s.Detail, r.Operation, r.Instance, r.Start.Sub(s.Heard)))
+			errs = append(errs, fmt.Errorf("%s: told not run (%s: %s), but %s ran at %s, %v after the answer",
+				s.RequestID(), s.Reason, s.Detail, r.Operation, r.Instance, r.Start.Sub(s.Completed)))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// did names what a non-idempotent operation may do once.
-type did struct {
+// operationOfAction identifies the runs of one operation for one action.
+type operationOfAction struct {
 	operation graph.Ref
 	action    string
 }
 
-func count(runs []Run) map[did]int {
-	counts := make(map[did]int)
+func countRuns(runs []Run) map[operationOfAction]int {
+	counts := make(map[operationOfAction]int)
 	for _, r := range runs {
-		counts[did{r.Operation, r.Action}]++
+		counts[operationOfAction{r.Operation, r.Action}]++
 	}
 	return counts
 }
 
-func judgeRan(sendings []Sending, runs []Run) error {
-	counts := count(runs)
+func checkRan(invocations []Invocation, runs []Run) error {
+	counts := countRuns(runs)
 	var errs []error
-	for _, s := range sendings {
-		if s.Verdict == verdict.Ran && counts[did{s.Operation, s.Action}] == 0 {
-			errs = append(errs, fmt.Errorf("%s was told ran (%s) but ran nowhere", s.RequestID(), s.Reason))
+	for _, s := range invocations {
+		if s.Verdict == verdict.Ran && counts[operationOfAction{s.Operation, s.Action}] == 0 {
+			errs = append(errs, fmt.Errorf("%s: told ran (%s), but ran nowhere", s.RequestID(), s.Reason))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-func judgeTwice(g *graph.Graph, sendings []Sending, runs []Run) error {
+func checkAtMostOnce(g *graph.Graph, invocations []Invocation, runs []Run) error {
 	entered := make(map[string]graph.Ref)
-	for _, s := range sendings {
+	for _, s := range invocations {
 		entered[s.Action] = s.Operation
 	}
 	var errs []error
-	for d, n := range count(runs) {
+	for d, n := range countRuns(runs) {
 		op, ok := g.Operation(d.operation.Service, d.operation.Operation)
 		if !ok || op.Idempotent {
 			continue
@@ -87,7 +86,7 @@
 	return errors.Join(errs...)
 }
 
-// declaredRuns counts the runs of one operation in the tree of a request.
+// declaredRuns counts the runs of one operation in the call tree of a request.
 func declaredRuns(g *graph.Graph, entry, of graph.Ref) int {
 	op, ok := g.Operation(entry.Service, entry.Operation)
 	if !ok {
@@ -103,42 +102,42 @@
 	return n
 }
 
-func judgeAnswers(sendings []Sending) error {
+func checkAnswers(invocations []Invocation) error {
 	var errs []error
-	for _, s := range sendings {
-		if s.Fault != nil {
-			errs = append(errs, fmt.Errorf("%s at %s: %w", s.RequestID(), s.Node, s.Fault))
+	for _, s := range invocations {
+		if s.AnswerError != nil {
+			errs = append(errs, fmt.Errorf("%s at %s: %w", s.RequestID(), s.Node, s.AnswerError))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// Tally sums up a run for people, so that a test that proved nothing, because
-// nothing ran or nothing failed, is seen.
+// Tally counts the results of a test for its log. Tests compare the counts with
+// lower bounds, because a test in which nothing ran or failed shows nothing.
 type Tally struct {
-	Sendings, Actions, Resends   int
-	ActionsToldRan, ActionsDoubt int
-	Ran, NotRun, MayHaveRun      int
-	Executions                   int
-	Reasons                      map[verdict.Reason]int
-	// Hidden are the sendings under a key that were told "not run", which is
-	// true of each of them, after the key's request had begun to run for an
-	// earlier one; by the kind of key and the reason. A caller that forgot its
-	// earlier sendings would be misled.
-	Hidden map[string]int
+	Invocations, Actions, Resends     int
+	ActionsToldRan, ActionsMayHaveRun int
+	Ran, NotRun, MayHaveRun           int
+	Executions                        int
+	Reasons                           map[verdict.Reason]int
+	// NotRunAfterStart counts the invocations under a key with the verdict "not
+	// run" that were sent after an earlier invocation under that key had begun
+	// to run, by kind of key and reason. The verdict is true of the invocation
+	// alone, so that callers must remember the earlier ones.
+	NotRunAfterStart map[string]int
 }
 
-// Count makes the tally.
-func Count(sendings []Sending, runs []Run) Tally {
+// NewTally counts the results of the invocations and runs.
+func NewTally(invocations []Invocation, runs []Run) Tally {
 	t := Tally{
-		Sendings:   len(sendings),
-		Executions: len(runs),
-		Reasons:    make(map[verdict.Reason]int),
-		Hidden:     make(map[string]int),
+		Invocations:      len(invocations),
+		Executions:       len(runs),
+		Reasons:          make(map[verdict.Reason]int),
+		NotRunAfterStart: make(map[string]int),
 	}
-	first := firstRuns(sendings, runs)
+	first := firstRuns(invocations, runs)
 	best := make(map[string]verdict.Verdict)
-	for _, s := range sendings {
+	for _, s := range invocations {
 		t.add(s, first)
 		best[s.Action] = max(best[s.Action], s.Verdict)
 	}
@@ -148,16 +147,16 @@
 		case verdict.Ran:
 			t.ActionsToldRan++
 		case verdict.MayHaveRun:
-			t.ActionsDoubt++
+			t.ActionsMayHaveRun++
 		}
 	}
 	return t
 }
 
-// firstRuns returns when each key's request began to run.
-func firstRuns(sendings []Sending, runs []Run) map[string]time.Time {
+// firstRuns returns the start of the first run under each key.
+func firstRuns(invocations []Invocation, runs []Run) map[string]time.Time {
 	keys := make(map[string]string)
-	for _, s := range sendings {
+	for _, s := range invocations {
 		keys[s.RequestID()] = s.Key
 	}
 	first := make(map[string]time.Time)
@@ -171,7 +170,7 @@
 	return first
 }
 
-func kindOf(key string) string {
+func keyKindName(key string) string {
 	info, err := once.ParseKey(key)
 	switch {
 	case err != nil:
@@ -183,7 +182,7 @@
 	}
 }
 
-func (t *Tally) add(s Sending, first map[string]time.Time) {
+func (t *Tally) add(s Invocation, first map[string]time.Time) {
 	if s.Number > 1 {
 		t.Resends++
 	}
@@ -196,7 +195,7 @@
 	case verdict.NotRun:
 		t.NotRun++
 		if at, ok := first[s.Key]; ok && at.Before(s.Sent) {
-			t.Hidden[kindOf(s.Key)+" "+string(s.Reason)]++
+			t.NotRunAfterStart[keyKindName(s.Key)+" "+string(s.Reason)]++
 		}
 	default:
 		t.MayHaveRun++
--- a/internal/prove/poison_test.go
+++ b/internal/prove/poison_test.go
@@ -16,11 +16,11 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// crashLimit is the aim: so many backend servers of the whole service.
-const crashLimit = 2
+// maxCrashes is the permitted number of crashes in the whole service.
+const maxCrashes = 2
 
-// supervisor starts crashed backend servers of a service again, as the
-// platform does, and counts them.
+// supervisor restarts crashed backend servers of a service, as the platform
+// does, and counts the crashes.
 type supervisor struct {
 	stop context.CancelFunc
 	done sync.WaitGroup
@@ -29,7 +29,7 @@
 	crashes int
 }
 
-const restartAfter = 400 * time.Millisecond
+const restartDelay = 400 * time.Millisecond
 
 func supervise(t *testing.T, f *Fleet, service string) *supervisor {
 	ctx, stop := context.WithCancel(t.Context())
@@ -50,7 +50,7 @@
 		s.mu.Lock()
 		s.crashes++
 		s.mu.Unlock()
-		if !pause.For(ctx, restartAfter) {
+		if !pause.For(ctx, restartDelay) {
 			return
 		}
 		if err := f.RestartBackend(i); err != nil {
@@ -60,7 +60,7 @@
 	}
 }
 
-// end returns the number of crashes.
+// end stops the supervisor and returns the number of crashes.
 func (s *supervisor) end() int {
 	s.stop()
 	s.done.Wait()
@@ -69,20 +69,17 @@
 	return s.crashes
 }
 
-// One request crashes each backend server that runs it. Its caller sends it
-// again and again through every node, while other requests are in flight at
-// the same backend servers. It takes few backend servers with it before it is
-// refused everywhere, also when it comes by way of another service, and the
-// others are served on.
+// Guards against a request that crashes one backend server after the other when
+// it is resent through every node, directly or through another service.
 func TestProvePoisonRequest(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		entry   graph.Ref
-		crashes string // the service that it crashes
+		crashes string // the service whose backend servers crash
 	}{
-		{"a read", latest, "stationlog"},
-		{"a read by way of another service", notices, "stationlog"},
-		{"a filing without a key", file, "fieldlog"},
+		{"a read", latestOp, "stationlog"},
+		{"a read by way of another service", noticesOp, "stationlog"},
+		{"a filing without a key", fileOp, "fieldlog"},
 	} {
 		t.Run(c.name, func(t *testing.T) { poisonRequest(t, c.entry, c.crashes) })
 	}
@@ -90,78 +87,78 @@
 
 func poisonRequest(t *testing.T, entry graph.Ref, service string) {
 	is := is.New(t)
-	opts := options()
+	opts := defaultOptions()
 	opts.Shape.Services[2].Targets = 4 // stationlog
 	opts.Shape.Services[2].Time = 30 * time.Millisecond
-	f := start(t, opts)
-	rng := random(t)
-	cfg := patientTraffic(rng.Uint64())
-	cfg.Operations = []graph.Ref{latest, notices, file}
+	f := startFleet(t, opts)
+	rng := newRand(t)
+	cfg := longTimeoutTraffic(rng.Uint64())
+	cfg.Operations = []graph.Ref{latestOp, noticesOp, fileOp}
 	traffic := f.StartTraffic(t.Context(), cfg)
 	time.Sleep(time.Second)
 	guard := supervise(t, f, service)
 	began := time.Now()
-	poison := Sending{Action: "poison", Operation: entry}
+	poison := Invocation{Action: "poison", Operation: entry}
 	refused := 0
 	for range 3 {
 		for _, i := range f.Instances {
 			poison.Number++
 			poison.Node = i.CallerAddr
-			told := f.SendBody(t.Context(), poison, []byte("action:poison crash:"+service))
-			if told.Reason == verdict.Poison || bytes.Contains(told.Body, []byte(verdict.Poison)) {
-				refused++ // by the node that was asked, or one further down
+			result := f.SendBody(t.Context(), poison, []byte("action:poison crash:"+service))
+			if result.Reason == verdict.Poison || bytes.Contains(result.Body, []byte(verdict.Poison)) {
+				refused++ // by the receiving node or by one further down
 			}
 			time.Sleep(150 * time.Millisecond)
 		}
 	}
-	toldApart := time.Now()
+	quarantinedAt := time.Now()
 	time.Sleep(3 * time.Second)
 	traffic.End()
 	crashes := guard.end()
-	meanwhile, later := innocents(f, began, toldApart)
-	t.Logf("%d sendings of it: %d backend servers crashed, refused as poison %d times; innocents not served while it was sent: %v, afterwards: %v",
+	meanwhile, later := otherFailures(f, began, quarantinedAt)
+	t.Logf("%d invocations: %d backend servers crashed, refused as poison %d times; failures of other requests meanwhile: %v, afterwards: %v",
 		poison.Number, crashes, refused, meanwhile, later)
 	is.True(crashes >= 1)
-	is.True(crashes <= crashLimit)
+	is.True(crashes <= maxCrashes)
 	is.True(refused > poison.Number/2)
 	is.Equal(len(later), 0)
-	judgePoison(t, f)
+	checkPoisonHistory(t, f)
 }
 
-// innocents counts other callers' requests that did not run to their end, by
-// what they were told.
-func innocents(f *Fleet, began, toldApart time.Time) (meanwhile, later map[string]int) {
+// otherFailures counts the failed requests of other callers, before and after
+// quarantinedAt, by verdict, reason and status.
+func otherFailures(f *Fleet, began, quarantinedAt time.Time) (meanwhile, later map[string]int) {
 	meanwhile, later = make(map[string]int), make(map[string]int)
-	for _, s := range f.Record.All() {
+	for _, s := range f.History.All() {
 		if s.Action == "poison" || s.Sent.Before(began) || s.Verdict == verdict.Ran && s.Status == 200 {
 			continue
 		}
-		told := fmt.Sprintf("%v %s %d", s.Verdict, s.Reason, s.Status)
-		if s.Sent.After(toldApart) {
-			later[told]++
+		result := fmt.Sprintf("%v %s %d", s.Verdict, s.Reason, s.Status)
+		if s.Sent.After(quarantinedAt) {
+			later[result]++
 		} else {
-			meanwhile[told]++
+			meanwhile[result]++
 		}
 	}
 	return meanwhile, later
 }
 
-// judgePoison asks the oracle about all but the poison request, of which each
-// sending is one of its own: its caller sends it again after any answer.
-func judgePoison(t *testing.T, f *Fleet) {
+// checkPoisonHistory checks all but the resend rules of the poison request: its
+// caller resends it after any answer.
+func checkPoisonHistory(t *testing.T, f *Fleet) {
 	t.Helper()
 	is := is.New(t)
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	runs, err := f.Runs()
 	is.NoErr(err)
-	sendings := f.Record.All()
+	invocations := f.History.All()
 	var others []Run
 	for _, r := range runs {
 		if r.Action != "poison" {
 			others = append(others, r)
 		}
 	}
-	is.NoErr(judgeNotRun(sendings, runs))
-	is.NoErr(judgeTwice(f.Graph, sendings, others))
-	is.NoErr(judgeAnswers(sendings))
+	is.NoErr(checkNotRun(invocations, runs))
+	is.NoErr(checkAtMostOnce(f.Graph, invocations, others))
+	is.NoErr(checkAnswers(invocations))
 }
--- a/internal/prove/programs.go
+++ b/internal/prove/programs.go
@@ -10,11 +10,12 @@
 	"github.com/cassialoom/cassialoom/internal/rig"
 )
 
-// module is the path of this module: commands are built by import path, so
-// that the folder of the test does not matter.
+// module is the path of this module: commands are built by import path,
+// whatever the working directory of the test.
 const module = "github.com/cassialoom/cassialoom"
 
-// Build builds the programs into the folder.
+// Build builds the node, backend server, log and operators' programs into the
+// folder.
 func Build(ctx context.Context, folder string) error {
 	args := []string{"build", "-o", folder + string(filepath.Separator)}
 	for _, name := range []string{rig.NodeProgram, rig.BackendProgram, rig.LogProgram, rig.OperatorsProgram} {
--- a/internal/prove/publish.go
+++ b/internal/prove/publish.go
@@ -14,36 +14,37 @@
 	"github.com/cassialoom/cassialoom/operator"
 )
 
-// Published is what the operators' command said.
-type Published struct {
-	// Accepted is false if the publication lost, or if nobody knows.
+// PublishResult is the outcome of the operators' publish command.
+type PublishResult struct {
+	// Accepted is false if the publication was refused or its outcome is
+	// unknown.
 	Accepted bool
 	Version  uint64
-	// Status is the command's exit status.
+	// Status is the exit status of the command.
 	Status int
-	// ID of the publication, empty if the command did not get so far.
+	// ID is the publication ID; empty if the command failed before it was chosen.
 	ID     string
 	Output string
 }
 
-// Refused reports whether the command said that the publication changed
-// nothing.
-func (p Published) Refused() bool { return p.Status == operator.ExitRefused }
+// Refused reports whether the publication was refused and changed nothing.
+func (p PublishResult) Refused() bool { return p.Status == operator.ExitRefused }
 
 var (
 	acceptedLine    = regexp.MustCompile(`accepted at version (\d+)`)
 	publicationLine = regexp.MustCompile(`(?m)^publication (\S+) by`)
 )
 
-// PublishText runs the operators' command for a text.
-func (f *Fleet) PublishText(ctx context.Context, name, text string, args ...string) (Published, error) {
+// PublishText runs the publish command of the operators' program for a graph
+// text. A non-zero exit status is not an error.
+func (f *Fleet) PublishText(ctx context.Context, name, text string, args ...string) (PublishResult, error) {
 	path := filepath.Join(f.Rig.Dir(), name+".hcl")
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-		return Published{}, err
+		return PublishResult{}, err
 	}
 	all := append([]string{"publish", "--log-url", f.LogURL, "--operator", name}, args...)
 	out, err := f.Rig.Output(ctx, rig.OperatorsProgram, append(all, path)...)
-	p := Published{Output: out}
+	p := PublishResult{Output: out}
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
 		p.Status = exit.ExitCode()
--- a/internal/prove/record.go
+++ b/internal/prove/record.go
@@ -14,68 +14,68 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// Sending is one time that a caller sent a request, and what it was told.
-// Every sending has a request id of its own, under which a backend server's
-// journal shows what ran for it.
-type Sending struct {
+// Invocation is one transmission of a request by a caller, with its result. Each
+// has its own request ID, under which the journals of backend servers list the
+// runs.
+type Invocation struct {
 	Action    string
-	Number    int // of this action's sendings, from 1
+	Number    int // of the invocation within its action, from 1
 	Operation graph.Ref
 	Key       string
-	Node      string // callers' address
+	Node      string // the caller address of the node
 	Sent      time.Time
-	Heard     time.Time
+	Completed time.Time
 
 	Verdict    verdict.Verdict
 	Reason     verdict.Reason
 	Detail     string
 	RetryAfter time.Duration
 	Status     int
-	// Answered is false if the connection ended before a whole answer.
+	// Answered is false if the connection ended before a complete answer.
 	Answered bool
 	Body     []byte
-	// Fault says what is wrong with a complete answer of the backend server.
-	Fault error
+	// AnswerError is the error in a complete answer of the backend server.
+	AnswerError error
 }
 
-// idSeparator stands between an action and the number of a sending.
+// idSeparator separates the action from the number in a request ID.
 const idSeparator = ":"
 
-// RequestID is the id that this sending carries.
-func (s Sending) RequestID() string { return fmt.Sprint(s.Action, idSeparator, s.Number) }
+// RequestID returns the request ID of the invocation.
+func (s Invocation) RequestID() string { return fmt.Sprint(s.Action, idSeparator, s.Number) }
 
-// actionOf returns the action of a request id.
+// actionOf returns the action in a request ID.
 func actionOf(requestID string) string {
 	action, _, _ := strings.Cut(requestID, idSeparator)
 	return action
 }
 
-// Record is what all callers were told. It is safe for concurrent use.
-type Record struct {
-	mu   sync.Mutex
-	list []Sending
+// History is the list of all invocations. It is safe for concurrent use.
+type History struct {
+	mu          sync.Mutex
+	invocations []Invocation
 }
 
-// Add adds one sending.
-func (r *Record) Add(s Sending) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.list = append(r.list, s)
+// Add adds a completed invocation.
+func (h *History) Add(s Invocation) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.invocations = append(h.invocations, s)
 }
 
-// All returns the sendings so far, in the order in which they ended.
-func (r *Record) All() []Sending {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]Sending(nil), r.list...)
+// All returns a copy of the invocations so far, in order of completion.
+func (h *History) All() []Invocation {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return append([]Invocation(nil), h.invocations...)
 }
 
-// counter numbers actions.
-type counter struct{ n atomic.Int64 }
+// actionCounter returns the numbers of new actions.
+type actionCounter struct{ n atomic.Int64 }
 
-func (c *counter) next() int64 { return c.n.Add(1) }
+func (c *actionCounter) next() int64 { return c.n.Add(1) }
 
-// Run is one execution at a backend server.
+// Run is one execution of a request at a backend server.
 type Run struct {
 	Operation graph.Ref
 	Instance  string
@@ -84,13 +84,13 @@
 	Start     time.Time
 }
 
-// Runs reads the journals of all backend servers, those that are gone too.
+// Runs reads the journals of all backend servers, including stopped ones.
 func (f *Fleet) Runs() ([]Run, error) {
 	var runs []Run
 	for _, i := range f.Instances {
 		list, err := backend.ReadJournal(i.Journal)
 		if errors.Is(err, os.ErrNotExist) {
-			continue // the test plays this backend server itself
+			continue // a backend server in the test process keeps no journal
 		}
 		if err != nil {
 			return nil, err
--- a/internal/prove/retries_test.go
+++ b/internal/prove/retries_test.go
@@ -18,16 +18,16 @@
 
 const (
 	chainLength = 6
-	// chainExtra is the allowance of each request; the operations below
-	// declare one too, which must not add to it.
-	chainExtra = 3
+	// chainExtraAttempts is the declared number of extra attempts of each
+	// operation. Those of the operations below must not multiply it.
+	chainExtraAttempts = 3
 )
 
-// chainOptions is a chain of services, each with one instance but the last,
-// which has two and is played by the test.
+// chainOptions returns a chain of services with one instance each. The last has
+// two, whose backend servers run in the test process.
 func chainOptions() Options {
 	var b strings.Builder
-	shape := options().Shape
+	shape := defaultOptions().Shape
 	shape.Services = nil
 	for n := 1; n <= chainLength; n++ {
 		next := ""
@@ -35,16 +35,16 @@
 			next = fmt.Sprintf("calls = [\"s%d.op\"]", n+1)
 		}
 		fmt.Fprintf(&b, "service \"s%d\" {\n operation \"op\" {\n idempotent = true\n importance = \"high\"\n deadline = \"3s\"\n extra_attempts = %d\n %s\n }\n}\n",
-			n, chainExtra, next)
+			n, chainExtraAttempts, next)
 		shape.Services = append(shape.Services, rig.ServiceShape{Name: fmt.Sprintf("s%d", n), Targets: 1, Slots: 50, Queue: 50, Time: time.Millisecond})
 	}
 	last := fmt.Sprintf("s%d", chainLength)
 	shape.Services[chainLength-1].Targets = 2
-	return Options{Graph: b.String(), Shape: shape, Bare: []string{last}}
+	return Options{Graph: b.String(), Shape: shape, InProcess: []string{last}}
 }
 
-// cutOff ends the connection without an answer.
-func cutOff(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection without an answer.
+func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func refuse(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(headers.Verdict, verdict.NotRun.String())
@@ -55,7 +55,7 @@
 	http.Error(w, "broken", http.StatusInternalServerError)
 }
 
-func answerHalf(w http.ResponseWriter, _ *http.Request) {
+func answerPartially(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Length", "100")
 	w.Write([]byte("half"))
 	panic(http.ErrAbortHandler)
@@ -63,43 +63,40 @@
 
 func hang(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// All backend servers of the deepest service refuse, fail, cut connections,
-// answer half, hang or are gone. Every node on the way could try again; over
-// the whole chain no service may see one request more often than once and its
-// allowance, so that all attempts together are at most the calls and the
-// allowance.
+// Guards against retries that multiply along a chain of calls when the deepest
+// service fails: each service sees a request at most 1+chainExtraAttempts times.
 func TestProveRetriesOverTheWholeChain(t *testing.T) {
-	f := start(t, chainOptions())
+	f := startFleet(t, chainOptions())
 	last := f.Of(fmt.Sprintf("s%d", chainLength))
 	for _, c := range []struct {
 		name string
 		h    http.HandlerFunc
 	}{
-		{"refuse", refuse}, {"fail", fail}, {"cut off", cutOff}, {"answer half", answerHalf}, {"hang", hang}, {"gone", cutOff},
+		{"refuse", refuse}, {"fail", fail}, {"cut off", abortConnection}, {"answer half", answerPartially}, {"hang", hang}, {"gone", abortConnection},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			var played []*Bare
+			var played []*InProcessBackend
 			for _, i := range last {
-				b, err := f.Play(i, c.h)
+				b, err := f.StartBackend(i, c.h)
 				is.NoErr(err)
-				defer b.Die()
+				defer b.Kill()
 				played = append(played, b)
 			}
-			time.Sleep(3 * announceEvery)
+			time.Sleep(3 * announceInterval)
 			if c.name == "gone" {
-				played[0].Die()
-				played[1].Die()
+				played[0].Kill()
+				played[1].Kill()
 			}
 			ids := sendAll(t, f, 60)
-			time.Sleep(settle)
-			is.NoErr(judgeChain(t, f, ids, played))
+			time.Sleep(settleTime)
+			is.NoErr(checkAttempts(t, f, ids, played))
 		})
 	}
 }
 
-// sendAll sends so many requests into the chain, a few at a time, and returns
-// their ids.
+// sendAll sends count requests from 6 concurrent callers and returns their
+// request IDs.
 func sendAll(t *testing.T, f *Fleet, count int) map[string]bool {
 	ids := make(map[string]bool)
 	var mu sync.Mutex
@@ -108,7 +105,7 @@
 	for k := range 6 {
 		all.Go(func() {
 			for n := range count / 6 {
-				s := Sending{Action: f.NewAction(), Number: 1, Operation: graph.Ref{Service: "s1", Operation: "op"}}
+				s := Invocation{Action: f.NewAction(), Number: 1, Operation: graph.Ref{Service: "s1", Operation: "op"}}
 				s.Node = nodes[(k+n)%len(nodes)]
 				f.Send(t.Context(), s)
 				mu.Lock()
@@ -121,12 +118,12 @@
 	return ids
 }
 
-func judgeChain(t *testing.T, f *Fleet, ids map[string]bool, played []*Bare) error {
+func checkAttempts(t *testing.T, f *Fleet, ids map[string]bool, played []*InProcessBackend) error {
 	runs, err := f.Runs()
 	if err != nil {
 		return err
 	}
-	attempts := make(map[string]map[string]int) // by service and request id
+	attempts := make(map[string]map[string]int) // by service and request ID
 	note := func(service, id string, n int) {
 		if attempts[service] == nil {
 			attempts[service] = make(map[string]int)
@@ -148,14 +145,14 @@
 		for id, n := range counts {
 			total += n
 			most = max(most, n)
-			if n > 1+chainExtra {
-				err = fmt.Errorf("%s saw request %s %d times, at most %d are allowed", service, id, n, 1+chainExtra)
+			if n > 1+chainExtraAttempts {
+				err = fmt.Errorf("%s received request %s %d times, want at most %d", service, id, n, 1+chainExtraAttempts)
 			}
 		}
 	}
 	t.Logf("%d requests of %d calls: %d attempts, at most %d of one request at one service", len(ids), chainLength, total, most)
-	if bound := len(ids) * chainLength * (1 + chainExtra); total > bound {
-		return fmt.Errorf("%d attempts, at most %d are allowed", total, bound)
+	if bound := len(ids) * chainLength * (1 + chainExtraAttempts); total > bound {
+		return fmt.Errorf("%d attempts, want at most %d", total, bound)
 	}
 	return err
 }
--- a/internal/prove/send.go
+++ b/internal/prove/send.go
@@ -18,64 +18,63 @@
 )
 
 const (
-	callerConns = 256
-	// keyField is the field of the key in a form that only net/http tells
-	// apart: the canonical one makes its transport send a request a second
-	// time by itself.
-	keyField = "idempotency-key"
-	maxBody  = 8 << 20
+	maxIdleConns = 256
+	// keyHeader is not in canonical form on purpose: for the canonical
+	// Idempotency-Key, net/http's transport retries requests by itself.
+	keyHeader    = "idempotency-key"
+	maxBodyBytes = 8 << 20
 )
 
-// NewAction returns the id of an action that no other sending has.
+// NewAction returns a new unique action.
 func (f *Fleet) NewAction() string { return fmt.Sprintf("a%d", f.actions.next()) }
 
 func bodyOf(action string) []byte { return []byte("action:" + action) }
 
-// Send sends once, by plain HTTP, and records what the caller was told. It
-// gives up when ctx ends, as a caller does that closes its connection.
-func (f *Fleet) Send(ctx context.Context, s Sending) Sending {
+// Send sends the request once and records the result. It closes the connection
+// when ctx ends, like a caller that gives up.
+func (f *Fleet) Send(ctx context.Context, s Invocation) Invocation {
 	return f.SendBody(ctx, s, bodyOf(s.Action))
 }
 
-// SendBody is Send with a body, which has to name the action.
-func (f *Fleet) SendBody(ctx context.Context, s Sending, body []byte) Sending {
+// SendBody is Send with a body, which must contain the action.
+func (f *Fleet) SendBody(ctx context.Context, s Invocation, body []byte) Invocation {
 	s.Sent = time.Now()
-	s.Verdict = verdict.MayHaveRun // the promise of no answer at all
+	s.Verdict = verdict.MayHaveRun // holds if there is no answer
 	f.exchange(ctx, &s, body)
-	s.Heard = time.Now()
-	f.Record.Add(s)
+	s.Completed = time.Now()
+	f.History.Add(s)
 	return s
 }
 
-func (f *Fleet) exchange(ctx context.Context, s *Sending, body []byte) {
+func (f *Fleet) exchange(ctx context.Context, s *Invocation, body []byte) {
 	url := "http://" + s.Node + "/call/" + s.Operation.Service + "/" + s.Operation.Operation
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		s.Detail = err.Error()
 		return
 	}
-	req.GetBody = nil // never sent a second time by net/http
+	req.GetBody = nil // keeps net/http from retrying the request by itself
 	req.Header.Set(headers.RequestID, s.RequestID())
 	if s.Key != "" {
-		req.Header[keyField] = []string{s.Key}
+		req.Header[keyHeader] = []string{s.Key}
 	}
-	res, err := f.callers.Do(req)
+	res, err := f.client.Do(req)
 	if err != nil {
 		s.Detail = err.Error()
 		return
 	}
 	defer res.Body.Close()
-	f.read(s, res, body)
+	f.readResponse(s, res, body)
 }
 
-func (f *Fleet) read(s *Sending, res *http.Response, body []byte) {
+func (f *Fleet) readResponse(s *Invocation, res *http.Response, body []byte) {
 	s.Verdict = verdict.Parse(res.Header.Get(headers.Verdict))
 	s.Reason = verdict.Reason(res.Header.Get(headers.Reason))
 	s.Status = res.StatusCode
 	if ms, err := strconv.ParseInt(res.Header.Get(headers.RetryAfterMs), 10, 64); err == nil {
 		s.RetryAfter = time.Duration(ms) * time.Millisecond
 	}
-	raw, err := io.ReadAll(io.LimitReader(res.Body, maxBody))
+	raw, err := io.ReadAll(io.LimitReader(res.Body, maxBodyBytes))
 	if err != nil {
 		s.Detail = err.Error()
 		return
@@ -87,15 +86,15 @@
 		return
 	}
 	if s.Status == http.StatusOK {
-		s.Fault = f.checkAnswer(s, body)
+		s.AnswerError = f.checkAnswer(s, body)
 	}
 }
 
-// checkAnswer reports whether the answer is the complete one to the action.
-// Under a key it may be that of an earlier sending.
-func (f *Fleet) checkAnswer(s *Sending, body []byte) error {
-	if f.bare(s.Operation.Service) {
-		return nil // the test checks its own backend servers' answers
+// checkAnswer checks that the answer is complete and belongs to the action.
+// Under a key it may be the answer to an earlier invocation.
+func (f *Fleet) checkAnswer(s *Invocation, body []byte) error {
+	if f.isInProcess(s.Operation.Service) {
+		return nil // the test checks the answers of its own backend servers
 	}
 	var a backend.Answer
 	if err := json.Unmarshal(s.Body, &a); err != nil {
@@ -105,34 +104,34 @@
 		return err
 	}
 	if actionOf(a.RequestID) != s.Action {
-		return fmt.Errorf("answer to request %s", a.RequestID)
+		return fmt.Errorf("answer belongs to request %s", a.RequestID)
 	}
-	return f.checkTree(s.Operation, &a)
+	return f.checkChildren(s.Operation, &a)
 }
 
-var errTree = errors.New("the answer does not hold those of the declared calls")
+var errChildren = errors.New("answer does not contain the answers of the declared calls")
 
-func (f *Fleet) checkTree(ref graph.Ref, a *backend.Answer) error {
+func (f *Fleet) checkChildren(ref graph.Ref, a *backend.Answer) error {
 	op, ok := f.Graph.Operation(ref.Service, ref.Operation)
 	if !ok || len(a.Children) != len(op.DependsOn) {
-		return errTree
+		return errChildren
 	}
 	for i, child := range op.DependsOn {
 		got := &a.Children[i]
 		if got.Service != child.Service || got.Operation != child.Operation {
-			return errTree
+			return errChildren
 		}
-		if err := f.checkTree(child, got); err != nil {
+		if err := f.checkChildren(child, got); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// mintTimeout is longer than a node waits for a key.
+// mintTimeout is longer than a node's own timeout for minting a key.
 const mintTimeout = 3 * time.Second
 
-// Mint asks a node for a key.
+// Mint requests a minted key for the operation from a node.
 func (f *Fleet) Mint(ctx context.Context, node string, ref graph.Ref) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, mintTimeout)
 	defer cancel()
@@ -141,14 +140,14 @@
 	if err != nil {
 		return "", err
 	}
-	res, err := f.callers.Do(req)
+	res, err := f.client.Do(req)
 	if err != nil {
 		return "", err
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(res.Body, 512))
-		return "", fmt.Errorf("key: %s: %s", res.Status, text)
+		return "", fmt.Errorf("mint a key: %s: %s", res.Status, text)
 	}
 	var minted struct {
 		Key string `json:"key"`
--- a/internal/prove/setup_test.go
+++ b/internal/prove/setup_test.go
@@ -16,9 +16,9 @@
 	"github.com/cassialoom/cassialoom/internal/rig"
 )
 
-// text is the graph of most tests: a non-idempotent operation that calls
-// another one, and reads at every service.
-const text = `
+// graphText is the graph of most tests: a non-idempotent operation that calls
+// another one, and idempotent reads.
+const graphText = `
 service "alertdesk" {
   operation "issue" {
     idempotent     = false
@@ -54,16 +54,16 @@
 }`
 
 var (
-	issue   = graph.Ref{Service: "alertdesk", Operation: "issue"}
-	notices = graph.Ref{Service: "alertdesk", Operation: "notices"}
-	file    = graph.Ref{Service: "fieldlog", Operation: "file"}
-	latest  = graph.Ref{Service: "stationlog", Operation: "latest"}
+	issueOp   = graph.Ref{Service: "alertdesk", Operation: "issue"}
+	noticesOp = graph.Ref{Service: "alertdesk", Operation: "notices"}
+	fileOp    = graph.Ref{Service: "fieldlog", Operation: "file"}
+	latestOp  = graph.Ref{Service: "stationlog", Operation: "latest"}
 )
 
-// options is a fleet of eight instances in three data centres.
-func options() Options {
+// defaultOptions returns a fleet of eight instances in three data centres.
+func defaultOptions() Options {
 	return Options{
-		Graph: text,
+		Graph: graphText,
 		Shape: rig.Shape{
 			Name:        "savukartta",
 			Region:      "fi-east",
@@ -77,19 +77,19 @@
 	}
 }
 
-// programs is the folder with the programs, once built or given.
-var programs = os.Getenv("PROVE_BIN")
+// programsDir is the folder with the programs: PROVE_BIN, or where they were built.
+var programsDir = os.Getenv("PROVE_BIN")
 
 func TestMain(m *testing.M) { os.Exit(runTests(m)) }
 
 func runTests(m *testing.M) int {
-	if os.Getenv("PROVE") == "" || programs != "" {
+	if os.Getenv("PROVE") == "" || programsDir != "" {
 		return m.Run()
 	}
 	dir, err := os.MkdirTemp("", "cassialoom-prove-")
 	if err == nil {
 		defer os.RemoveAll(dir)
-		programs = dir
+		programsDir = dir
 		err = Build(context.Background(), dir)
 	}
 	if err != nil {
@@ -99,27 +99,27 @@
 	return m.Run()
 }
 
-// start starts a fleet that ends with the test.
-func start(t *testing.T, opts Options) *Fleet {
+// startFleet starts a fleet and closes it when the test ends.
+func startFleet(t *testing.T, opts Options) *Fleet {
 	t.Helper()
 	if os.Getenv("PROVE") == "" {
-		t.Skip("separate processes: PROVE=1 runs this")
+		t.Skip("runs separate processes; enable with PROVE=1")
 	}
 	if runtime.GOOS != "linux" {
-		t.Skip("needs an IP number on loopback for each instance")
+		t.Skip("needs many IP addresses on loopback")
 	}
 	stalls := rig.WatchStalls()
-	f, err := Start(t.Context(), programs, opts)
+	f, err := Start(t.Context(), programsDir, opts)
 	t.Cleanup(func() {
 		stalls.Stop()
 		t.Logf("longest stall of this machine: %v", stalls.Longest().Round(time.Millisecond))
-		end(t, f)
+		endFleet(t, f)
 	})
 	is.New(t).NoErr(err)
 	return f
 }
 
-func end(t *testing.T, f *Fleet) {
+func endFleet(t *testing.T, f *Fleet) {
 	if f == nil {
 		return
 	}
@@ -133,8 +133,9 @@
 	f.Rig.RemoveLogs()
 }
 
-// random is the source of a test's choices.
-func random(t *testing.T) *rand.Rand {
+// newRand returns a generator that is seeded with PROVE_SEED or the time, and
+// logs the seed.
+func newRand(t *testing.T) *rand.Rand {
 	seed := uint64(time.Now().UnixNano())
 	if text := os.Getenv("PROVE_SEED"); text != "" {
 		given, err := strconv.ParseUint(text, 10, 64)
@@ -145,32 +146,32 @@
 	return rand.New(rand.NewPCG(seed, 0))
 }
 
-// settle is longer than any deadline of the graph: what is still under way, or
-// comes late, has run or never will.
-const settle = 3500 * time.Millisecond
+// settleTime is longer than every deadline of the graph: afterwards no request is
+// in flight.
+const settleTime = 3500 * time.Millisecond
 
-// judge waits until nothing is under way any more and asks the oracle.
-func judge(t *testing.T, f *Fleet) (Tally, []Run) {
+// settleAndCheck waits until no request is in flight and checks the history.
+func settleAndCheck(t *testing.T, f *Fleet) (Tally, []Run) {
 	t.Helper()
 	is := is.New(t)
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	runs, err := f.Runs()
 	is.NoErr(err)
-	sendings := f.Record.All()
-	tally := Count(sendings, runs)
+	invocations := f.History.All()
+	tally := NewTally(invocations, runs)
 	t.Logf("%+v", tally)
-	is.NoErr(Judge(f.Graph, sendings, runs))
+	is.NoErr(CheckHistory(f.Graph, invocations, runs))
 	return tally, runs
 }
 
-func between2(rng *rand.Rand, low, high time.Duration) time.Duration {
+func randomDuration(rng *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(rng.Float64()*float64(high-low))
 }
 
 func pick[T any](rng *rand.Rand, list []T) T { return list[rng.IntN(len(list))] }
 
-// runsOf returns the runs of an action at one operation.
-func runsOf(runs []Run, ref graph.Ref, action string) []Run {
+// runsFor returns the runs of an operation for an action.
+func runsFor(runs []Run, ref graph.Ref, action string) []Run {
 	var list []Run
 	for _, r := range runs {
 		if r.Operation == ref && r.Action == action {
--- a/internal/prove/shedding_test.go
+++ b/internal/prove/shedding_test.go
@@ -14,7 +14,7 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-const sheddingText = `
+const sheddingGraph = `
 service "plumecast" {
   operation "forecast" {
     idempotent = true
@@ -43,29 +43,29 @@
   }
 }`
 
-// stationRate is what the stations' service can do: two backend servers with
-// four slots, 20 ms a request.
-const stationRate = 400
+// stationCapacity is the capacity of stationlog in requests a second: two
+// backend servers with four slots, 20 ms a request.
+const stationCapacity = 400
 
 func sheddingOptions() Options {
-	shape := options().Shape
+	shape := defaultOptions().Shape
 	shape.Services = []rig.ServiceShape{
 		{Name: "plumecast", Targets: 3, Slots: 100, Queue: 100, Times: []string{"forecast=2ms", "map=2ms", "overview=2ms"}},
 		{Name: "stationlog", Targets: 2, Slots: 4, Queue: 4, Times: []string{"latest=20ms"}},
 	}
-	return Options{Graph: sheddingText, Shape: shape}
+	return Options{Graph: sheddingGraph, Shape: shape}
 }
 
-// offer sends an operation at a rate through all nodes in turn, whatever
-// becomes of the requests.
-func offer(ctx context.Context, f *Fleet, ref graph.Ref, perSecond int, all *sync.WaitGroup) {
+// sendAtRate sends requests at a fixed rate through all nodes in turn until ctx
+// ends, without waiting for answers.
+func sendAtRate(ctx context.Context, f *Fleet, ref graph.Ref, perSecond int, all *sync.WaitGroup) {
 	nodes := f.CallerAddrs()
 	begin := time.Now()
 	for n := 0; ; n++ {
 		if !pause.For(ctx, time.Until(begin.Add(time.Duration(n)*time.Second/time.Duration(perSecond)))) {
 			return
 		}
-		s := Sending{Action: f.NewAction(), Number: 1, Operation: ref, Node: nodes[n%len(nodes)]}
+		s := Invocation{Action: f.NewAction(), Number: 1, Operation: ref, Node: nodes[n%len(nodes)]}
 		all.Go(func() {
 			limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*time.Second)
 			defer cancel()
@@ -74,9 +74,8 @@
 	}
 }
 
-// shareRan is the share of an operation's requests that were sent in a period
-// and ran to their end.
-func shareRan(list []Sending, ref graph.Ref) float64 {
+// successShare returns the share of the operation's requests that succeeded.
+func successShare(list []Invocation, ref graph.Ref) float64 {
 	ran, all := 0, 0
 	for _, s := range list {
 		if s.Operation != ref {
@@ -90,13 +89,13 @@
 	return float64(ran) / float64(max(all, 1))
 }
 
-// sameMoment is the interval within which a shed critical request and a served
-// low one are held against each other.
-const sameMoment = 50 * time.Millisecond
+// inversionWindow is the largest difference in time between a shed critical
+// request and a served low one that counts as an inversion.
+const inversionWindow = 50 * time.Millisecond
 
-// outOfOrder counts critical requests that were shed while a low one that was
-// sent through the same node within the same moment ran to its end.
-func outOfOrder(list []Sending, critical, low graph.Ref) (shed, violations int) {
+// countInversions counts shed critical requests, and those for which the same
+// node served a low request within inversionWindow.
+func countInversions(list []Invocation, critical, low graph.Ref) (shed, violations int) {
 	served := make(map[string][]time.Time)
 	for _, s := range list {
 		if s.Operation == low && s.Verdict == verdict.Ran && s.Status == 200 {
@@ -109,7 +108,7 @@
 		}
 		shed++
 		for _, at := range served[s.Node] {
-			if d := at.Sub(s.Sent); -sameMoment < d && d < sameMoment {
+			if d := at.Sub(s.Sent); -inversionWindow < d && d < inversionWindow {
 				violations++
 				break
 			}
@@ -118,10 +117,8 @@
 	return shed, violations
 }
 
-// Three times the load that the stations' service can bear: first with few
-// critical requests, then with more critical ones than it can bear. The first
-// are served at the cost of the others; the second leave nothing for the
-// others.
+// Guards against shedding out of the order of importance at three times the
+// capacity, with critical requests below and above the capacity.
 func TestProveSheddingOrder(t *testing.T) {
 	forecast := graph.Ref{Service: "plumecast", Operation: "forecast"}
 	overview := graph.Ref{Service: "plumecast", Operation: "overview"}
@@ -130,17 +127,17 @@
 		name                  string
 		critical, normal, low int
 	}{
-		{"few critical", stationRate * 4 / 10, stationRate, stationRate * 16 / 10},
-		{"too many critical", stationRate * 15 / 10, stationRate / 2, stationRate},
+		{"few critical", stationCapacity * 4 / 10, stationCapacity, stationCapacity * 16 / 10},
+		{"too many critical", stationCapacity * 15 / 10, stationCapacity / 2, stationCapacity},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			f := start(t, sheddingOptions())
+			f := startFleet(t, sheddingOptions())
 			ctx, stop := context.WithCancel(t.Context())
 			var all sync.WaitGroup
-			all.Go(func() { offer(ctx, f, forecast, c.critical, &all) })
-			all.Go(func() { offer(ctx, f, middle, c.normal, &all) })
-			all.Go(func() { offer(ctx, f, overview, c.low, &all) })
+			all.Go(func() { sendAtRate(ctx, f, forecast, c.critical, &all) })
+			all.Go(func() { sendAtRate(ctx, f, middle, c.normal, &all) })
+			all.Go(func() { sendAtRate(ctx, f, overview, c.low, &all) })
 			const warm, measured = 4 * time.Second, 8 * time.Second
 			time.Sleep(warm)
 			from := time.Now()
@@ -148,20 +145,20 @@
 			to := time.Now()
 			stop()
 			all.Wait()
-			judge(t, f)
-			var list []Sending
-			for _, s := range f.Record.All() {
+			settleAndCheck(t, f)
+			var list []Invocation
+			for _, s := range f.History.All() {
 				if s.Sent.After(from) && s.Sent.Before(to) {
 					list = append(list, s)
 				}
 			}
-			shed, violations := outOfOrder(list, forecast, overview)
-			critical, normal, low := shareRan(list, forecast), shareRan(list, middle), shareRan(list, overview)
+			shed, violations := countInversions(list, forecast, overview)
+			critical, normal, low := successShare(list, forecast), successShare(list, middle), successShare(list, overview)
 			t.Logf("ran: critical %.3f, normal %.3f, low %.3f of those sent; %d critical shed, %d of them while a low one was served",
 				critical, normal, low, shed, violations)
 			is.True(critical > normal && normal >= low)
 			is.True(critical > low+0.2)
-			is.True(violations*100 <= c.critical*int(measured/time.Second)) // at most one in a hundred critical ones
+			is.True(violations*100 <= c.critical*int(measured/time.Second)) // at most 1 in 100 critical requests
 		})
 	}
 }
--- a/internal/prove/traffic.go
+++ b/internal/prove/traffic.go
@@ -11,57 +11,57 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// KeyKind is how a caller protects its resends.
+// KeyKind is the kind of idempotency key under which a caller resends.
 type KeyKind uint8
 
-// The kinds.
+// The kinds of keys.
 const (
 	NoKey KeyKind = iota
 	MintedKey
-	OwnKey
-	keyKinds
+	CallerKey
+	keyKindCount
 )
 
-// TrafficConfig describes callers that send one request after the other.
+// TrafficConfig configures callers that each send one request at a time.
 type TrafficConfig struct {
 	Callers int
-	// Pause between two requests of a caller.
+	// Pause is the time between two requests of a caller.
 	Pause time.Duration
-	// Patience is drawn between these for each sending: some callers give up
-	// while their request runs, and send it again.
-	MinPatience, MaxPatience time.Duration
-	// Resends of one request at most.
-	Resends int
-	Seed    uint64
-	// Operations to choose from; empty for all of the graph.
+	// The timeout of each invocation is drawn between MinTimeout and
+	// MaxTimeout. Callers that time out while their request runs resend it.
+	MinTimeout, MaxTimeout time.Duration
+	// MaxResends bounds the resends of one request.
+	MaxResends int
+	Seed       uint64
+	// Operations is the set to choose from; empty means all of the graph.
 	Operations []graph.Ref
 }
 
-// DefaultTraffic is a light load with impatient callers.
+// DefaultTraffic returns a light load with some short timeouts.
 func DefaultTraffic(seed uint64) TrafficConfig {
 	return TrafficConfig{
-		Callers:     12,
-		Pause:       20 * time.Millisecond,
-		MinPatience: 50 * time.Millisecond,
-		MaxPatience: 3 * time.Second,
-		Resends:     5,
-		Seed:        seed,
+		Callers:    12,
+		Pause:      20 * time.Millisecond,
+		MinTimeout: 50 * time.Millisecond,
+		MaxTimeout: 3 * time.Second,
+		MaxResends: 5,
+		Seed:       seed,
 	}
 }
 
-// Traffic is running callers.
+// Traffic is a set of running callers.
 type Traffic struct {
 	stop context.CancelFunc
 	done sync.WaitGroup
 }
 
-// End lets the requests under way finish.
+// End stops the callers and waits for their requests in flight.
 func (t *Traffic) End() {
 	t.stop()
 	t.done.Wait()
 }
 
-// StartTraffic starts the callers.
+// StartTraffic starts callers, which send until End.
 func (f *Fleet) StartTraffic(ctx context.Context, cfg TrafficConfig) *Traffic {
 	running, stop := context.WithCancel(ctx)
 	t := &Traffic{stop: stop}
@@ -74,7 +74,7 @@
 		c := &caller{fleet: f, cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(k))), nodes: nodes}
 		t.done.Go(func() {
 			for pause.For(running, cfg.Pause) {
-				c.act(ctx, operations[c.rng.IntN(len(operations))], KeyKind(c.rng.IntN(int(keyKinds))))
+				c.perform(ctx, operations[c.rng.IntN(len(operations))], KeyKind(c.rng.IntN(int(keyKindCount))))
 			}
 		})
 	}
@@ -91,7 +91,7 @@
 	return list
 }
 
-// caller sends requests as the callers' page asks it to.
+// caller resends by the rules for callers; see perform.
 type caller struct {
 	fleet *Fleet
 	cfg   TrafficConfig
@@ -99,44 +99,44 @@
 	nodes []string
 }
 
-// act has one action done: it sends until it is told "ran" or may not send
-// again. It sends a non-idempotent request without a key again only while it
-// was told "not run" alone, and takes a new minted key only then.
-func (c *caller) act(ctx context.Context, ref graph.Ref, kind KeyKind) {
+// perform sends the request of one action until the verdict is "ran" or no
+// resend is permitted: without a key, a non-idempotent request is resent only
+// while every verdict is "not run". A new minted key is taken only then, too.
+func (c *caller) perform(ctx context.Context, ref graph.Ref, kind KeyKind) {
 	op, _ := c.fleet.Graph.Operation(ref.Service, ref.Operation)
-	s := Sending{Action: c.fleet.NewAction(), Operation: ref}
-	if kind == OwnKey {
+	s := Invocation{Action: c.fleet.NewAction(), Operation: ref}
+	if kind == CallerKey {
 		s.Key = "own-" + s.Action
 	}
-	doubt := false
-	for s.Number = 1; s.Number <= 1+c.cfg.Resends && ctx.Err() == nil; s.Number++ {
-		if kind == MintedKey && !doubt && !c.mint(ctx, &s) {
+	mayHaveRun := false
+	for s.Number = 1; s.Number <= 1+c.cfg.MaxResends && ctx.Err() == nil; s.Number++ {
+		if kind == MintedKey && !mayHaveRun && !c.mint(ctx, &s) {
 			continue
 		}
-		s.Node = c.node()
-		told := c.send(ctx, s)
-		if told.Verdict == verdict.Ran {
+		s.Node = c.randomNode()
+		result := c.send(ctx, s)
+		if result.Verdict == verdict.Ran {
 			return
 		}
-		doubt = doubt || told.Verdict != verdict.NotRun
-		if doubt && kind == NoKey && !op.Idempotent {
+		mayHaveRun = mayHaveRun || result.Verdict != verdict.NotRun
+		if mayHaveRun && kind == NoKey && !op.Idempotent {
 			return
 		}
-		c.wait(ctx, told)
+		c.wait(ctx, result)
 	}
 }
 
-func (c *caller) node() string { return c.nodes[c.rng.IntN(len(c.nodes))] }
+func (c *caller) randomNode() string { return c.nodes[c.rng.IntN(len(c.nodes))] }
 
-func (c *caller) mint(ctx context.Context, s *Sending) bool {
-	key, err := c.fleet.Mint(ctx, c.node(), s.Operation)
+func (c *caller) mint(ctx context.Context, s *Invocation) bool {
+	key, err := c.fleet.Mint(ctx, c.randomNode(), s.Operation)
 	s.Key = key
 	return err == nil
 }
 
-func (c *caller) send(ctx context.Context, s Sending) Sending {
-	spread := c.cfg.MaxPatience - c.cfg.MinPatience
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.MinPatience+time.Duration(c.rng.Float64()*float64(spread)))
+func (c *caller) send(ctx context.Context, s Invocation) Invocation {
+	spread := c.cfg.MaxTimeout - c.cfg.MinTimeout
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.MinTimeout+time.Duration(c.rng.Float64()*float64(spread)))
 	defer cancel()
 	return c.fleet.Send(ctx, s)
 }
@@ -146,7 +146,7 @@
 	maxWait = 300 * time.Millisecond
 )
 
-func (c *caller) wait(ctx context.Context, told Sending) {
-	wait := min(max(told.RetryAfter, minWait), maxWait)
+func (c *caller) wait(ctx context.Context, result Invocation) {
+	wait := min(max(result.RetryAfter, minWait), maxWait)
 	pause.For(ctx, wait+time.Duration(c.rng.Float64()*float64(wait)))
 }
--- a/internal/prove/watch.go
+++ b/internal/prove/watch.go
@@ -13,30 +13,30 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Watch asks all nodes for the version in force, again and again, and notes
-// each time that a node goes back. It is safe for concurrent use.
-type Watch struct {
+// VersionWatcher polls all nodes for the configuration version in force and
+// records each return to an older one. It is safe for concurrent use.
+type VersionWatcher struct {
 	fleet *Fleet
 	ctx   context.Context
 	stop  context.CancelFunc
 	done  sync.WaitGroup
 
-	mu    sync.Mutex
-	asked int
-	nodes map[string]ops.Version // by instance, as last heard
-	seen  map[wire.NodeID]ops.Version
-	errs  []error
+	mu         sync.Mutex
+	polls      int
+	byInstance map[string]ops.Version // the last version polled, by instance
+	byNode     map[wire.NodeID]ops.Version
+	errs       []error
 }
 
-const watchEvery = 10 * time.Millisecond
+const watchInterval = 10 * time.Millisecond
 
-// StartWatch starts to watch all instances that there are.
-func (f *Fleet) StartWatch(ctx context.Context) *Watch {
+// WatchVersions starts a watcher for all present instances.
+func (f *Fleet) WatchVersions(ctx context.Context) *VersionWatcher {
 	ctx, stop := context.WithCancel(ctx)
-	w := &Watch{
+	w := &VersionWatcher{
 		fleet: f, ctx: ctx, stop: stop,
-		nodes: make(map[string]ops.Version),
-		seen:  make(map[wire.NodeID]ops.Version),
+		byInstance: make(map[string]ops.Version),
+		byNode:     make(map[wire.NodeID]ops.Version),
 	}
 	for _, i := range f.Instances {
 		w.Add(i)
@@ -44,62 +44,63 @@
 	return w
 }
 
-// Add watches one more instance.
-func (w *Watch) Add(i *rig.Instance) {
+// Add watches another instance.
+func (w *VersionWatcher) Add(i *rig.Instance) {
 	w.done.Go(func() {
-		for pause.For(w.ctx, watchEvery) {
+		for pause.For(w.ctx, watchInterval) {
 			var v ops.Version
 			if i.Get(w.ctx, "/version", &v) == nil {
-				w.note(i.Name, v)
+				w.observe(i.Name, v)
 			}
 		}
 	})
 }
 
-func (w *Watch) note(name string, v ops.Version) {
+func (w *VersionWatcher) observe(name string, v ops.Version) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.asked++
-	before := w.seen[v.Node]
+	w.polls++
+	before := w.byNode[v.Node]
 	if v.AsOf < before.AsOf || v.Version < before.Version {
-		w.errs = append(w.errs, fmt.Errorf("%s went back from version %d as of %d to %d as of %d",
+		w.errs = append(w.errs, fmt.Errorf("%s went back from version %d (as of %d) to %d (as of %d)",
 			name, before.Version, before.AsOf, v.Version, v.AsOf))
 	}
-	w.seen[v.Node] = v
-	w.nodes[name] = v
+	w.byNode[v.Node] = v
+	w.byInstance[name] = v
 }
 
-// InForce waits until every given instance was heard to have the version, or
-// a later one, and returns how long that took.
-func (w *Watch) InForce(ctx context.Context, version uint64, instances []*rig.Instance) (time.Duration, error) {
+// AwaitVersion waits until all given instances report the version or a later
+// one, and returns the time that this took.
+func (w *VersionWatcher) AwaitVersion(ctx context.Context, version uint64, instances []*rig.Instance) (time.Duration, error) {
 	began := time.Now()
 	for {
-		missing := w.missing(version, instances)
-		if missing == "" {
+		firstBehind := w.firstBehind(version, instances)
+		if firstBehind == "" {
 			return time.Since(began), nil
 		}
-		if !pause.For(ctx, watchEvery) {
-			return time.Since(began), fmt.Errorf("version %d is not in force at %s", version, missing)
+		if !pause.For(ctx, watchInterval) {
+			return time.Since(began), fmt.Errorf("version %d is not in force at %s", version, firstBehind)
 		}
 	}
 }
 
-func (w *Watch) missing(version uint64, instances []*rig.Instance) string {
+func (w *VersionWatcher) firstBehind(version uint64, instances []*rig.Instance) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, i := range instances {
-		if v := w.nodes[i.Name]; v.Version < version {
+		if v := w.byInstance[i.Name]; v.Version < version {
 			return fmt.Sprintf("%s, which has %d", i.Name, v.Version)
 		}
 	}
 	return ""
 }
 
-// End stops and returns every step back that was seen.
-func (w *Watch) End() (asked int, err error) {
+// End stops the polling and returns the number of polls and all returns to an
+// older version.
+func (w *VersionWatcher) End() (polls int, err error) {
 	w.stop()
 	w.done.Wait()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.asked, errors.Join(w.errs...)
+	return w.polls, errors.Join(w.errs...)
 }
