--- a/cmd/cassialoom/main.go
+++ b/cmd/cassialoom/main.go
@@ -1,5 +1,5 @@
-// Command cassialoom is what operators work with: it checks and publishes the
-// graph text, and asks the nodes what they run and why they decided as they did.
+// Command cassialoom is the tool for operators: it checks and publishes graph
+// texts, and queries nodes for their state and their decisions.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run carries out one command line and returns its exit code.
+// run executes one command line and returns its exit code.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	var o options
 	return parse(ctx, &o, args, stdout, stderr)
--- a/cmd/cassialoom/main_test.go
+++ b/cmd/cassialoom/main_test.go
@@ -54,8 +54,8 @@
 	is.True(strings.Contains(out.String(), `"elsewhere"`))
 }
 
-// What the platform would refuse is refused before it is published or started,
-// with the row or field and the cause.
+// Guards against publishing or starting with a file that the platform rejects,
+// and against errors without the row or field and the cause.
 func TestPlatformFilesAreChecked(t *testing.T) {
 	dir := t.TempDir()
 	for _, c := range []struct {
--- a/cmd/cassialoom/options.go
+++ b/cmd/cassialoom/options.go
@@ -105,7 +105,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// command is a subcommand with its arguments.
+// command is a subcommand with its parsed arguments.
 type command interface {
 	run(ctx context.Context, o *operator.Operator) error
 }
@@ -220,7 +220,7 @@
 		err = fmt.Errorf("unexpected argument %q", rest[0])
 	}
 	if err != nil {
-		fmt.Fprintf(stderr, "cassialoom: %v; see --help\n", explainError(err))
+		fmt.Fprintf(stderr, "cassialoom: %v; see --help\n", describeError(err))
 		return operator.ExitUsage
 	}
 	err = o.execute(ctx, p.Active.Name, stdout)
@@ -230,9 +230,9 @@
 	return operator.ExitCode(err)
 }
 
-// explainError adds what is allowed to an error of the parser, which names the
-// flag and the value; --timeout is the only flag that is more than text.
-func explainError(err error) error {
+// describeError adds the expected format to a parser error, which names the flag
+// and the value. Only --timeout has a value that the parser converts.
+func describeError(err error) error {
 	var e *flags.Error
 	if errors.As(err, &e) && e.Type == flags.ErrMarshal {
 		return fmt.Errorf("%w: want a duration such as 30s", err)
@@ -250,7 +250,8 @@
 	return o.command(name).run(ctx, operator.FromSettings(settings, stdout))
 }
 
-// readText reads no more of a file than what is certain to be refused.
+// readText reads at most one byte more than the largest valid graph text, which
+// is enough for a check to reject it.
 func readText(name string) (operator.Text, error) {
 	f, err := os.Open(name)
 	if err != nil {
--- a/cmd/cassialoomd/main.go
+++ b/cmd/cassialoomd/main.go
@@ -1,4 +1,4 @@
-// Command cassialoomd is the node: one runs beside each backend server.
+// Command cassialoomd is the node, which runs beside each backend server.
 package main
 
 import (
@@ -13,14 +13,15 @@
 
 func main() {
 	if path := os.Getenv(settings.PlatformFile); path != "" {
-		start(settings.ParsePlatform, func(s settings.Platform) error { return daemon.RunPlatform(path, s) })
+		parseAndRun(settings.ParsePlatform, func(s settings.Platform) error { return daemon.RunPlatform(path, s) })
 		return
 	}
-	start(settings.Parse, daemon.Run)
+	parseAndRun(settings.Parse, daemon.Run)
 }
 
-// start reads the settings and runs the node with them until it is stopped.
-func start[S any](parse func(args, env []string) (S, error), run func(S) error) {
+// parseAndRun parses the settings and runs the node until it stops. It prints
+// help, and exits with status 2 for invalid settings or 1 if the node fails.
+func parseAndRun[S any](parse func(args, env []string) (S, error), run func(S) error) {
 	s, err := parse(os.Args[1:], os.Environ())
 	if settings.IsHelp(err) {
 		fmt.Println(err)
--- a/cmd/demo/demo.go
+++ b/cmd/demo/demo.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	serviceTime  = 5 * time.Millisecond
-	callerCount  = 12
-	versionLimit = 10 * time.Second
-	versionPoll  = 50 * time.Millisecond
-	stopLimit    = 15 * time.Second
-	demoSeed     = 20261202
+	serviceTime    = 5 * time.Millisecond
+	callerCount    = 12
+	versionTimeout = 10 * time.Second
+	versionPoll    = 50 * time.Millisecond
+	stopTimeout    = 15 * time.Second
+	demoSeed       = 20261202
 )
 
-// demo is one run.
+// demo is the state of one run.
 type demo struct {
 	opts    options
 	rig     *rig.Rig
@@ -31,11 +31,11 @@
 	callers []*client
 	records []*record
 	start   time.Time
-	// gone are the instances that the demo drained or killed.
-	gone []*rig.Instance
+	// stopped lists the instances that the demo drained or killed.
+	stopped []*rig.Instance
 }
 
-// client is one caller with the nodes that it knows.
+// client is a caller with its name in the printed tables.
 type client struct {
 	*caller.Client
 	name string
@@ -57,18 +57,18 @@
 	return &demo{opts: opts, rig: r, graph: g, start: time.Now()}, nil
 }
 
-// show runs the steps; the first that cannot go on ends it.
-func (d *demo) show(ctx context.Context) error {
+// runSteps runs the steps in order and returns the first error.
+func (d *demo) runSteps(ctx context.Context) error {
 	steps := []struct {
 		title string
 		run   func(context.Context) error
 	}{
 		{"start the log and every instance", d.startAll},
 		{"publish the graph text", d.publish},
-		{"send a request of every operation", d.everyOperation},
+		{"send a request of every operation", d.sendEveryOperation},
 		{"drain a node under traffic", d.drainNode},
 		{"kill a backend server under traffic", d.killBackend},
-		{"compare what callers heard with what ran", d.judge},
+		{"compare what callers heard with what ran", d.checkHistory},
 	}
 	for n, step := range steps {
 		fmt.Printf("\n%d. %s (%.1f s)\n", n+1, step.title, time.Since(d.start).Seconds())
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// addCallers gives each caller three nodes, so that one may leave.
+// addCallers gives each caller three nodes, so that one of them can stop.
 func (d *demo) addCallers() {
 	all := d.cluster.Instances
 	for k := range callerCount {
@@ -107,13 +107,13 @@
 		cfg.Seed = uint64(k) + 1
 		c, err := caller.New(cfg)
 		if err != nil {
-			panic(err) // the settings are fixed here
+			panic(err) // unreachable: the settings are constant
 		}
 		d.callers = append(d.callers, &client{Client: c, name: fmt.Sprintf("caller %2d", k+1)})
 	}
 }
 
-// publish also waits until the version is in force at every node.
+// publish publishes the graph text and waits until it is in force at every node.
 func (d *demo) publish(ctx context.Context) error {
 	out, err := d.cluster.Publish(ctx, d.opts.Graph)
 	if err != nil {
@@ -121,7 +121,7 @@
 	}
 	fmt.Print(indent(out))
 	accepted := time.Now()
-	version, err := d.awaitSameVersion(ctx)
+	version, err := d.awaitCommonVersion(ctx)
 	if err != nil {
 		return err
 	}
@@ -133,17 +133,17 @@
 	return d.cluster.AwaitView(ctx, d.cluster.Instances)
 }
 
-func (d *demo) awaitSameVersion(ctx context.Context) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, versionLimit)
+func (d *demo) awaitCommonVersion(ctx context.Context) (uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, versionTimeout)
 	defer cancel()
 	for {
-		version, err := d.sameVersion(ctx)
+		version, err := d.commonVersion(ctx)
 		if err == nil {
 			return version, nil
 		}
 		select {
 		case <-ctx.Done():
-			return 0, fmt.Errorf("not in force everywhere after %v: %w", versionLimit, err)
+			return 0, fmt.Errorf("no common version at all nodes after %v: %w", versionTimeout, err)
 		case <-time.After(versionPoll):
 		}
 	}
@@ -151,9 +151,9 @@
 
 var errNoVersion = errors.New("no configuration in force")
 
-// sameVersion fails unless all nodes have the same configuration with the
-// services of the graph.
-func (d *demo) sameVersion(ctx context.Context) (uint64, error) {
+// commonVersion returns the configuration version of all nodes. It returns an
+// error if a node has none or the versions differ.
+func (d *demo) commonVersion(ctx context.Context) (uint64, error) {
 	var first uint64
 	for n, i := range d.cluster.Instances {
 		var v ops.Version
@@ -173,24 +173,24 @@
 	return first, nil
 }
 
-// end stops everything in the planned way, and says so if a process did not
-// stop by itself or one is left.
-func (d *demo) end() error {
+// stopProcesses stops all processes gracefully. It returns an error for each
+// that fails to stop by itself or still runs.
+func (d *demo) stopProcesses() error {
 	fmt.Printf("\nstop all processes (%.1f s)\n", time.Since(d.start).Seconds())
 	for _, c := range d.callers {
 		c.Close()
 	}
 	err := d.plannedStop()
-	err = errors.Join(err, d.rig.Close(stopLimit))
+	err = errors.Join(err, d.rig.Close(stopTimeout))
 	for _, p := range d.rig.Running() {
-		err = errors.Join(err, fmt.Errorf("%s still runs as process %d", p.Name, p.PID()))
+		err = errors.Join(err, fmt.Errorf("%s is still running as process %d", p.Name, p.PID()))
 	}
-	fmt.Printf("   none is left (%.1f s)\n", time.Since(d.start).Seconds())
+	fmt.Printf("   all processes stopped (%.1f s)\n", time.Since(d.start).Seconds())
 	return err
 }
 
-// plannedStop stops backend servers first, then nodes; each must end with
-// status 0.
+// plannedStop stops the backend servers, then the nodes, and requires that each
+// exits with status 0.
 func (d *demo) plannedStop() error {
 	if d.cluster == nil {
 		return nil
@@ -221,7 +221,7 @@
 }
 
 func stopOne(p *rig.Process) error {
-	if err := p.Stop(stopLimit); err != nil {
+	if err := p.Stop(stopTimeout); err != nil {
 		return err
 	}
 	if status := p.ExitStatus(); status != 0 {
--- a/cmd/demo/judge.go
+++ b/cmd/demo/judge.go
@@ -10,15 +10,15 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// execution names an operation and the action that it ran for.
+// execution identifies the runs of an operation for an action.
 type execution struct {
 	operation graph.Ref
 	action    string
 }
 
-// judge compares every verdict with the journals of all backend servers, the
-// killed one's too.
-func (d *demo) judge(context.Context) error {
+// checkHistory compares the callers' records with the journals of all backend
+// servers, including the killed one.
+func (d *demo) checkHistory(context.Context) error {
 	runs := make(map[execution]int)
 	total := 0
 	for _, i := range d.cluster.Instances {
@@ -34,31 +34,31 @@
 	}
 	printVerdicts(d.records)
 	fmt.Printf("   %d executions in the journals of %d backend servers\n", total, len(d.cluster.Instances))
-	return errors.Join(judgeVerdicts(d.records, runs), judgeTwice(d.graph, d.records, runs))
+	return errors.Join(checkVerdicts(d.records, runs), checkAtMostOnce(d.graph, d.records, runs))
 }
 
-// judgeVerdicts reports every verdict that is not true, and every answer that
-// is not the complete one to its request.
-func judgeVerdicts(records []*record, runs map[execution]int) error {
+// checkVerdicts returns an error for each false verdict and for each answer that
+// is incomplete or belongs to another request.
+func checkVerdicts(records []*record, runs map[execution]int) error {
 	var err error
 	for _, r := range records {
 		n := runs[execution{operation: r.operation, action: r.action}]
 		if r.verdict == verdict.NotRun && n > 0 && !r.resend {
-			err = errors.Join(err, fmt.Errorf("%s, %s: said not run, ran %d times", r.operation, r.action, n))
+			err = errors.Join(err, fmt.Errorf("%s, %s: told not run, ran %d times", r.operation, r.action, n))
 		}
 		if r.verdict == verdict.Ran && n == 0 {
-			err = errors.Join(err, fmt.Errorf("%s, %s: said ran, ran nowhere", r.operation, r.action))
+			err = errors.Join(err, fmt.Errorf("%s, %s: told ran, ran nowhere", r.operation, r.action))
 		}
-		if r.fault != nil {
-			err = errors.Join(err, fmt.Errorf("%s, %s: %w", r.operation, r.action, r.fault))
+		if r.answerError != nil {
+			err = errors.Join(err, fmt.Errorf("%s, %s: %w", r.operation, r.action, r.answerError))
 		}
 	}
 	return err
 }
 
-// judgeTwice reports every non-idempotent operation that ran more often for
-// one action than the graph declares calls of it.
-func judgeTwice(g *graph.Graph, records []*record, runs map[execution]int) error {
+// checkAtMostOnce returns an error for each non-idempotent operation that ran for
+// an action more often than the graph declares.
+func checkAtMostOnce(g *graph.Graph, records []*record, runs map[execution]int) error {
 	var err error
 	judged := make(map[string]bool)
 	for _, r := range records {
@@ -77,8 +77,8 @@
 	return err
 }
 
-// declaredRuns counts the runs of each non-idempotent operation in the tree of
-// one request.
+// declaredRuns counts the runs of each non-idempotent operation in the call tree
+// of a request.
 func declaredRuns(g *graph.Graph, entry *graph.Operation) map[graph.Ref]int {
 	counts := make(map[graph.Ref]int)
 	var visit func(o *graph.Operation)
--- a/cmd/demo/judge_test.go
+++ b/cmd/demo/judge_test.go
@@ -14,7 +14,7 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-const text = `
+const graphText = `
 service "alertdesk" {
   operation "issue" {
     idempotent = false
@@ -39,28 +39,27 @@
 }`
 
 func testGraph(t *testing.T) *graph.Graph {
-	g, problems := graph.Parse("test", []byte(text))
+	g, problems := graph.Parse("test", []byte(graphText))
 	is.New(t).NoErr(problems.Err())
 	return g
 }
 
-// A demo that cannot fail shows nothing: each lie that a caller may be told
-// has to be found.
-func TestJudgeFindsEveryLie(t *testing.T) {
+// Guards against a demo that accepts a false verdict or a wrong answer.
+func TestFalseVerdictsAreDetected(t *testing.T) {
 	issue := graph.Ref{Service: "alertdesk", Operation: "issue"}
 	file := graph.Ref{Service: "fieldlog", Operation: "file"}
 	forecast := graph.Ref{Service: "plumecast", Operation: "forecast"}
 	cases := []struct {
-		name    string
-		verdict verdict.Verdict
-		fault   error
-		runs    map[graph.Ref]int
-		want    string // empty: nothing to find
+		name        string
+		verdict     verdict.Verdict
+		answerError error
+		runs        map[graph.Ref]int
+		want        string // text of the error; empty for none
 	}{
 		{"ran", verdict.Ran, nil, map[graph.Ref]int{issue: 1, file: 1, forecast: 2}, ""},
 		{"not run", verdict.NotRun, nil, nil, ""},
 		{"may have run", verdict.MayHaveRun, nil, map[graph.Ref]int{issue: 1}, ""},
-		{"ran after not run", verdict.NotRun, nil, map[graph.Ref]int{issue: 1}, "said not run"},
+		{"ran after not run", verdict.NotRun, nil, map[graph.Ref]int{issue: 1}, "told not run"},
 		{"ran nowhere", verdict.Ran, nil, nil, "ran nowhere"},
 		{"entry twice", verdict.Ran, nil, map[graph.Ref]int{issue: 2}, "alertdesk.issue ran 2 times"},
 		{"call twice", verdict.MayHaveRun, nil, map[graph.Ref]int{issue: 1, file: 2}, "fieldlog.file ran 2 times"},
@@ -69,12 +68,12 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			records := []*record{{operation: issue, action: "a", verdict: c.verdict, fault: c.fault}}
+			records := []*record{{operation: issue, action: "a", verdict: c.verdict, answerError: c.answerError}}
 			runs := make(map[execution]int)
 			for ref, n := range c.runs {
 				runs[execution{operation: ref, action: "a"}] = n
 			}
-			err := errors.Join(judgeVerdicts(records, runs), judgeTwice(testGraph(t), records, runs))
+			err := errors.Join(checkVerdicts(records, runs), checkAtMostOnce(testGraph(t), records, runs))
 			if c.want == "" {
 				is.NoErr(err)
 				return
@@ -85,13 +84,13 @@
 	}
 }
 
-// An answer that lacks one of the declared calls, or holds that of another
-// request, is not complete.
+// Guards against accepting an answer that lacks a declared call or contains the
+// answer to another request.
 func TestAnswerMustBeComplete(t *testing.T) {
 	is := is.New(t)
 	d := &demo{graph: testGraph(t)}
 	issue, _ := d.graph.Operation("alertdesk", "issue")
-	const sum = "2d711642b726b04401627ca9fbac32f5c8530fb1903cc4db02258717921a4881" // of "x"
+	const sum = "2d711642b726b04401627ca9fbac32f5c8530fb1903cc4db02258717921a4881" // SHA-256 of "x"
 	check := func(change func(*backend.Answer)) error {
 		a := backend.Answer{Service: "alertdesk", Operation: "issue", BodySHA256: sum, Children: []backend.Answer{
 			{Service: "fieldlog", Operation: "file", BodySHA256: sum},
--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -1,8 +1,8 @@
-// Command demo shows the whole path on one machine: it starts Savukartta's
-// services as separate processes on loopback, each backend server with its
-// node, publishes the graph text, sends real requests of every operation,
-// drains a node, kills a backend server, and prints what every caller saw. It
-// exits with status 0 only if all was as declared, and ends its processes.
+// Command demo runs a complete system on one machine. It starts Savukartta's
+// services as separate processes on loopback, each backend server with its node,
+// publishes the graph text, sends requests of every operation, drains a node,
+// kills a backend server, prints the result of every request and stops all
+// processes. It exits with status 0 only if all results are as declared.
 package main
 
 import (
@@ -21,10 +21,10 @@
 
 const (
 	usageStatus = 2
-	// runLimit ends a demo that hangs; one that works takes a fraction.
-	runLimit = 90 * time.Second
-	// stallLimit is below the shortest deadline of the graph.
-	stallLimit = 200 * time.Millisecond
+	// runTimeout ends a demo that hangs.
+	runTimeout = 90 * time.Second
+	// maxStall is less than the shortest deadline of the graph.
+	maxStall = 200 * time.Millisecond
 )
 
 type options struct {
@@ -59,8 +59,8 @@
 func run(opts options) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// Not a deadline of ctx: requests would announce it as their own.
-	limit := time.AfterFunc(runLimit, stop)
+	// Not a deadline of ctx: requests would carry it as their own deadline.
+	limit := time.AfterFunc(runTimeout, stop)
 	defer limit.Stop()
 	d, err := newDemo(opts)
 	if err != nil {
@@ -68,9 +68,9 @@
 	}
 	stalls := rig.WatchStalls()
 	defer stalls.Stop()
-	err = errors.Join(d.show(ctx), d.end())
-	if longest := stalls.Longest(); err != nil && longest > stallLimit {
-		fmt.Printf("\nthis machine stood still for %.1f s meanwhile: try again\n", longest.Seconds())
+	err = errors.Join(d.runSteps(ctx), d.stopProcesses())
+	if longest := stalls.Longest(); err != nil && longest > maxStall {
+		fmt.Printf("\nthis machine stalled for %.1f s during the demo: try again\n", longest.Seconds())
 	}
 	if err != nil || opts.KeepLogs {
 		fmt.Println("\nlogs:", d.rig.Dir())
--- a/cmd/demo/steps.go
+++ b/cmd/demo/steps.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// settle is how much traffic runs before and after an event.
-	settle = 1500 * time.Millisecond
-	// newWorkLimit is the promise: a backend server that is leaving receives
-	// no new work after a few seconds.
+	// settleTime is the time of traffic before and after an event.
+	settleTime = 1500 * time.Millisecond
+	// newWorkLimit is the time after the start of a drain from which a backend
+	// server receives no new requests.
 	newWorkLimit = 3 * time.Second
-	drainLimit   = 10 * time.Second
-	// victimSlow and victimFor: a backend server that is about to be killed is
-	// slow for a moment, so that the kill finds work in flight.
-	victimSlow = 30.0
-	victimFor  = 100 * time.Millisecond
+	drainTimeout = 10 * time.Second
+	// A backend server is slowed down by victimSlowFactor for victimSlowTime
+	// before it is killed, so that requests are in flight.
+	victimSlowFactor = 30.0
+	victimSlowTime   = 100 * time.Millisecond
 )
 
-// everyOperation sends each operation from two callers; a non-idempotent one
-// is sent again under its key, minted by a node or the caller's own.
-func (d *demo) everyOperation(ctx context.Context) error {
+// sendEveryOperation sends each operation from two callers. It resends the
+// non-idempotent ones under their keys, one minted by a node and one of the
+// caller.
+func (d *demo) sendEveryOperation(ctx context.Context) error {
 	const step = "each"
 	var records []*record
 	for n, o := range d.operations() {
@@ -47,42 +48,44 @@
 		records = append(records,
 			d.resend(ctx, step, second, o, one), two, d.resend(ctx, step, second, o, two))
 	}
-	records = append(records, d.unknownOperation(ctx, step))
+	records = append(records, d.sendUnknownOperation(ctx, step))
 	d.records = append(d.records, records...)
 	printRecords(records)
-	return errors.Join(mustRun(records[:len(records)-1]), sameAnswers(records))
+	return errors.Join(checkAllRan(records[:len(records)-1]), checkSameAnswers(records))
 }
 
 func (d *demo) resend(ctx context.Context, step string, c *client, o *graph.Operation, first *record) *record {
-	r := d.send(ctx, step, c, o, first.action, resendOf(o, first))
+	r := d.send(ctx, step, c, o, first.action, newResend(o, first))
 	r.resend = true
 	return r
 }
 
-// unknownOperation must be refused with "not run".
-func (d *demo) unknownOperation(ctx context.Context, step string) *record {
+// sendUnknownOperation requires that a node refuses an undeclared operation with
+// "not run".
+func (d *demo) sendUnknownOperation(ctx context.Context, step string) *record {
 	o := &graph.Operation{Service: d.graph.Services()[0].Name, Name: "nothing-of-this-name"}
 	action := step + "-unknown"
 	r := d.send(ctx, step, d.callers[0], o, action, caller.Request{Service: o.Service, Operation: o.Name, Body: []byte(action)})
 	if r.verdict != verdict.NotRun || r.reason != verdict.UnknownOperation {
-		r.fault = errors.New("want not run, unknown-operation")
+		r.answerError = errors.New("want not run, unknown-operation")
 	}
 	return r
 }
 
-// mustRun reports every request that did not run to its complete answer.
-func mustRun(records []*record) error {
+// checkAllRan returns an error for each request without a complete answer.
+func checkAllRan(records []*record) error {
 	var err error
 	for _, r := range records {
-		if r.verdict != verdict.Ran || r.fault != nil {
+		if r.verdict != verdict.Ran || r.answerError != nil {
 			err = errors.Join(err, fmt.Errorf("%s of %s, %s: %s %s %s: want ran and a complete answer", r.operation, r.caller, r.action, r.verdict, r.reason, r.detail))
 		}
 	}
 	return err
 }
 
-// sameAnswers reports resends that got another answer than the first.
-func sameAnswers(records []*record) error {
+// checkSameAnswers returns an error for each resend whose answer differs from the
+// first one.
+func checkSameAnswers(records []*record) error {
 	first := make(map[string]*record)
 	var err error
 	for _, r := range records {
@@ -92,68 +95,68 @@
 			continue
 		}
 		if f.body != r.body {
-			err = errors.Join(err, fmt.Errorf("%s, %s: a resend got another answer than the first", r.operation, r.action))
+			err = errors.Join(err, fmt.Errorf("%s, %s: answer of a resend differs from the first answer", r.operation, r.action))
 		}
 	}
 	return err
 }
 
-// drainNode must cut off nothing: every request runs, and the leaving backend
-// server gets no new work after a few seconds.
+// drainNode drains a node under traffic. Every request must run, and the backend
+// server must receive no new requests after newWorkLimit.
 func (d *demo) drainNode(ctx context.Context) error {
-	leaving := last(d.cluster.Of(d.cluster.Shape.Services[0].Name))
-	d.gone = append(d.gone, leaving)
+	draining := last(d.cluster.Of(d.cluster.Shape.Services[0].Name))
+	d.stopped = append(d.stopped, draining)
 	t := d.startTraffic(ctx, "drain")
-	pause.For(ctx, settle)
+	pause.For(ctx, settleTime)
 	began := time.Now()
-	err := leaving.Drain(ctx)
-	pause.For(ctx, settle)
-	err = errors.Join(err, leaving.Node.Stop(drainLimit))
+	err := draining.Drain(ctx)
+	pause.For(ctx, settleTime)
+	err = errors.Join(err, draining.Node.Stop(drainTimeout))
 	took := time.Since(began)
-	pause.For(ctx, settle)
+	pause.For(ctx, settleTime)
 	records := t.end()
 	d.records = append(d.records, records...)
 	printTraffic(records)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("   node of %s stopped %.2f s after the drain began, status %d\n", leaving.Name, took.Seconds(), leaving.Node.ExitStatus())
-	return errors.Join(d.checkDrained(ctx, leaving, began), mustRun(records))
+	fmt.Printf("   node of %s stopped %.2f s after the drain began, status %d\n", draining.Name, took.Seconds(), draining.Node.ExitStatus())
+	return errors.Join(d.checkDrained(ctx, draining, began), checkAllRan(records))
 }
 
-func (d *demo) checkDrained(ctx context.Context, leaving *rig.Instance, began time.Time) error {
-	if status := leaving.Node.ExitStatus(); status != 0 {
-		return fmt.Errorf("node of %s ended with status %d (log: %s)", leaving.Name, status, leaving.Node.Log)
+func (d *demo) checkDrained(ctx context.Context, draining *rig.Instance, began time.Time) error {
+	if status := draining.Node.ExitStatus(); status != 0 {
+		return fmt.Errorf("node of %s ended with status %d (log: %s)", draining.Name, status, draining.Node.Log)
 	}
-	s, err := leaving.Summary(ctx)
+	s, err := draining.Summary(ctx)
 	if err != nil {
 		return err
 	}
 	after := s.LastArrival.Sub(began)
 	fmt.Printf("   its backend server ran %d requests; the last arrived %.2f s after the drain began\n", s.Total, max(after, 0).Seconds())
 	if after > newWorkLimit {
-		return fmt.Errorf("backend server of %s got work %v after the drain began: want at most %v", leaving.Name, after, newWorkLimit)
+		return fmt.Errorf("backend server of %s received a request %v after the drain began, want at most %v", draining.Name, after, newWorkLimit)
 	}
 	return nil
 }
 
-// killBackend kills a backend server with its work in flight. Every caller
-// must hear the truth, idempotent requests must all run, and shortly after the
-// kill all requests must.
+// killBackend kills a backend server with requests in flight. Every verdict must
+// be true, idempotent requests must all run, and soon after the kill all
+// requests must run.
 func (d *demo) killBackend(ctx context.Context) error {
 	victim := last(d.cluster.Of(d.cluster.Shape.Services[2].Name))
-	d.gone = append(d.gone, victim)
+	d.stopped = append(d.stopped, victim)
 	t := d.startTraffic(ctx, "kill")
-	pause.For(ctx, settle)
-	if err := victim.Control(ctx, backend.Control{SlowFactor: new(victimSlow)}); err != nil {
+	pause.For(ctx, settleTime)
+	if err := victim.Control(ctx, backend.Control{SlowFactor: new(victimSlowFactor)}); err != nil {
 		return err
 	}
-	pause.For(ctx, victimFor)
+	pause.For(ctx, victimSlowTime)
 	killed := time.Now()
 	if err := victim.Backend.Kill(); err != nil {
 		return err
 	}
-	pause.For(ctx, 2*settle)
+	pause.For(ctx, 2*settleTime)
 	records := t.end()
 	d.records = append(d.records, records...)
 	printTraffic(records)
@@ -161,18 +164,18 @@
 	return d.checkKill(records, killed)
 }
 
-// checkKill allows a non-idempotent request to end without an answer if it was
-// in flight at the moment of the kill or shortly after.
+// checkKill permits failures only of non-idempotent requests that were in flight
+// during the kill or sent within settleTime after it.
 func (d *demo) checkKill(records []*record, killed time.Time) error {
 	var err error
 	for _, r := range records {
-		if r.verdict == verdict.Ran && r.fault == nil {
+		if r.verdict == verdict.Ran && r.answerError == nil {
 			continue
 		}
 		o, ok := d.graph.Operation(r.operation.Service, r.operation.Operation)
-		touched := !r.sent.Add(r.took).Before(killed) && r.sent.Before(killed.Add(settle))
+		touched := !r.sent.Add(r.took).Before(killed) && r.sent.Before(killed.Add(settleTime))
 		if !ok || o.Idempotent || !touched {
-			err = errors.Join(err, mustRun([]*record{r}))
+			err = errors.Join(err, checkAllRan([]*record{r}))
 		}
 	}
 	return err
--- a/cmd/demo/table.go
+++ b/cmd/demo/table.go
@@ -11,13 +11,13 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// printRecords prints one line for each request.
+// printRecords prints a table with a line for each request.
 func printRecords(records []*record) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "   caller\toperation\taction\tverdict\treason\tattempts\tms\tanswer")
 	for _, r := range records {
 		fmt.Fprintf(w, "   %s\t%s\t%s\t%s\t%s\t%d\t%.1f\t%s\n", r.caller, r.operation, r.name(),
-			r.verdict, r.reason, r.attempts, float64(r.took.Microseconds())/1000, r.answer())
+			r.verdict, r.reason, r.attempts, float64(r.took.Microseconds())/1000, r.answerText())
 	}
 	w.Flush()
 }
@@ -29,10 +29,10 @@
 	return r.action
 }
 
-func (r *record) answer() string {
+func (r *record) answerText() string {
 	switch {
-	case r.fault != nil:
-		return "WRONG: " + r.fault.Error()
+	case r.answerError != nil:
+		return "WRONG: " + r.answerError.Error()
 	case r.body != "":
 		return "complete"
 	default:
@@ -40,10 +40,10 @@
 	}
 }
 
-// letter stands for one request in the lines of printTraffic.
-func (r *record) letter() byte {
+// symbol returns the letter for a request in the output of printTraffic.
+func (r *record) symbol() byte {
 	switch {
-	case r.fault != nil:
+	case r.answerError != nil:
 		return '!'
 	case r.verdict == verdict.Ran:
 		return 'R'
@@ -54,17 +54,17 @@
 	}
 }
 
-// printTraffic prints a letter for each request, a line for each caller, and a
-// full line for each request that did not run to its answer.
+// printTraffic prints a line with a letter for each request of a caller, then a
+// table of the requests that did not get their answer.
 func printTraffic(records []*record) {
 	fmt.Println("   each request in order: R ran, N not run, M may have run, ! wrong answer")
 	lines := make(map[string][]byte)
 	slowest := make(map[string]time.Duration)
 	var odd []*record
 	for _, r := range records {
-		lines[r.caller] = append(lines[r.caller], r.letter())
+		lines[r.caller] = append(lines[r.caller], r.symbol())
 		slowest[r.caller] = max(slowest[r.caller], r.took)
-		if r.letter() != 'R' {
+		if r.symbol() != 'R' {
 			odd = append(odd, r)
 		}
 	}
@@ -81,7 +81,7 @@
 	}
 }
 
-// printVerdicts prints how many requests of each operation got each verdict.
+// printVerdicts prints the number of requests by operation and verdict.
 func printVerdicts(records []*record) {
 	type row struct{ ran, notRun, mayHaveRun int }
 	rows := make(map[string]*row)
--- a/cmd/demo/traffic.go
+++ b/cmd/demo/traffic.go
@@ -14,7 +14,7 @@
 	"github.com/cassialoom/cassialoom/verdict"
 )
 
-// record is what one caller saw of one request.
+// record is one request of a caller and its result.
 type record struct {
 	step      string
 	caller    string
@@ -30,11 +30,11 @@
 	body      string
 	key       string
 	requestID string
-	// fault says what is wrong with the answer, whatever the verdict.
-	fault error
+	// answerError is the error in the answer, whatever the verdict.
+	answerError error
 }
 
-// newRequest is a request of its own; a non-idempotent one has a minted key.
+// newRequest returns a new request; a non-idempotent one gets a minted key.
 func newRequest(o *graph.Operation, action string) caller.Request {
 	return caller.Request{
 		Service:    o.Service,
@@ -45,15 +45,15 @@
 	}
 }
 
-// resendOf is the request of the record once more, under its key and id.
-func resendOf(o *graph.Operation, r *record) caller.Request {
+// newResend returns the request of the record again, with its key and request ID.
+func newResend(o *graph.Operation, r *record) caller.Request {
 	req := newRequest(o, r.action)
 	req.Key = r.key
 	req.RequestID = r.requestID
 	return req
 }
 
-// send sends a request and records what became of it.
+// send sends a request and returns the record of its result.
 func (d *demo) send(ctx context.Context, step string, c *client, o *graph.Operation, action string, req caller.Request) *record {
 	r := &record{step: step, caller: c.name, operation: o.Ref(), action: action, sent: time.Now()}
 	res, err := c.Do(ctx, req)
@@ -65,12 +65,12 @@
 	}
 	r.verdict, r.attempts, r.body = res.Verdict, res.Attempts, string(res.Body)
 	r.key, r.requestID = res.Key, res.RequestID
-	r.fault = d.checkAnswer(o, res, req.Body)
+	r.answerError = d.checkAnswer(o, res, req.Body)
 	return r
 }
 
-// checkAnswer reports whether the answer is the complete one to this request:
-// the same body through the whole chain, and every declared call in it.
+// checkAnswer checks that the answer is complete and belongs to this request:
+// each part has the request's body, and there is a part for each declared call.
 func (d *demo) checkAnswer(o *graph.Operation, res *caller.Response, body []byte) error {
 	if res.Status != 200 {
 		return fmt.Errorf("status %d: %s", res.Status, res.Body)
@@ -82,30 +82,30 @@
 	if err := a.Verify(o.Service, o.Name, res.RequestID, body); err != nil {
 		return err
 	}
-	return d.checkTree(o, &a)
+	return d.checkChildren(o, &a)
 }
 
-func (d *demo) checkTree(o *graph.Operation, a *backend.Answer) error {
+func (d *demo) checkChildren(o *graph.Operation, a *backend.Answer) error {
 	if len(a.Children) != len(o.DependsOn) {
-		return fmt.Errorf("%s holds %d answers, %d calls are declared", o.Ref(), len(a.Children), len(o.DependsOn))
+		return fmt.Errorf("answer of %s contains %d answers, %d calls are declared", o.Ref(), len(a.Children), len(o.DependsOn))
 	}
 	for i, ref := range o.DependsOn {
 		child := &a.Children[i]
 		if child.Service != ref.Service || child.Operation != ref.Operation {
-			return fmt.Errorf("%s holds an answer of %s.%s in place of %s", o.Ref(), child.Service, child.Operation, ref)
+			return fmt.Errorf("answer of %s contains an answer of %s.%s in place of %s", o.Ref(), child.Service, child.Operation, ref)
 		}
 		next, ok := d.graph.Operation(ref.Service, ref.Operation)
 		if !ok {
 			return fmt.Errorf("%s is not declared", ref)
 		}
-		if err := d.checkTree(next, child); err != nil {
+		if err := d.checkChildren(next, child); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// traffic is requests of all operations by all callers, until it is ended.
+// traffic is a set of callers that send requests until end.
 type traffic struct {
 	stop    context.CancelFunc
 	done    sync.WaitGroup
@@ -113,18 +113,18 @@
 	records []*record
 }
 
-// sendEvery is the pause between two requests of one caller.
-const sendEvery = 50 * time.Millisecond
+// sendInterval is the pause between two requests of one caller.
+const sendInterval = 50 * time.Millisecond
 
-// startTraffic lets every caller send requests one after the other. Ending it
-// lets requests under way finish.
+// startTraffic starts all callers, which send all operations in turn. Requests
+// in flight at the end complete.
 func (d *demo) startTraffic(ctx context.Context, step string) *traffic {
 	ctx, stop := context.WithCancel(ctx)
 	t := &traffic{stop: stop}
 	operations := d.operations()
 	for k, c := range d.callers {
 		t.done.Go(func() {
-			for n := 0; pause.For(ctx, sendEvery); n++ {
+			for n := 0; pause.For(ctx, sendInterval); n++ {
 				o := operations[(n+k)%len(operations)]
 				action := fmt.Sprintf("%s-%d-%d", step, k+1, n+1)
 				t.add(d.send(context.WithoutCancel(ctx), step, c, o, action, newRequest(o, action)))
@@ -140,7 +140,7 @@
 	t.records = append(t.records, r)
 }
 
-// end returns the records of all requests.
+// end stops the callers and returns the records of all requests.
 func (t *traffic) end() []*record {
 	t.stop()
 	t.done.Wait()
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,7 +1,7 @@
-// Command measure runs load scenarios against a whole system of separate
-// processes on loopback, with the product's overload policy and with simpler
-// ones, and writes a table with the spread over the repeats, figures of each
-// run and plots to a folder.
+// Command measure runs load scenarios against a system of separate processes on
+// loopback, with the full overload policy and with simpler baselines. It writes a
+// table of medians and ranges over the repeats, the figures of each run and plots
+// to a folder.
 package main
 
 import (
@@ -31,7 +31,8 @@
 	List      bool     `long:"list" description:"list the scenarios and end"`
 }
 
-// The policies. Nodes know all but the last, which is another build's full.
+// The policies. The nodes support all but policyEarlier, which is the policy
+// "full" of another build.
 const (
 	policyFull    = "full"
 	policyNone    = "none"
@@ -109,10 +110,10 @@
 	return rep.writeTable()
 }
 
-// measureUser runs the policies one after the other within each repeat, so
-// that a slow time of the machine falls on all of them.
+// measureUser alternates between the policies within each repeat, so that slow
+// phases of the machine affect all of them.
 func measureUser(ctx context.Context, opts options, u *user, rep *report) error {
-	for _, s := range chosen(opts.Scenarios) {
+	for _, s := range selectScenarios(opts.Scenarios) {
 		for repeat := range opts.Repeats {
 			for _, policy := range opts.Policies {
 				seed := opts.Seed + uint64(repeat)
@@ -125,17 +126,17 @@
 	return nil
 }
 
-// tries is how often a run is made anew if the machine stood still in it.
-const tries = 3
+// maxTries bounds the runs of a measurement whose runs had stalls of the machine.
+const maxTries = 3
 
 func measureOne(ctx context.Context, opts options, u *user, s scenario, policy string, repeat int, seed uint64, rep *report) error {
-	for try := range tries {
+	for try := range maxTries {
 		out, err := runOnce(ctx, opts, u, s, policy, seed)
 		if err != nil {
 			return err
 		}
-		if out.stall > stallLimit && try < tries-1 {
-			fmt.Printf("%-11s %-18s %-8s the machine stood still for %v: run again\n", u.name, s.name, policy, out.stall)
+		if out.stall > maxStall && try < maxTries-1 {
+			fmt.Printf("%-11s %-18s %-8s the machine stalled for %v: run again\n", u.name, s.name, policy, out.stall)
 			continue
 		}
 		return rep.add(u, s, policy, repeat, out)
--- a/cmd/measure/measure_test.go
+++ b/cmd/measure/measure_test.go
@@ -14,14 +14,14 @@
 	"github.com/cassialoom/cassialoom/internal/rig/load"
 )
 
-// The limit that a scenario is compared with takes its trigger into account;
-// without a trigger it is all that is offered.
+// Guards against a best possible goodput that ignores the trigger of a scenario,
+// or that is below the offered load without one.
 func TestScenariosLowerTheLimit(t *testing.T) {
 	for _, name := range []string{"savukartta", "hallwyl"} {
 		u, err := loadUser(name, "../../examples")
 		is.New(t).NoErr(err)
 		best := func(s scenario) (sum, offered float64) {
-			offered = u.full * s.load()
+			offered = u.saturationRate * s.load()
 			for _, rate := range u.model(s).Best(u.model(s).Offered(offered)) {
 				sum += rate
 			}
@@ -32,25 +32,25 @@
 				is := is.New(t)
 				sum, offered := best(s)
 				is.True(sum > 0 && sum <= offered*(1+1e-9))
-				tight := s.surge > 1 || s.slow != nil || s.name == "centres-lost" || s.name == "restart"
+				tight := s.surge > 1 || s.slowdown != nil || s.name == "centres-lost" || s.name == "restart"
 				is.Equal(sum < 0.95*offered, tight)
 			})
 		}
 	}
 }
 
-// The figures of two repeats: each cell has the middle and the ends.
+// Guards against a table cell without the median and the range of the repeats.
 func TestTableShowsTheSpread(t *testing.T) {
 	is := is.New(t)
 	fast, slow := load.Figures{Good: 10, Recovered: true}, load.Figures{Good: 30}
 	texts := spread([]load.Figures{slow, fast, slow})
-	names := rowOf(fast)
+	names := newRow(fast)
 	is.Equal(names[1].name, "good/s")
 	is.Equal(texts[1], "30 (10 to 30)")
 	is.Equal(texts[0], "0")
 }
 
-// A plot is well-formed, and nothing is drawn above its panel.
+// Guards against malformed SVG and against bars that exceed their panel.
 func TestPlotIsWellFormed(t *testing.T) {
 	is := is.New(t)
 	var low, high [importance.Count]int
--- a/cmd/measure/plot.go
+++ b/cmd/measure/plot.go
@@ -10,8 +10,8 @@
 	"github.com/cassialoom/cassialoom/internal/rig/load"
 )
 
-// plot shows goodput over time by importance, one panel for each policy, all
-// with the same scale, the time of the trigger shaded.
+// plot shows goodput over time by importance, with a panel of the same scale for
+// each policy. The time of the trigger is shaded.
 type plot struct {
 	title   string
 	trigger time.Duration
@@ -24,7 +24,7 @@
 	buckets []load.Bucket
 }
 
-// Sizes in pixels.
+// Layout in pixels.
 const (
 	panelWidth  = 900
 	panelHeight = 220
@@ -35,7 +35,7 @@
 	gridLines   = 4
 )
 
-// colours by importance, from low to critical.
+// colours are indexed by importance, from low to critical.
 var colours = [importance.Count]string{"#b0b0b0", "#6baed6", "#fd8d3c", "#d7301f"}
 
 func (p *plot) svg() []byte {
@@ -64,7 +64,7 @@
 		marginLeft+importance.Count*legendStep)
 }
 
-// top is the highest goodput of all panels.
+// top returns the highest goodput of all panels, in requests a second.
 func (p *plot) top() float64 {
 	top := 1.0
 	for _, panel := range p.panels {
--- a/cmd/measure/report.go
+++ b/cmd/measure/report.go
@@ -14,40 +14,40 @@
 	"github.com/cassialoom/cassialoom/internal/rig/load"
 )
 
-// bucketWidth of the timelines and plots.
+// bucketWidth is the resolution of the timelines and plots.
 const bucketWidth = 250 * time.Millisecond
 
-// key names the runs that are repeats of each other.
-type key struct {
+// runKey identifies the runs that are repeats of each other.
+type runKey struct {
 	user     string
 	scenario string
 	policy   string
 }
 
-// report collects the runs and writes what was asked for.
+// report collects the results of runs and writes them to a folder.
 type report struct {
 	dir   string
-	order []key
-	runs  map[key][]load.Figures
+	order []runKey
+	runs  map[runKey][]load.Figures
 	plots map[string]*plot
 }
 
 func newReport(dir string) *report {
-	return &report{dir: dir, runs: make(map[key][]load.Figures), plots: make(map[string]*plot)}
+	return &report{dir: dir, runs: make(map[runKey][]load.Figures), plots: make(map[string]*plot)}
 }
 
-// add takes a run in, and writes its timeline, the plot of its scenario and
-// the table so far: a measurement that is broken off keeps what it has.
+// add adds a run and writes its timeline, its row and its plot at once, so that
+// an interrupted measurement keeps its results.
 func (r *report) add(u *user, s scenario, policy string, repeat int, out outcome) error {
-	k := key{user: u.name, scenario: s.name, policy: policy}
+	k := runKey{user: u.name, scenario: s.name, policy: policy}
 	if _, ok := r.runs[k]; !ok {
 		r.order = append(r.order, k)
 	}
 	r.runs[k] = append(r.runs[k], out.figures)
-	line := rowOf(out.figures)
+	line := newRow(out.figures)
 	fmt.Printf("%-11s %-18s %-8s %s\n", u.name, s.name, policy, line.short())
-	if out.stall > stallLimit {
-		fmt.Printf("%-11s %-18s %-8s NOT VALID: the machine stood still for %v\n", u.name, s.name, policy, out.stall)
+	if out.stall > maxStall {
+		fmt.Printf("%-11s %-18s %-8s NOT VALID: the machine stalled for %v\n", u.name, s.name, policy, out.stall)
 	}
 	buckets := out.run.Timeline(bucketWidth)
 	name := fmt.Sprintf("%s-%s-%s-%d", u.name, s.name, policy, repeat+1)
@@ -67,7 +67,7 @@
 	name := u.name + "-" + s.name
 	p, ok := r.plots[name]
 	if !ok {
-		p = &plot{title: u.name + ": " + s.title, trigger: triggerFor, width: bucketWidth}
+		p = &plot{title: u.name + ": " + s.title, trigger: triggerTime, width: bucketWidth}
 		r.plots[name] = p
 	}
 	p.panels = append(p.panels, panel{title: policy, buckets: buckets})
@@ -99,7 +99,7 @@
 }
 
 // writeRow appends one run to runs.csv.
-func (r *report) writeRow(k key, repeat int, out outcome) error {
+func (r *report) writeRow(k runKey, repeat int, out outcome) error {
 	path := filepath.Join(r.dir, "runs.csv")
 	_, err := os.Stat(path)
 	fresh := os.IsNotExist(err)
@@ -109,7 +109,7 @@
 	}
 	defer file.Close()
 	w := csv.NewWriter(file)
-	cells := rowOf(out.figures)
+	cells := newRow(out.figures)
 	if fresh {
 		header := []string{"user", "scenario", "policy", "repeat", "stall_ms"}
 		for _, c := range cells {
@@ -126,10 +126,10 @@
 	return w.Error()
 }
 
-// writeTable writes medians with the least and the greatest value.
+// writeTable writes the median, minimum and maximum of each figure to table.md.
 func (r *report) writeTable() error {
 	var b bytes.Buffer
-	names := rowOf(load.Figures{})
+	names := newRow(load.Figures{})
 	fmt.Fprint(&b, "| user | scenario | policy | runs |")
 	for _, c := range names {
 		fmt.Fprintf(&b, " %s |", c.name)
@@ -152,7 +152,7 @@
 func spread(runs []load.Figures) []string {
 	rows := make([]row, len(runs))
 	for i, f := range runs {
-		rows[i] = rowOf(f)
+		rows[i] = newRow(f)
 	}
 	texts := make([]string, len(rows[0]))
 	for column := range texts {
--- a/cmd/measure/row.go
+++ b/cmd/measure/row.go
@@ -14,16 +14,16 @@
 	name   string
 	format string
 	value  float64
-	// brief cells are printed while the measurement runs.
+	// brief figures are also printed during the measurement.
 	brief bool
 }
 
 type row []cell
 
-// neverRecovered stands for a recovery that did not come within the run.
+// neverRecovered is the value of a recovery that did not happen within the run.
 const neverRecovered = -1
 
-func rowOf(f load.Figures) row {
+func newRow(f load.Figures) row {
 	recovery := f.Recovery.Seconds()
 	if !f.Recovered {
 		recovery = neverRecovered
@@ -66,7 +66,7 @@
 	)
 }
 
-// short is the line printed while the measurement runs.
+// short returns the brief figures as one line.
 func (r row) short() string {
 	var parts []string
 	for _, c := range r {
@@ -77,7 +77,8 @@
 	return strings.Join(parts, " | ")
 }
 
-// spread is the median with the least and the greatest of sorted values.
+// spread formats the median of sorted values, with minimum and maximum if they
+// differ.
 func (c cell) spread(sorted []float64) string {
 	median := fmt.Sprintf(c.format, sorted[len(sorted)/2])
 	low, high := fmt.Sprintf(c.format, sorted[0]), fmt.Sprintf(c.format, sorted[len(sorted)-1])
--- a/cmd/measure/run.go
+++ b/cmd/measure/run.go
@@ -12,34 +12,35 @@
 	"github.com/cassialoom/cassialoom/internal/standin/backend"
 )
 
-// The times of a run. Before the trigger: long enough for cold starts and for
-// a level to compare with; after it: three times the recovery that is aimed at.
+// The phases of a run. The warm-up covers cold starts, the baseline phase gives
+// the figures before the trigger, and recoveryTime exceeds the target for
+// recovery.
 const (
-	warmFor    = coldFor + time.Second
-	beforeFor  = 4 * time.Second
-	triggerFor = 6 * time.Second
-	afterFor   = 8 * time.Second
+	warmUpTime   = coldStartTime + time.Second
+	baselineTime = 4 * time.Second
+	triggerTime  = 6 * time.Second
+	recoveryTime = 8 * time.Second
 
-	// baseLoad is the load but for the trigger, as a multiple of what fills
-	// the system.
+	// baseLoad is the load outside the trigger, as a multiple of the saturation
+	// rate.
 	baseLoad = 0.7
-	// stallLimit is how long the machine may stand still in a valid run.
-	stallLimit = 100 * time.Millisecond
-	stopLimit  = 10 * time.Second
-	startLimit = 60 * time.Second
-	// supervisePoll is how often crashed backend servers are started again.
-	supervisePoll = 200 * time.Millisecond
+	// maxStall is the longest stall of the machine in a valid run.
+	maxStall     = 100 * time.Millisecond
+	stopTimeout  = 10 * time.Second
+	startTimeout = 60 * time.Second
+	// superviseInterval is the time between restarts of crashed backend servers.
+	superviseInterval = 200 * time.Millisecond
 )
 
 // system is a running system under load.
 type system struct {
 	user    *user
 	cluster *rig.Cluster
-	// mu keeps the supervisor away while a trigger changes the processes.
+	// mu keeps the supervisor from acting while a trigger changes the processes.
 	mu sync.Mutex
 }
 
-// outcome is what one run gave.
+// outcome is the result of one run.
 type outcome struct {
 	run     *load.Run
 	figures load.Figures
@@ -56,7 +57,7 @@
 		return outcome{}, err
 	}
 	defer func() {
-		err = errors.Join(err, r.Close(stopLimit))
+		err = errors.Join(err, r.Close(stopTimeout))
 		if err != nil {
 			err = fmt.Errorf("%w (logs: %s)", err, r.Dir())
 			return
@@ -67,11 +68,11 @@
 	if err != nil {
 		return outcome{}, err
 	}
-	return sys.observe(ctx, s, seed)
+	return sys.runLoad(ctx, s, seed)
 }
 
 func startSystem(ctx context.Context, r *rig.Rig, u *user, policy string, seed uint64) (*system, error) {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	cluster, err := r.StartCluster(ctx, u.shape, rig.Options{
 		Seed:     seed,
@@ -80,7 +81,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := cluster.Publish(ctx, u.file); err != nil {
+	if _, err := cluster.Publish(ctx, u.graphFile); err != nil {
 		return nil, err
 	}
 	if err := cluster.Await(ctx, "/readyz", cluster.Instances); err != nil {
@@ -89,7 +90,8 @@
 	return &system{user: u, cluster: cluster}, cluster.AwaitView(ctx, cluster.Instances)
 }
 
-// nodeArgs gives the baseline with a fixed limit the right one: the slots.
+// nodeArgs returns the arguments for the policy. The fixed limit is the number of
+// slots, the best value for that policy.
 func nodeArgs(s rig.ServiceShape, policy string) []string {
 	switch policy {
 	case policyNone:
@@ -101,24 +103,24 @@
 	}
 }
 
-// observe puts the system under load, with the trigger on for its time.
-func (s *system) observe(ctx context.Context, sc scenario, seed uint64) (outcome, error) {
+// runLoad puts the system under load, with the trigger active during its phase.
+func (s *system) runLoad(ctx context.Context, sc scenario, seed uint64) (outcome, error) {
 	callers, hard := sc.callers()
 	arrivals := load.Schedule(s.phases(sc), s.user.mix, len(s.cluster.Instances), hard, seed)
-	offered := load.Rates(arrivals, len(s.user.mix), warmFor+beforeFor, warmFor+beforeFor+triggerFor)
+	offered := load.Rates(arrivals, len(s.user.mix), warmUpTime+baselineTime, warmUpTime+baselineTime+triggerTime)
 	if sc.poison {
-		arrivals = load.Merge(arrivals, s.user.poisoned())
+		arrivals = load.Merge(arrivals, s.user.poisonArrivals())
 	}
 	g := &load.Generator{Nodes: s.cluster.CallerAddrs(), Mix: s.user.mix, Callers: callers}
 	stalls := rig.WatchStalls()
 	defer stalls.Stop()
 	start := time.Now()
-	triggerFrom := start.Add(warmFor + beforeFor)
+	triggerFrom := start.Add(warmUpTime + baselineTime)
 	run := &load.Run{
 		Mix:     s.user.mix,
-		Before:  load.Span{From: start.Add(warmFor), To: triggerFrom},
-		Trigger: load.Span{From: triggerFrom, To: triggerFrom.Add(triggerFor)},
-		End:     triggerFrom.Add(triggerFor + afterFor),
+		Before:  load.Span{From: start.Add(warmUpTime), To: triggerFrom},
+		Trigger: load.Span{From: triggerFrom, To: triggerFrom.Add(triggerTime)},
+		End:     triggerFrom.Add(triggerTime + recoveryTime),
 		Best:    s.user.model(sc).Best(offered),
 	}
 	supervised, stop := context.WithCancel(ctx)
@@ -150,9 +152,9 @@
 
 func (s *system) phases(sc scenario) []load.Phase {
 	return []load.Phase{
-		{Length: warmFor + beforeFor, Rate: s.user.full * baseLoad},
-		{Length: triggerFor, Rate: s.user.full * sc.load()},
-		{Length: afterFor, Rate: s.user.full * baseLoad},
+		{Length: warmUpTime + baselineTime, Rate: s.user.saturationRate * baseLoad},
+		{Length: triggerTime, Rate: s.user.saturationRate * sc.load()},
+		{Length: recoveryTime, Rate: s.user.saturationRate * baseLoad},
 	}
 }
 
@@ -169,37 +171,37 @@
 		if step.do == nil {
 			continue
 		}
-		if err := s.locked(ctx, step.do); err != nil {
+		if err := s.withLock(ctx, step.do); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *system) locked(ctx context.Context, do func(context.Context, *system) error) error {
+func (s *system) withLock(ctx context.Context, do func(context.Context, *system) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return do(ctx, s)
 }
 
-// supervise starts crashed backend servers again, as a platform would.
+// supervise restarts crashed backend servers, as the platform does.
 func (s *system) supervise(ctx context.Context, sc scenario) {
 	if !sc.poison {
 		return
 	}
-	ticker := time.NewTicker(supervisePoll)
+	ticker := time.NewTicker(superviseInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.restartEnded()
+			s.restartCrashedBackends()
 		}
 	}
 }
 
-func (s *system) restartEnded() {
+func (s *system) restartCrashedBackends() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, i := range s.cluster.Instances {
@@ -212,9 +214,8 @@
 	}
 }
 
-// executions collects the logs of all backend servers. What ran in a process
-// that was killed is lost with it; the share of wasted work then speaks of the
-// others alone.
+// executions collects the execution logs of all running backend servers. Those of
+// killed processes are lost, so the share of wasted work covers only the others.
 func (s *system) executions(ctx context.Context) ([]backend.Execution, error) {
 	var all []backend.Execution
 	for _, i := range s.cluster.Instances {
--- a/cmd/measure/scenarios.go
+++ b/cmd/measure/scenarios.go
@@ -14,25 +14,25 @@
 	"github.com/cassialoom/cassialoom/internal/standin/backend"
 )
 
-// scenario is a trigger that is on for a while and then gone. The zero value
-// has none.
+// scenario is a trigger that is active for a while. The zero value has no
+// trigger.
 type scenario struct {
 	name  string
 	title string
-	// surge is the load while the trigger is on, as a multiple of what fills
-	// the system; zero for the base load.
+	// surge is the load during the trigger, as a multiple of the saturation rate;
+	// 0 is the base load.
 	surge float64
-	// begin and end switch the rest of the trigger on and off; nil for nothing.
+	// begin and end switch other triggers on and off; nil does nothing.
 	begin func(context.Context, *system) error
 	end   func(context.Context, *system) error
-	// capacity is the share of a service's slots that is there meanwhile, and
-	// slow the factor of its service times; nil for 1.
+	// capacity is the share of a service's slots that remains during the trigger;
+	// slowdown is the factor of its service times. nil means 1.
 	capacity func(*user, rig.ServiceShape) float64
-	slow     func(u *user, service string) float64
-	// storm makes all callers resend hard and often.
-	storm bool
-	// poison lets one caller send a request that crashes the deep service's
-	// backend servers, again and again while the trigger is on.
+	slowdown func(u *user, service string) float64
+	// retryStorm makes all callers resend often and without regard to Retry-After.
+	retryStorm bool
+	// poison has one caller repeat a request that crashes the backend servers of
+	// the deep service while the trigger is active.
 	poison bool
 }
 
@@ -43,18 +43,18 @@
 	return s.capacity(u, service)
 }
 
-func (s scenario) slowOf(u *user, service string) float64 {
-	if s.slow == nil {
+func (s scenario) slowdownOf(u *user, service string) float64 {
+	if s.slowdown == nil {
 		return 1
 	}
-	return s.slow(u, service)
+	return s.slowdown(u, service)
 }
 
 const (
 	stragglerFactor = 20.0
 	allSlowFactor   = 3.0
 	stormSurge      = 1.5
-	lostCentres     = 2
+	lostDataCentres = 2
 )
 
 var scenarios = []scenario{
@@ -64,44 +64,44 @@
 	{name: "surge-10", title: "10x load", surge: 10},
 	{
 		name: "straggler-deep", title: "one backend server of the deep service 20x slower",
-		begin: slowOne(deepService, stragglerFactor), end: slowOne(deepService, 1), capacity: oneLost(deepService),
+		begin: slowOne(deepService, stragglerFactor), end: slowOne(deepService, 1), capacity: capacityWithStraggler(deepService),
 	},
 	{
 		name: "straggler-wide", title: "one of five backend servers 20x slower",
-		begin: slowOne(wideService, stragglerFactor), end: slowOne(wideService, 1), capacity: oneLost(wideService),
+		begin: slowOne(wideService, stragglerFactor), end: slowOne(wideService, 1), capacity: capacityWithStraggler(wideService),
 	},
 	{
 		name: "deep-slow", title: "all backend servers of the deep service 3x slower",
-		begin: slowDeep(allSlowFactor), end: slowDeep(1), slow: deepFactor(allSlowFactor),
+		begin: slowDeep(allSlowFactor), end: slowDeep(1), slowdown: deepSlowdown(allSlowFactor),
 	},
 	{
 		name: "centres-lost", title: "two of three data centres lost, then back",
-		begin: loseCentres, end: restoreCentres, capacity: centresLeft,
+		begin: killDataCentres, end: restartDataCentres, capacity: remainingCapacity,
 	},
 	{
 		name: "restart", title: "every backend server of the deep service stopped as planned and started, cold",
-		begin: restartDeep, capacity: coldDeep(backend.DefaultConfig().DrainQuiet),
+		begin: restartDeep, capacity: coldStartCapacity(backend.DefaultConfig().DrainQuiet),
 	},
 	{
 		name: "crash-all", title: "every backend server of the deep service killed and started, cold",
-		begin: crashDeep, capacity: coldDeep(0),
+		begin: crashDeep, capacity: coldStartCapacity(0),
 	},
 	{
 		name: "load-zero", title: "1.5x load, load endpoints stuck at zero", surge: 1.5,
-		begin: stickLoad(backend.LoadStuckZero), end: stickLoad(backend.LoadTrue),
+		begin: setLoadMode(backend.LoadStuckZero), end: setLoadMode(backend.LoadTrue),
 	},
 	{
 		name: "load-full", title: "1.5x load, load endpoints stuck at full", surge: 1.5,
-		begin: stickLoad(backend.LoadStuckFull), end: stickLoad(backend.LoadTrue),
+		begin: setLoadMode(backend.LoadStuckFull), end: setLoadMode(backend.LoadTrue),
 	},
-	{name: "retry-storm", title: "1.5x load, all callers resend hard, 10 attempts", surge: stormSurge, storm: true},
-	{name: "poison", title: "a request that crashes the deep service, sent every 0.5 s", poison: true, end: restartCrashed},
+	{name: "retry-storm", title: "1.5x load, all callers resend hard, 10 attempts", surge: stormSurge, retryStorm: true},
+	{name: "poison", title: "a request that crashes the deep service, sent every 0.5 s", poison: true, end: awaitSupervisor},
 	{name: "calm-log-out", title: "0.7x load, log outage", begin: logOutage},
 	{name: "surge-3-log-out", title: "3x load, log outage", surge: 3, begin: logOutage},
 	{name: "surge-10-log-out", title: "10x load, log outage", surge: 10, begin: logOutage},
 	{
 		name: "surge-straggler", title: "3x load and one backend server of the deep service 20x slower", surge: 3,
-		begin: slowOne(deepService, stragglerFactor), end: slowOne(deepService, 1), capacity: oneLost(deepService),
+		begin: slowOne(deepService, stragglerFactor), end: slowOne(deepService, 1), capacity: capacityWithStraggler(deepService),
 	},
 }
 
@@ -114,7 +114,7 @@
 	return scenario{}, false
 }
 
-func chosen(names []string) []scenario {
+func selectScenarios(names []string) []scenario {
 	if len(names) == 0 {
 		return scenarios
 	}
@@ -142,9 +142,9 @@
 	}
 }
 
-// oneLost counts a straggler's slots as lost but for the work that it still
-// does.
-func oneLost(service func(*user) string) func(*user, rig.ServiceShape) float64 {
+// capacityWithStraggler counts the slots of one backend server at the reduced
+// rate of the straggler.
+func capacityWithStraggler(service func(*user) string) func(*user, rig.ServiceShape) float64 {
 	return func(u *user, shape rig.ServiceShape) float64 {
 		if shape.Name != service(u) {
 			return 1
@@ -169,7 +169,7 @@
 	}
 }
 
-func deepFactor(factor float64) func(*user, string) float64 {
+func deepSlowdown(factor float64) func(*user, string) float64 {
 	return func(u *user, service string) float64 {
 		if service == u.deep {
 			return factor
@@ -178,7 +178,7 @@
 	}
 }
 
-func stickLoad(mode backend.LoadMode) func(context.Context, *system) error {
+func setLoadMode(mode backend.LoadMode) func(context.Context, *system) error {
 	return func(ctx context.Context, s *system) error {
 		for _, i := range s.cluster.Instances {
 			if err := i.Control(ctx, backend.Control{Load: new(mode)}); err != nil {
@@ -190,11 +190,11 @@
 }
 
 func logOutage(ctx context.Context, s *system) error {
-	return s.cluster.LogOutage(ctx, triggerFor)
+	return s.cluster.LogOutage(ctx, triggerTime)
 }
 
-// loseCentres kills nodes and backend servers alike.
-func loseCentres(_ context.Context, s *system) error {
+// killDataCentres kills the nodes and backend servers of all data centres but one.
+func killDataCentres(_ context.Context, s *system) error {
 	for _, i := range s.lostInstances() {
 		if err := i.Backend.Kill(); err != nil {
 			return err
@@ -207,7 +207,7 @@
 }
 
 func (s *system) lostInstances() []*rig.Instance {
-	kept := s.user.shape.DataCentres[lostCentres:]
+	kept := s.user.shape.DataCentres[lostDataCentres:]
 	var list []*rig.Instance
 	for _, i := range s.cluster.Instances {
 		if i.DataCentre != kept[0] {
@@ -217,7 +217,7 @@
 	return list
 }
 
-func restoreCentres(_ context.Context, s *system) error {
+func restartDataCentres(_ context.Context, s *system) error {
 	for _, i := range s.lostInstances() {
 		if err := s.cluster.RestartNode(i); err != nil {
 			return err
@@ -229,28 +229,28 @@
 	return nil
 }
 
-func centresLeft(u *user, shape rig.ServiceShape) float64 {
+func remainingCapacity(u *user, shape rig.ServiceShape) float64 {
 	left := 0
 	for k := range shape.Targets {
-		if k%len(u.shape.DataCentres) == lostCentres {
+		if k%len(u.shape.DataCentres) == lostDataCentres {
 			left++
 		}
 	}
 	return float64(left) / float64(shape.Targets)
 }
 
-// restartDeep stops all backend servers of the deep service at once, in the
-// planned way; each starts again as soon as it has stopped, and cold.
+// restartDeep stops all backend servers of the deep service gracefully and at
+// once. Each starts again, cold, as soon as it has stopped.
 func restartDeep(_ context.Context, s *system) error {
-	return s.againDeep(func(p *rig.Process) error { return p.Stop(stopLimit) })
+	return s.restartAllDeep(func(p *rig.Process) error { return p.Stop(stopTimeout) })
 }
 
-// crashDeep kills them.
+// crashDeep kills all backend servers of the deep service and starts them again.
 func crashDeep(_ context.Context, s *system) error {
-	return s.againDeep((*rig.Process).Kill)
+	return s.restartAllDeep((*rig.Process).Kill)
 }
 
-func (s *system) againDeep(end func(*rig.Process) error) error {
+func (s *system) restartAllDeep(end func(*rig.Process) error) error {
 	instances := s.cluster.Of(s.user.deep)
 	errs := make([]error, len(instances))
 	var all sync.WaitGroup
@@ -265,36 +265,37 @@
 	return errors.Join(errs...)
 }
 
-// coldDeep is the mean capacity over the trigger's time: none while the deep
-// service is away, then service times that fall linearly from the factor to 1
-// during the cold start.
-func coldDeep(away time.Duration) func(*user, rig.ServiceShape) float64 {
+// coldStartCapacity returns the mean capacity of the deep service over the
+// trigger: zero during downtime, then cold starts, in which service times fall
+// linearly from coldStartFactor to 1.
+func coldStartCapacity(away time.Duration) func(*user, rig.ServiceShape) float64 {
 	return func(u *user, shape rig.ServiceShape) float64 {
 		if shape.Name != u.deep {
 			return 1
 		}
-		cold := math.Log(coldFactor) / (coldFactor - 1) * coldFor.Seconds()
-		warm := (triggerFor - away - coldFor).Seconds()
-		return (cold + warm) / triggerFor.Seconds()
+		cold := math.Log(coldStartFactor) / (coldStartFactor - 1) * coldStartTime.Seconds()
+		warm := (triggerTime - away - coldStartTime).Seconds()
+		return (cold + warm) / triggerTime.Seconds()
 	}
 }
 
-// restartCrashed waits until the supervisor has seen the last crash.
-func restartCrashed(ctx context.Context, _ *system) error {
+// awaitSupervisor waits until the supervisor can have restarted crashed backend
+// servers.
+func awaitSupervisor(ctx context.Context, _ *system) error {
 	select {
 	case <-ctx.Done():
-	case <-time.After(supervisePoll):
+	case <-time.After(superviseInterval):
 	}
 	return nil
 }
 
-// poisonEvery is how often the caller of a poison request sends it again.
-const poisonEvery = 500 * time.Millisecond
+// poisonInterval is the time between two sendings of the poison request.
+const poisonInterval = 500 * time.Millisecond
 
-// poisoned returns the requests with the fatal body.
-func (u *user) poisoned() []load.Arrival {
+// poisonArrivals returns the arrivals of requests that crash the deep service.
+func (u *user) poisonArrivals() []load.Arrival {
 	var list []load.Arrival
-	for at := warmFor + beforeFor; at < warmFor+beforeFor+triggerFor; at += poisonEvery {
+	for at := warmUpTime + baselineTime; at < warmUpTime+baselineTime+triggerTime; at += poisonInterval {
 		list = append(list, load.Arrival{
 			At:    at,
 			Class: u.deepClass(),
@@ -307,15 +308,16 @@
 	return list
 }
 
-// deepClass is the first class whose requests reach the deep service.
+// deepClass returns the first class whose requests reach the deep service.
 func (u *user) deepClass() int {
 	return slices.IndexFunc(u.mix, func(c load.Class) bool { return slices.Contains(c.Reach, u.deep) })
 }
 
-// callers of the scenario, and the share of them that resends hard.
+// callers returns the settings of the callers and the share of them that resends
+// hard: at once and without regard to Retry-After.
 func (s scenario) callers() (load.Callers, float64) {
 	c := load.DefaultCallers()
-	if !s.storm {
+	if !s.retryStorm {
 		return c, hardShare
 	}
 	c.HardAttempts = stormAttempts
@@ -324,7 +326,7 @@
 }
 
 const (
-	// hardShare is the share of callers that resend hard.
+	// hardShare is the share of callers that resend hard; see load.Arrival.
 	hardShare     = 0.5
 	stormAttempts = 10
 	stormPause    = 5 * time.Millisecond
--- a/cmd/measure/users.go
+++ b/cmd/measure/users.go
@@ -13,32 +13,32 @@
 	"github.com/cassialoom/cassialoom/internal/rig/load"
 )
 
-// user is one user's system, scaled to one machine: all targets, with a part
-// of their slots, and service times that bring the rate at which the system
-// is full to some hundreds of requests a second.
+// user is the system of one user, scaled to one machine: all targets with a part
+// of their slots, and longer service times that lower the saturation rate.
 type user struct {
-	name  string
-	graph *graph.Graph
-	file  string
-	shape rig.Shape
-	mix   []load.Class
-	times map[string]time.Duration // mean service time, by operation
-	// deep is the service that is full first and that all others wait for;
+	name         string
+	graph        *graph.Graph
+	graphFile    string
+	shape        rig.Shape
+	mix          []load.Class
+	serviceTimes map[string]time.Duration // mean, by operation
+	// deep is the service that saturates first and that all others depend on;
 	// wide is the one with five targets.
 	deep string
 	wide string
-	// full is the rate of arrivals at which the first service is full.
-	full float64
+	// saturationRate is the rate of arrivals, in requests a second, at which the
+	// first service has no free slots.
+	saturationRate float64
 }
 
 const (
 	// slotShare scales the slots of the users' targets.
 	slotShare = 0.4
-	// sigma is that of the stand-in's lognormal service times.
-	sigma = 0.7
-	// coldFor and coldFactor are those of every start of a backend server.
-	coldFor    = 3 * time.Second
-	coldFactor = 5
+	// serviceTimeSigma is the sigma of the stand-in's lognormal service times.
+	serviceTimeSigma = 0.7
+	// coldStartTime and coldStartFactor apply to every start of a backend server.
+	coldStartTime   = 3 * time.Second
+	coldStartFactor = 5
 )
 
 func loadUser(name, graphs string) (*user, error) {
@@ -46,12 +46,12 @@
 	if name == "hallwyl" {
 		u = hallwyl()
 	}
-	u.file = filepath.Join(graphs, name+".hcl")
-	src, err := os.ReadFile(u.file)
+	u.graphFile = filepath.Join(graphs, name+".hcl")
+	src, err := os.ReadFile(u.graphFile)
 	if err != nil {
 		return nil, fmt.Errorf("setting --graphs: %w", err)
 	}
-	g, problems := graph.Parse(u.file, src)
+	g, problems := graph.Parse(u.graphFile, src)
 	if err := problems.Err(); err != nil {
 		return nil, err
 	}
@@ -62,30 +62,30 @@
 	if u.shape, err = u.shape.WithGraph(g); err != nil {
 		return nil, err
 	}
-	u.scale()
-	u.full, _ = u.model(scenario{}).Saturation()
+	u.scaleServices()
+	u.saturationRate, _ = u.model(scenario{}).Saturation()
 	return u, nil
 }
 
-func (u *user) scale() {
+func (u *user) scaleServices() {
 	for i := range u.shape.Services {
 		s := &u.shape.Services[i]
 		s.Slots = int(math.Ceil(float64(s.Slots) * slotShare))
-		s.ColdFor, s.ColdFactor = coldFor, coldFactor
-		for operation, mean := range u.times {
-			if service, name := split(operation); service == s.Name {
+		s.ColdFor, s.ColdFactor = coldStartTime, coldStartFactor
+		for operation, mean := range u.serviceTimes {
+			if service, name := splitOperation(operation); service == s.Name {
 				s.Times = append(s.Times, fmt.Sprintf("%s=%s,lognormal", name, mean))
 			}
 		}
 	}
 }
 
-func split(operation string) (service, name string) {
+func splitOperation(operation string) (service, name string) {
 	ext := filepath.Ext(operation)
 	return operation[:len(operation)-len(ext)], ext[1:]
 }
 
-// model is what the limit is computed from while the scenario's trigger is on.
+// model returns the load model of the system during the scenario's trigger.
 func (u *user) model(s scenario) load.Model {
 	slots := make(map[string]float64)
 	for _, service := range u.shape.Services {
@@ -96,8 +96,8 @@
 		Mix:   u.mix,
 		Slots: slots,
 		Time: func(rng *rand.Rand, service, operation string) time.Duration {
-			mean := float64(u.times[service+"."+operation]) * s.slowOf(u, service)
-			return time.Duration(mean * math.Exp(rng.NormFloat64()*sigma-sigma*sigma/2))
+			mean := float64(u.serviceTimes[service+"."+operation]) * s.slowdownOf(u, service)
+			return time.Duration(mean * math.Exp(rng.NormFloat64()*serviceTimeSigma-serviceTimeSigma*serviceTimeSigma/2))
 		},
 	}
 }
@@ -118,7 +118,7 @@
 			{Service: "stationlog", Operation: "history", Share: 0.05},
 			{Service: "stationlog", Operation: "latest", Share: 0.10},
 		},
-		times: map[string]time.Duration{
+		serviceTimes: map[string]time.Duration{
 			"stationlog.history":    80 * time.Millisecond,
 			"stationlog.latest":     50 * time.Millisecond,
 			"fieldlog.observations": 30 * time.Millisecond,
@@ -148,7 +148,7 @@
 			{Service: "history-svc", Operation: "mandates", Share: 0.04},
 			{Service: "history-svc", Operation: "references", Share: 0.04},
 		},
-		times: map[string]time.Duration{
+		serviceTimes: map[string]time.Duration{
 			"history-svc.mandates":   150 * time.Millisecond,
 			"history-svc.references": 150 * time.Millisecond,
 			"mandate-svc.compliance": 50 * time.Millisecond,
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak breaks a small platform of nodes at random and checks that the
-// promises hold. It ends only what it started, by process id.
+// Command soak injects random faults into a small platform of nodes and checks
+// the guarantees. It stops only processes that it started, by process ID.
 package main
 
 import (
@@ -27,9 +27,9 @@
 }
 
 const (
-	exitBroken = 1
-	exitUsage  = 2
-	exitFailed = 3
+	exitViolated = 1
+	exitUsage    = 2
+	exitFailed   = 3
 )
 
 func main() {
@@ -64,12 +64,12 @@
 }
 
 func runOne(ctx context.Context, o options, seed uint64) int {
-	say := func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
+	logf := func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 	if o.Quiet {
-		say = func(string, ...any) {}
+		logf = func(string, ...any) {}
 	}
 	res, err := soak.Run(ctx, soak.Config{
-		Seed: seed, Faults: time.Duration(o.Seconds) * time.Second, Bin: o.Bin, Machines: o.Machines, Clients: o.Clients, Net: o.Net, Say: say,
+		Seed: seed, Faults: time.Duration(o.Seconds) * time.Second, Bin: o.Bin, Machines: o.Machines, Clients: o.Clients, Net: o.Net, Say: logf,
 	})
 	fmt.Printf("seed %d: %d faults, %d requests, %d served, %d broken promises\n", seed, res.Faults, res.Requests, res.Served, len(res.Broken))
 	for _, b := range res.Broken {
@@ -81,7 +81,7 @@
 		return exitFailed
 	case len(res.Broken) > 0:
 		fmt.Println("  logs:", res.Logs)
-		return exitBroken
+		return exitViolated
 	default:
 		return 0
 	}
--- a/cmd/standin-backend/main.go
+++ b/cmd/standin-backend/main.go
@@ -1,5 +1,5 @@
-// Command standin-backend is a stand-in for a backend server, for the demo
-// and for measurements; see package internal/standin/backend.
+// Command standin-backend runs the stand-in of a backend server for the demo and
+// for measurements; see package internal/standin/backend.
 package main
 
 import (
