--- a/internal/prove/drain_test.go
+++ b/internal/prove/drain_test.go
@@ -35,8 +35,8 @@
 	drainNode(t, func(*Fleet, *rig.Instance) {})
 }
 
-// Guards against running requests that peers sent over stalled links during the
-// drain and that arrive after newWorkLimit.
+// Guards against late runs: requests that peers send over stalled links during
+// the drain arrive after newWorkLimit and must not run.
 func TestProveDrainWithStalledLinks(t *testing.T) {
 	drainNode(t, func(f *Fleet, draining *rig.Instance) {
 		f.Network.Isolate(draining.PeerAddr, f.PeerAddrs(), Stalled)
--- a/internal/prove/keys_test.go
+++ b/internal/prove/keys_test.go
@@ -108,7 +108,7 @@
 
 // Guards against a second run when the node of a running or completed request
 // is killed and restarted on its address and the request is resent.
-func TestProveResendAfterTheNodeRestarted(t *testing.T) {
+func TestProveResendAfterNodeRestart(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, slowFilingOptions())
 	for _, kind := range protectedKeyKinds {
@@ -133,7 +133,7 @@
 
 // Guards against running requests with callers' keys that cannot be bound
 // because the log is frozen or gone, also after the log resumes.
-func TestProveOwnKeysWithoutTheLog(t *testing.T) {
+func TestProveCallerKeysWithoutTheLog(t *testing.T) {
 	is := is.New(t)
 	opts := defaultOptions()
 	// Longer than the wait for the binding of a key; otherwise the caller's
@@ -181,7 +181,7 @@
 
 // Guards against repeated runs under callers' keys when appends to the log take
 // effect although their answers are lost or late.
-func TestProveOwnKeysWithAFaultyLog(t *testing.T) {
+func TestProveCallerKeysWithAFaultyLog(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, defaultOptions())
 	rng := newRand(t)
--- a/internal/prove/poison_test.go
+++ b/internal/prove/poison_test.go
@@ -143,8 +143,8 @@
 	return meanwhile, later
 }
 
-// checkPoisonHistory checks all but the resend rules of the poison request: its
-// caller resends it after any answer.
+// checkPoisonHistory checks the history without the at-most-once rule for the
+// poison request, which its caller resends after any answer.
 func checkPoisonHistory(t *testing.T, f *Fleet) {
 	t.Helper()
 	is := is.New(t)
--- a/internal/prove/record.go
+++ b/internal/prove/record.go
@@ -18,8 +18,8 @@
 // has its own request ID, under which the journals of backend servers list the
 // runs.
 type Invocation struct {
-	Action    string
-	Number    int // of the invocation within its action, from 1
+	Action    string // what the caller wants done; resends have the same one
+	Number    int    // of the invocation within its action, from 1
 	Operation graph.Ref
 	Key       string
 	Node      string // the caller address of the node
--- a/internal/prove/retries_test.go
+++ b/internal/prove/retries_test.go
@@ -18,8 +18,8 @@
 
 const (
 	chainLength = 6
-	// chainExtraAttempts is the declared number of extra attempts of each
-	// operation. Those of the operations below must not multiply it.
+	// chainExtraAttempts is the number of extra attempts that each operation
+	// declares. One request may use it once in the whole chain.
 	chainExtraAttempts = 3
 )
 
@@ -65,7 +65,7 @@
 
 // Guards against retries that multiply along a chain of calls when the deepest
 // service fails: each service sees a request at most 1+chainExtraAttempts times.
-func TestProveRetriesOverTheWholeChain(t *testing.T) {
+func TestProveRetriesDoNotMultiplyAlongAChain(t *testing.T) {
 	f := startFleet(t, chainOptions())
 	last := f.Of(fmt.Sprintf("s%d", chainLength))
 	for _, c := range []struct {
