--- a/call/message.go
+++ b/call/message.go
@@ -52,9 +52,9 @@
 	HTTP HTTP `cbor:"16,keyasint,omitzero"`
 	// Idempotent says that a second run does no harm.
 	Idempotent bool `cbor:"17,keyasint,omitempty"`
-	// Root is the id of the original request that entered the system; empty if
+	// RootRequestID is the id of the original request that entered the system; empty if
 	// that is this one.
-	Root string `cbor:"18,keyasint,omitempty"`
+	RootRequestID string `cbor:"18,keyasint,omitempty"`
 	// Repeat says that the call, or the request that it is made for, may have
 	// run before. Its own calls then count as extra attempts.
 	Repeat bool `cbor:"20,keyasint,omitempty"`
@@ -68,9 +68,9 @@
 	// Workspace is the workspace of the caller's key, empty if the request has
 	// none, as in calls made by backend servers.
 	Workspace string `cbor:"26,keyasint,omitempty"`
-	// Via is the callee's Conn.Number of the connection on which the call
+	// ConnNumber is the callee's Conn.Number of the connection on which the call
 	// arrived.
-	Via uint64 `cbor:"-"`
+	ConnNumber uint64 `cbor:"-"`
 }
 
 // Bar returns the admission level of a service in force when the request was
@@ -81,8 +81,8 @@
 // admission priority derives from it, so that all calls of one request are
 // treated alike.
 func (r *Request) RootID() string {
-	if r.Root != "" {
-		return r.Root
+	if r.RootRequestID != "" {
+		return r.RootRequestID
 	}
 	return r.RequestID
 }
@@ -140,17 +140,17 @@
 	Offered bool `cbor:"18,keyasint,omitempty"`
 	// Used is the slot time that the calls made by the run took at each
 	// service.
-	Used []Use `cbor:"22,keyasint,omitempty"`
+	Used []SlotTime `cbor:"22,keyasint,omitempty"`
 	// RanFor is the time that the backend server took.
 	RanFor time.Duration `cbor:"21,keyasint,omitempty"`
 	// RequestID is for the logs of the replying node.
 	RequestID string `cbor:"-"`
-	// Via is the Via of the answered call.
-	Via uint64 `cbor:"-"`
+	// ConnNumber is the ConnNumber of the answered call.
+	ConnNumber uint64 `cbor:"-"`
 }
 
-// Use is the slot time used at a service.
-type Use struct {
+// SlotTime is the slot time used at a service.
+type SlotTime struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
 	// Micros is the slot time in microseconds, which takes half the bytes of
@@ -159,11 +159,11 @@
 }
 
 // Seconds returns the slot time in seconds.
-func (u Use) Seconds() float64 { return float64(u.Micros) / 1e6 }
+func (u SlotTime) Seconds() float64 { return float64(u.Micros) / 1e6 }
 
-// AddUse adds the slot time d at a service to list and returns it. Negative
+// AddSlotTime adds the slot time d at a service to list and returns it. Negative
 // times count as zero; sums saturate instead of wrapping round.
-func AddUse(list []Use, service string, d time.Duration) []Use {
+func AddSlotTime(list []SlotTime, service string, d time.Duration) []SlotTime {
 	micros := uint32(min(max(d.Microseconds(), 0), math.MaxUint32/2))
 	for i := range list {
 		if list[i].Service == service {
@@ -171,11 +171,11 @@
 			return list
 		}
 	}
-	return append(list, Use{Service: service, Micros: micros})
+	return append(list, SlotTime{Service: service, Micros: micros})
 }
 
-// Names returns the services of list, in order.
-func Names(list []Use) []string {
+// SlotTimeServices returns the services of list, in order.
+func SlotTimeServices(list []SlotTime) []string {
 	names := make([]string, len(list))
 	for i, u := range list {
 		names[i] = u.Service
--- a/call/message_test.go
+++ b/call/message_test.go
@@ -9,26 +9,26 @@
 )
 
 // Guards against slot time that wraps round when a peer sends huge values.
-func TestAddUseSumsByServiceWithoutOverflow(t *testing.T) {
+func TestAddSlotTimeSumsByServiceWithoutOverflow(t *testing.T) {
 	is := is.New(t)
-	list := AddUse(nil, "a", 3*time.Millisecond)
-	list = AddUse(list, "b", time.Second)
-	list = AddUse(list, "a", 2*time.Millisecond)
-	is.Equal(list, []Use{{Service: "a", Micros: 5000}, {Service: "b", Micros: 1_000_000}})
-	is.Equal(Names(list), []string{"a", "b"})
+	list := AddSlotTime(nil, "a", 3*time.Millisecond)
+	list = AddSlotTime(list, "b", time.Second)
+	list = AddSlotTime(list, "a", 2*time.Millisecond)
+	is.Equal(list, []SlotTime{{Service: "a", Micros: 5000}, {Service: "b", Micros: 1_000_000}})
+	is.Equal(SlotTimeServices(list), []string{"a", "b"})
 	is.Equal(list[0].Seconds(), 0.005)
-	list = AddUse(AddUse(list, "a", -time.Second), "a", math.MaxInt64)
-	list = AddUse(list, "a", math.MaxInt64)
+	list = AddSlotTime(AddSlotTime(list, "a", -time.Second), "a", math.MaxInt64)
+	list = AddSlotTime(list, "a", math.MaxInt64)
 	is.True(list[0].Micros > math.MaxUint32/2)
 }
 
 // A call's own slot time is added to that of its calls, and the outcome's list
 // is not changed.
-func TestAddUsesIncludesOwnTime(t *testing.T) {
+func TestAddSlotTimesIncludesOwnTime(t *testing.T) {
 	is := is.New(t)
-	out := Outcome{RanFor: 7 * time.Millisecond, Used: []Use{{Service: "b", Micros: 2000}, {Service: "a", Micros: 1000}}}
-	list := out.AddUses([]Use{{Service: "b", Micros: 500}}, "a")
-	is.Equal(list, []Use{{Service: "b", Micros: 2500}, {Service: "a", Micros: 8000}})
+	out := Outcome{RanFor: 7 * time.Millisecond, Used: []SlotTime{{Service: "b", Micros: 2000}, {Service: "a", Micros: 1000}}}
+	list := out.AddSlotTimes([]SlotTime{{Service: "b", Micros: 500}}, "a")
+	is.Equal(list, []SlotTime{{Service: "b", Micros: 2500}, {Service: "a", Micros: 8000}})
 	is.Equal(out.Used[1].Micros, uint32(1000))
 }
 
--- a/call/outcome.go
+++ b/call/outcome.go
@@ -21,32 +21,32 @@
 	// safe.
 	KeyHeld time.Duration
 	// Used is the slot time that the request's calls took at each service.
-	Used []Use
+	Used []SlotTime
 	// RanFor is the time that the backend server took to answer.
 	RanFor time.Duration
 }
 
-// Failed returns the outcome for an error.
-func Failed(e *verdict.Error) Outcome {
+// OutcomeOf returns the outcome for an error.
+func OutcomeOf(e *verdict.Error) Outcome {
 	return Outcome{Verdict: e.Verdict, Reason: e.Reason, Detail: e.Detail, RetryAfter: e.RetryAfter}
 }
 
-// LeastServerError is the lowest HTTP status that reports a failure of the
+// MinServerError is the lowest HTTP status that reports a failure of the
 // server and not of its caller.
-const LeastServerError = 500
+const MinServerError = 500
 
-// Served reports whether the backend server answered, with a status below
-// LeastServerError.
-func (o *Outcome) Served() bool {
-	return o.Verdict == verdict.Ran && o.Reason == verdict.None && o.Status < LeastServerError
+// Succeeded reports whether the backend server answered, with a status below
+// MinServerError.
+func (o *Outcome) Succeeded() bool {
+	return o.Verdict == verdict.Ran && o.Reason == verdict.None && o.Status < MinServerError
 }
 
-// AddUses adds the slot time of a call to list and returns it: the time at the
+// AddSlotTimes adds the slot time of a call to list and returns it: the time at the
 // called service itself and at all services below it.
-func (o *Outcome) AddUses(list []Use, service string) []Use {
-	list = AddUse(list, service, o.RanFor)
+func (o *Outcome) AddSlotTimes(list []SlotTime, service string) []SlotTime {
+	list = AddSlotTime(list, service, o.RanFor)
 	for _, u := range o.Used {
-		list = AddUse(list, u.Service, time.Duration(u.Micros)*time.Microsecond)
+		list = AddSlotTime(list, u.Service, time.Duration(u.Micros)*time.Microsecond)
 	}
 	return list
 }
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -56,5 +56,5 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	d.routeHealth.Ended(now, operationKey(p), out.Served())
+	d.routeHealth.Ended(now, operationKey(p), out.Succeeded())
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -212,9 +212,9 @@
 	// Enter, if set, is called after the request was admitted; its error refuses the
 	// request. It isn't called for shed requests, so that they use up no quota.
 	Enter func(ctx context.Context) *verdict.Error
-	// Root is the id of the entering request that caused this call; empty if this is
+	// RootRequestID is the id of the entering request that caused this call; empty if this is
 	// that request.
-	Root string
+	RootRequestID string
 	// Repeat says that the parent request has been attempted before, so that this call
 	// counts as an extra attempt.
 	Repeat bool
@@ -241,8 +241,8 @@
 
 // root returns the id of the entering request. It sets the priority of all its calls.
 func (p *Params) root() string {
-	if p.Root != "" {
-		return p.Root
+	if p.RootRequestID != "" {
+		return p.RootRequestID
 	}
 	return p.RequestID
 }
@@ -256,18 +256,18 @@
 func (d *Dispatcher) Call(ctx context.Context, p Params) call.Outcome {
 	if err := d.admit(&p); err != nil {
 		d.noteRefused(p, err)
-		return call.Failed(err)
+		return call.OutcomeOf(err)
 	}
 	if p.Enter != nil {
 		if err := p.Enter(ctx); err != nil {
 			d.noteRefused(p, err)
-			return call.Failed(err)
+			return call.OutcomeOf(err)
 		}
 	}
 	if !p.Holder.IsZero() && !d.members.Known(p.Holder) {
 		err := verdict.Doubt(verdict.KeyHolderGone, "the node %s that the key names is not there", p.Holder.Short())
 		d.noteRefused(p, err)
-		return call.Failed(err)
+		return call.OutcomeOf(err)
 	}
 	ctx, cancel := context.WithDeadline(ctx, p.Deadline)
 	defer cancel()
@@ -283,7 +283,7 @@
 		err := verdict.Refuse(verdict.NoBackend, "no backend server of %s takes work", p.Operation.Service)
 		err = err.After(d.cfg.NoBackendRetryAfter)
 		d.noteRefused(p, err)
-		return call.Failed(err)
+		return call.OutcomeOf(err)
 	}
 	a := newAttempts(p)
 	a.reroutesLeft = d.cfg.Reroutes
@@ -320,7 +320,7 @@
 	}
 	err := verdict.Doubt(verdict.KeyHolderGone, "the node %s that the key is bound to is not there", r.BoundTo.Short())
 	d.noteRefused(p, err)
-	return call.Failed(err)
+	return call.OutcomeOf(err)
 }
 
 // SetNodes sets the number of nodes, which share the burst of the retry budgets.
--- a/dispatch/reroute_test.go
+++ b/dispatch/reroute_test.go
@@ -124,7 +124,7 @@
 	p.Entering = true
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
 	is.Equal(a.d.Call(t.Context(), p).Reason, verdict.Shed) // it has received the level
-	p.Admitted, p.Root = true, "root"
+	p.Admitted, p.RootRequestID = true, "root"
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
 	is.Equal(a.sent[len(a.sent)-1].RootID(), "root")
 }
@@ -133,7 +133,7 @@
 // requests that fail at their own backend server are not deferred.
 func TestRequestsAreDeferredWhileTheirRouteFails(t *testing.T) {
 	is := is.New(t)
-	failing := call.Reply{Verdict: verdict.Ran, Status: 500, Used: []call.Use{{Service: "below"}}}
+	failing := call.Reply{Verdict: verdict.Ran, Status: 500, Used: []call.SlotTime{{Service: "below"}}}
 	enter := func(a *scriptedNetwork) call.Outcome {
 		p := params(t, "once", 0)
 		p.Entering, p.Patience = true, 6*time.Second
@@ -173,9 +173,9 @@
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
 	is.Equal(a.sent[0].Bar("s"), uint16(0)) // no level received yet
 	is.Equal(a.sent[1].Bar("s"), uint16(1))
-	p.Entering, p.Admitted, p.Root = false, true, "root"
+	p.Entering, p.Admitted, p.RootRequestID = false, true, "root"
 	p.Bars = []call.Level{{Service: "below", Priority: 9}}
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
 	is.Equal(a.sent[2].Bar("below"), uint16(9))
-	is.Equal(a.sent[2].Root, "root") // sets the priority of the request
+	is.Equal(a.sent[2].RootRequestID, "root") // sets the priority of the request
 }
--- a/dispatch/targets.go
+++ b/dispatch/targets.go
@@ -238,13 +238,13 @@
 // newEvent returns an event with the fields common to all steps of a call.
 func newEvent(now time.Time, p Params, step explain.Step) explain.Event {
 	return explain.Event{
-		RequestID: p.RequestID,
-		Root:      p.Root,
-		Service:   p.Operation.Service,
-		Operation: p.Operation.Name,
-		Step:      step,
-		Version:   p.Version,
-		Left:      p.Deadline.Sub(now),
+		RequestID:     p.RequestID,
+		RootRequestID: p.RootRequestID,
+		Service:       p.Operation.Service,
+		Operation:     p.Operation.Name,
+		Step:          step,
+		Version:       p.Version,
+		Left:          p.Deadline.Sub(now),
 	}
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -92,7 +92,7 @@
 	in, refusal := read(cfg, w, r, time.Now())
 	if refusal != nil {
 		DropBody(w, r)
-		write(cfg, w, in.RequestID, call.Failed(refusal))
+		write(cfg, w, in.RequestID, call.OutcomeOf(refusal))
 		return
 	}
 	write(cfg, w, in.RequestID, do(r.Context(), in))
--- a/explain/recorder.go
+++ b/explain/recorder.go
@@ -52,9 +52,9 @@
 	// Status is the HTTP status of the backend server's answer, zero if it
 	// gave none.
 	Status int `json:"status,omitempty"`
-	// Root is the id of the request on whose behalf a call was made, as it
+	// RootRequestID is the id of the request on whose behalf a call was made, as it
 	// entered the first node.
-	Root string `json:"root,omitempty"`
+	RootRequestID string `json:"root,omitempty"`
 	// Target is the node or backend incarnation that the request was sent to.
 	Target string `json:"target,omitempty"`
 	// Attempt is the number of attempts of the call up to this decision.
--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -48,7 +48,7 @@
 	ctx         context.Context
 	stop        context.CancelFunc
 	callsFailed bool
-	used        []call.Use
+	used        []call.SlotTime
 }
 
 // rest is what a node keeps of its decisions here; nobody reads it.
@@ -140,7 +140,7 @@
 	}
 	out := n.dispatch.Call(ctx, p)
 	if out.Verdict == verdict.Ran {
-		n.learn(c, call.Names(out.Used))
+		n.learn(c, call.SlotTimeServices(out.Used))
 	}
 	return out
 }
@@ -168,7 +168,7 @@
 	out := n.dispatch.Call(r.ctx, dispatch.Params{
 		RequestID: n.world.nextID(), Operation: op, Importance: req.Importance, Deadline: deadline,
 		Ledger: retry.New(uint32(op.ExtraAttempts)), Fanout: 1,
-		Root: req.RootID(), Bars: req.Bars, Admitted: true, Repeat: req.Repeat, Depth: req.Depth + 1,
+		RootRequestID: req.RootID(), Bars: req.Bars, Admitted: true, Repeat: req.Repeat, Depth: req.Depth + 1,
 	})
 	n.used(r, c.Service, out)
 	n.world.report.called(c.Service, out)
@@ -179,9 +179,9 @@
 func (n *node) used(r *run, service string, out call.Outcome) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r.used = out.AddUses(r.used, service)
-	r.callsFailed = r.callsFailed || !out.Served()
-	if n.calls.Learn(time.Now(), "", call.Names(r.used)) {
+	r.used = out.AddSlotTimes(r.used, service)
+	r.callsFailed = r.callsFailed || !out.Succeeded()
+	if n.calls.Learn(time.Now(), "", call.SlotTimeServices(r.used)) {
 		n.dispatch.PassOn(n.calls.Reach(""))
 	}
 }
--- a/local/local_test.go
+++ b/local/local_test.go
@@ -27,7 +27,7 @@
 func (n *fakeNode) Call(_ context.Context, token string, in entry.Incoming) call.Outcome {
 	n.token, n.in = token, in
 	if token != "known" {
-		return call.Failed(verdict.Refuse(verdict.BadRequest, "no call with this token is running"))
+		return call.OutcomeOf(verdict.Refuse(verdict.BadRequest, "no call with this token is running"))
 	}
 	return call.Outcome{Verdict: verdict.Ran, Status: 200, Body: []byte("ok")}
 }
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -114,7 +114,7 @@
 	optional(line, "verdict", e.Verdict)
 	optional(line, "detail", e.Detail)
 	optional(line, "target", e.Target)
-	optional(line, "root", e.Root)
+	optional(line, "root", e.RootRequestID)
 	if e.Status > 0 {
 		line.Int("status", e.Status)
 	}
--- a/node/entry.go
+++ b/node/entry.go
@@ -32,15 +32,15 @@
 // enter makes the call for a caller's request.
 func (n *Node) enter(ctx context.Context, in entry.Incoming) call.Outcome {
 	if n.draining.Load() {
-		return call.Failed(verdict.Refuse(verdict.Draining, "this node is leaving; use another").After(refuseRetryAfter))
+		return call.OutcomeOf(verdict.Refuse(verdict.Draining, "this node is leaving; use another").After(refuseRetryAfter))
 	}
 	op, err := n.lookup(in.Service, in.Operation)
 	if err != nil {
-		return call.Failed(err)
+		return call.OutcomeOf(err)
 	}
 	holder, err := keyHolder(in.Key)
 	if err != nil {
-		return call.Failed(err)
+		return call.OutcomeOf(err)
 	}
 	ledger := n.retryLedger(in, op)
 	defer n.dispatch.CloseLedger(ledger)
@@ -123,20 +123,20 @@
 	n.counts.LocalCalls.Add(1)
 	r, ok := n.server.runByToken(token)
 	if !ok {
-		return call.Failed(verdict.Refuse(verdict.BadRequest, "no call with this token is running"))
+		return call.OutcomeOf(verdict.Refuse(verdict.BadRequest, "no call with this token is running"))
 	}
 	op, err := n.lookup(in.Service, in.Operation)
 	if err != nil {
-		return call.Failed(err)
+		return call.OutcomeOf(err)
 	}
 	parent := r.task
 	if !parent.Operation.Allows(in.Service, in.Operation) {
-		return call.Failed(verdict.Refuse(verdict.UndeclaredCall, "%s.%s does not declare a call to %s.%s",
+		return call.OutcomeOf(verdict.Refuse(verdict.UndeclaredCall, "%s.%s does not declare a call to %s.%s",
 			parent.Request.Service, parent.Request.Operation, in.Service, in.Operation))
 	}
 	holder, err := keyHolder(in.Key)
 	if err != nil {
-		return call.Failed(err)
+		return call.OutcomeOf(err)
 	}
 	p := n.callParams(in, op)
 	p.Holder = holder
--- a/node/forward.go
+++ b/node/forward.go
@@ -54,15 +54,15 @@
 // forward finds the route of a request and makes the call along it.
 func (n *Node) forward(ctx context.Context, in entry.Incoming, path string) call.Outcome {
 	if n.closedToCallers(time.Now()) {
-		return call.Failed(verdict.Refuse(verdict.Draining, "this node is leaving").After(refuseRetryAfter))
+		return call.OutcomeOf(verdict.Refuse(verdict.Draining, "this node is leaving").After(refuseRetryAfter))
 	}
 	table := n.routing.table()
 	if table == nil {
-		return call.Failed(verdict.Refuse(verdict.NoConfiguration, "this node has no routes yet").After(refuseRetryAfter))
+		return call.OutcomeOf(verdict.Refuse(verdict.NoConfiguration, "this node has no routes yet").After(refuseRetryAfter))
 	}
 	route, ok := table.Find(in.HTTP.Host, path)
 	if !ok {
-		return call.Failed(verdict.Refuse(verdict.UnknownOperation, "no route for %s%s in version %d", in.HTTP.Host, path, table.Version))
+		return call.OutcomeOf(verdict.Refuse(verdict.UnknownOperation, "no route for %s%s in version %d", in.HTTP.Host, path, table.Version))
 	}
 	in.HTTP.Origin = n.cfg.Service
 	if table.Workspaces == nil {
@@ -79,7 +79,7 @@
 	space, err := n.authorize(ctx, route, in.WorkspaceKey)
 	if err != nil {
 		n.noteRefused(in, table.Version, err)
-		return call.Failed(err)
+		return call.OutcomeOf(err)
 	}
 	p := n.routeParams(table, route, in)
 	out := n.forwardForWorkspace(ctx, route, space, p)
@@ -127,7 +127,7 @@
 	p.Reach = n.routing.servicesReached(p.Operation)
 	out := n.dispatch.Call(ctx, p)
 	if out.Verdict == verdict.Ran {
-		n.routing.recordReach(time.Now(), p.Operation, call.Names(out.Used))
+		n.routing.recordReach(time.Now(), p.Operation, call.SlotTimeServices(out.Used))
 	}
 	return out
 }
@@ -141,7 +141,7 @@
 func (n *Node) forwardCall(ctx context.Context, parent *run, p dispatch.Params) call.Outcome {
 	defer n.dispatch.CloseLedger(p.Ledger)
 	req := &parent.task.Request
-	p.Root = req.RootID()
+	p.RootRequestID = req.RootID()
 	p.Importance = req.Importance
 	p.Bars = req.Bars
 	p.Depth = req.Depth + 1
@@ -151,7 +151,7 @@
 		p.Deadline = parent.task.Deadline
 	}
 	out := n.callForRun(ctx, parent, p)
-	if n.routing.recordCallReach(time.Now(), p.Operation.Service, call.Names(out.Used)) {
+	if n.routing.recordCallReach(time.Now(), p.Operation.Service, call.SlotTimeServices(out.Used)) {
 		n.dispatch.PassOn(n.routing.servicesCalled(n.cfg.Service))
 	}
 	return out
--- a/node/peers.go
+++ b/node/peers.go
@@ -152,7 +152,7 @@
 		n.counts.BadMessages.Add(1)
 		return
 	}
-	req.Via = c.Number()
+	req.ConnNumber = c.Number()
 	n.arriveDelayed(c.Delay(time.Now(), req.SentMillis), req)
 }
 
--- a/node/run.go
+++ b/node/run.go
@@ -121,19 +121,19 @@
 	n.counts.Latencies.Observe(t.Request.Operation, ops.HopBackend, r.Latency)
 	now := time.Now()
 	n.notes.Note(now, explain.Event{
-		RequestID: t.Request.RequestID,
-		Root:      t.Request.Root,
-		Service:   t.Request.Service,
-		Operation: t.Request.Operation,
-		Step:      step,
-		Verdict:   r.Verdict.String(),
-		Reason:    r.Reason,
-		Status:    r.Status,
-		Detail:    r.Detail,
-		Target:    inst.start.ID,
-		Waited:    t.Waited(),
-		Took:      r.Latency,
-		Left:      t.Deadline.Sub(now),
+		RequestID:     t.Request.RequestID,
+		RootRequestID: t.Request.RootRequestID,
+		Service:       t.Request.Service,
+		Operation:     t.Request.Operation,
+		Step:          step,
+		Verdict:       r.Verdict.String(),
+		Reason:        r.Reason,
+		Status:        r.Status,
+		Detail:        r.Detail,
+		Target:        inst.start.ID,
+		Waited:        t.Waited(),
+		Took:          r.Latency,
+		Left:          t.Deadline.Sub(now),
 	})
 }
 
@@ -168,7 +168,7 @@
 // connection of the call has ended here, another one is used, since the caller's
 // node may not have noticed the end yet.
 func (n *Node) replyConn(r call.Reply) (*transport.Conn, bool) {
-	if c, ok := n.peers.Numbered(r.Via); ok {
+	if c, ok := n.peers.Numbered(r.ConnNumber); ok {
 		return c, true
 	}
 	return n.peers.Lookup(r.To)
--- a/node/server.go
+++ b/node/server.go
@@ -48,7 +48,7 @@
 	// callsFailed is set when a call made by the task has failed.
 	callsFailed bool
 	// callUse is the slot time that the calls made by the task took at each service.
-	callUse []call.Use
+	callUse []call.SlotTime
 }
 
 func newServer(s *serve.Server) *server {
@@ -142,13 +142,13 @@
 func (s *server) addCallUse(r *run, service string, out call.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r.callUse = out.AddUses(r.callUse, service)
-	r.callsFailed = r.callsFailed || !out.Served()
+	r.callUse = out.AddSlotTimes(r.callUse, service)
+	r.callsFailed = r.callsFailed || !out.Succeeded()
 }
 
 // callUse returns the slot time that the calls made by a run took at each service, and
 // whether any of them failed.
-func (s *server) callUse(r *run) (uses []call.Use, callsFailed bool) {
+func (s *server) callUse(r *run) (uses []call.SlotTime, callsFailed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(r.callUse), r.callsFailed
--- a/serve/faults.go
+++ b/serve/faults.go
@@ -49,7 +49,7 @@
 }
 
 func (f *faults) recordAnswer(own time.Duration, r Result) {
-	if r.Status < call.LeastServerError {
+	if r.Status < call.MinServerError {
 		f.usualLatency += time.Duration(usualWeight * float64(own-f.usualLatency))
 		f.addSample(0)
 		return
--- a/serve/reply.go
+++ b/serve/reply.go
@@ -95,13 +95,13 @@
 
 func (s *Server) newReply(to recipient) call.Reply {
 	return call.Reply{
-		From:     s.cfg.Self,
-		To:       to.from,
-		Seq:      to.seq,
-		Via:      to.via,
-		InFlight: uint32(len(s.running) + s.queue.Len()),
-		Limit:    uint32(min(s.concurrency(), maxConcurrency)),
-		Faults:   s.faults.percent(),
+		From:       s.cfg.Self,
+		To:         to.from,
+		Seq:        to.seq,
+		ConnNumber: to.connNumber,
+		InFlight:   uint32(len(s.running) + s.queue.Len()),
+		Limit:      uint32(min(s.concurrency(), maxConcurrency)),
+		Faults:     s.faults.percent(),
 	}
 }
 
--- a/serve/server.go
+++ b/serve/server.go
@@ -199,7 +199,7 @@
 	item := queue.Item[*Task]{ID: t.ID, Deadline: t.Deadline, Value: t}
 	if s.cfg.Policy == PolicyFull {
 		item.Priority = t.priority
-		item.UnderWay = t.Request.Root != ""
+		item.UnderWay = t.Request.RootRequestID != ""
 		item.Need = s.expectedRunTime(t)
 	}
 	if s.queue.Late(now, &item) {
--- a/serve/task.go
+++ b/serve/task.go
@@ -20,11 +20,11 @@
 // recipient is a waiter and the connection on which its attempt arrived.
 type recipient struct {
 	waiter
-	via uint64
+	connNumber uint64
 }
 
 func recipientOf(r *call.Request) recipient {
-	return recipient{waiter: waiter{from: r.From, seq: r.Seq}, via: r.Via}
+	return recipient{waiter: waiter{from: r.From, seq: r.Seq}, connNumber: r.ConnNumber}
 }
 
 // Task is a request that this node has accepted. It waits, or runs at the backend
@@ -83,7 +83,7 @@
 	CallsFailed bool
 	// Used is the slot time that the calls made for the task used at each
 	// service that they reached.
-	Used []call.Use
+	Used []call.SlotTime
 	// Unused is the unused part of the request's grant of extra attempts.
 	Unused uint32
 }
