--- a/backend/backend.go
+++ b/backend/backend.go
@@ -40,9 +40,9 @@
 	HTTP call.HTTP
 	// Idempotent says that a second run of the request does no harm.
 	Idempotent bool
-	// Instance is the backend incarnation that the request is meant for, empty
+	// Incarnation is the backend incarnation that the request is meant for, empty
 	// for any.
-	Instance string
+	Incarnation string
 	// Workspace is the caller's workspace, empty for none.
 	Workspace string
 
@@ -98,9 +98,9 @@
 // requests sent on them would get the verdict MayHaveRun.
 func (c *Client) CloseIdle() { c.pool.closeIdle() }
 
-// Strays returns the number of answers received that belonged to other
+// StrayAnswers returns the number of answers received that belonged to other
 // requests.
-func (c *Client) Strays() int64 { return c.strays.Load() }
+func (c *Client) StrayAnswers() int64 { return c.strays.Load() }
 
 // Run sends the request at most once and waits for the complete answer or the
 // end of the context.
@@ -215,7 +215,7 @@
 	}
 	for i := range crashProbes {
 		if i > 0 {
-			time.Sleep(c.cfg.ProbeGap)
+			time.Sleep(c.cfg.ProbeInterval)
 		}
 		if connectionRefused(addr) {
 			res.Crashed = true
--- a/backend/config.go
+++ b/backend/config.go
@@ -22,20 +22,20 @@
 	// MaxHeader is the largest total of an answer's forwarded header fields in
 	// bytes.
 	MaxHeader int
-	// ProbeGap is the pause before the second connection attempt that tells a
+	// ProbeInterval is the pause before the second connection attempt that tells a
 	// crash from a broken connection. A process that is being killed may close
 	// its connections shortly before its listening socket.
-	ProbeGap time.Duration
+	ProbeInterval time.Duration
 }
 
 // DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
-		DialTimeout: time.Second,           // connecting on loopback succeeds or fails at once
-		MaxIdle:     512,                   // more than the slots of the largest backend server
-		IdleTimeout: 4 * time.Second,       // below the 5 s of common servers
-		MaxAnswer:   1 << 20,               // as for request bodies
-		MaxHeader:   16 << 10,              // as for request header fields
-		ProbeGap:    10 * time.Millisecond, // longer than a killed process takes to close its sockets
+		DialTimeout:   time.Second,           // connecting on loopback succeeds or fails at once
+		MaxIdle:       512,                   // more than the slots of the largest backend server
+		IdleTimeout:   4 * time.Second,       // below the 5 s of common servers
+		MaxAnswer:     1 << 20,               // as for request bodies
+		MaxHeader:     16 << 10,              // as for request header fields
+		ProbeInterval: 10 * time.Millisecond, // longer than a killed process takes to close its sockets
 	}
 }
--- a/backend/dialect.go
+++ b/backend/dialect.go
@@ -22,21 +22,21 @@
 	Body   []byte
 }
 
-// Claim is what an answer says about its request.
-type Claim uint8
+// AnswerKind is what an answer says about its request.
+type AnswerKind uint8
 
 const (
 	// Answered: the backend server ran the request and this is its answer.
-	Answered Claim = iota
+	Answered AnswerKind = iota
 	// Declined: the backend server says that it did not run the request.
 	Declined
-	// Elsewhere: another backend server now has the address; it did not run the
+	// OtherIncarnation: another backend server now has the address; it did not run the
 	// request.
-	Elsewhere
-	// Foreign: the answer belongs to another request.
-	Foreign
-	// Spoiled: the answer was not produced by the backend server.
-	Spoiled
+	OtherIncarnation
+	// Stray: the answer belongs to another request.
+	Stray
+	// NotFromBackend: the answer was not produced by the backend server.
+	NotFromBackend
 )
 
 // Dialect translates requests and answers for one kind of backend server. It
@@ -45,12 +45,12 @@
 	// Message returns the HTTP request for a run. host and basePath are those
 	// of the backend server's address.
 	Message(host, basePath string, r Run) (Message, error)
-	// Claim interprets the head of an answer. retryAfter is zero if the answer
+	// AnswerKind classifies an answer by its head. retryAfter is zero if the answer
 	// proposes no time.
-	Claim(r Run, resp *http.Response) (c Claim, retryAfter time.Duration)
-	// Unframed reports whether an answer may be delimited by the end of its
+	AnswerKind(r Run, resp *http.Response) (c AnswerKind, retryAfter time.Duration)
+	// AllowsCloseDelimited reports whether an answer may be delimited by the end of its
 	// connection alone.
-	Unframed() bool
+	AllowsCloseDelimited() bool
 	// Fields returns the header fields of an answer that are forwarded to the
 	// caller. It fails if they hold more than maxBytes.
 	Fields(h http.Header, maxBytes int) ([]call.Field, error)
@@ -79,11 +79,11 @@
 	return Message{Method: http.MethodPost, Target: target, Host: host, Header: h, Body: r.Body}, nil
 }
 
-// Claim requires both the status 503 and the verdict "not run" for a refusal,
+// AnswerKind requires both the status 503 and the verdict "not run" for a refusal,
 // because a 503 alone can come from work that failed halfway. The request ID of
 // the answer is not checked: a backend server need not send one, and one that
 // forwards the answer to a call of its own sends that of the call.
-func (nativeDialect) Claim(_ Run, resp *http.Response) (Claim, time.Duration) {
+func (nativeDialect) AnswerKind(_ Run, resp *http.Response) (AnswerKind, time.Duration) {
 	if resp.StatusCode == http.StatusServiceUnavailable &&
 		verdict.Parse(resp.Header.Get(headers.Verdict)) == verdict.NotRun {
 		return Declined, retryAfter(resp.Header)
@@ -91,7 +91,7 @@
 	return Answered, 0
 }
 
-func (nativeDialect) Unframed() bool { return false }
+func (nativeDialect) AllowsCloseDelimited() bool { return false }
 
 func (nativeDialect) Fields(h http.Header, maxBytes int) ([]call.Field, error) {
 	return headers.Collect(h, maxBytes)
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -130,8 +130,8 @@
 		if err != nil {
 			return x.withoutAnswer(ctx, err), false
 		}
-		claim, after := x.client.dialect.Claim(x.run, resp)
-		if claim == Foreign {
+		kind, after := x.client.dialect.AnswerKind(x.run, resp)
+		if kind == Stray {
 			x.conn.desynchronized = true
 			x.client.strays.Add(1)
 			if _, err := x.body(resp); err != nil {
@@ -139,7 +139,7 @@
 			}
 			continue
 		}
-		return x.toResult(ctx, resp, claim, after)
+		return x.toResult(ctx, resp, kind, after)
 	}
 	return x.withoutAnswer(ctx, errStray), false
 }
@@ -161,16 +161,16 @@
 }
 
 // toResult turns the answer into a Result.
-func (x *exchange) toResult(ctx context.Context, resp *http.Response, claim Claim, after time.Duration) (res Result, reusable bool) {
+func (x *exchange) toResult(ctx context.Context, resp *http.Response, kind AnswerKind, after time.Duration) (res Result, reusable bool) {
 	framed := !closeDelimited(resp)
-	switch claim {
-	case Declined, Elsewhere:
-		return x.refusal(resp, claim, after)
-	case Spoiled:
+	switch kind {
+	case Declined, OtherIncarnation:
+		return x.refusal(resp, kind, after)
+	case NotFromBackend:
 		return failed(verdict.Doubt(verdict.Incomplete, "the answer (status %d) was not produced by the backend server", resp.StatusCode)), false
 	}
 	res = Result{Verdict: verdict.Ran}
-	if !framed && (!x.client.dialect.Unframed() || resp.StatusCode == http.StatusSwitchingProtocols) {
+	if !framed && (!x.client.dialect.AllowsCloseDelimited() || resp.StatusCode == http.StatusSwitchingProtocols) {
 		// Without a length or chunks a truncated answer looks complete.
 		return res.withReason(verdict.Incomplete, "the answer has neither a length nor chunks"), false
 	}
@@ -186,9 +186,9 @@
 	return res, framed && x.reusableAfter(resp)
 }
 
-func (x *exchange) refusal(resp *http.Response, claim Claim, after time.Duration) (Result, bool) {
+func (x *exchange) refusal(resp *http.Response, kind AnswerKind, after time.Duration) (Result, bool) {
 	e := verdict.Refuse(verdict.Shed, "the backend server refused: status %d", resp.StatusCode).After(after)
-	if claim == Elsewhere {
+	if kind == OtherIncarnation {
 		e = verdict.Refuse(verdict.NoBackend, "another backend server has the address").After(after)
 	}
 	res := failed(e)
@@ -196,7 +196,7 @@
 	if _, err := x.body(resp); err != nil || closeDelimited(resp) {
 		return res, false // the refusal is valid without its body
 	}
-	return res, claim == Declined && x.reusableAfter(resp)
+	return res, kind == Declined && x.reusableAfter(resp)
 }
 
 func (x *exchange) incomplete(ctx context.Context, res Result, err error) Result {
--- a/node/ops.go
+++ b/node/ops.go
@@ -131,7 +131,7 @@
 	n.counts.LateReplies.Set(int64(c.Unmatched))
 	n.counts.Hedges.Set(int64(c.Hedges))
 	n.counts.Deferred.Set(int64(c.Deferred))
-	n.counts.Strays.Set(n.backend.Strays())
+	n.counts.StrayAnswers.Set(n.backend.StrayAnswers())
 }
 
 // Gauges implements ops.Node.
--- a/node/run.go
+++ b/node/run.go
@@ -59,18 +59,18 @@
 	inst := n.backendInstance()
 	req := r.task.Request
 	res := n.backend.Run(r.ctx, inst.url, backend.Run{
-		Token:      r.token,
-		Operation:  req.Operation,
-		RequestID:  req.RequestID,
-		Importance: req.Importance,
-		Budget:     time.Until(r.task.Deadline),
-		Header:     req.Header,
-		Query:      req.Query,
-		Body:       req.Body,
-		HTTP:       req.HTTP,
-		Instance:   inst.start.ID,
-		Workspace:  req.Workspace,
-		Idempotent: req.Idempotent || r.task.Operation != nil && r.task.Operation.Idempotent,
+		Token:       r.token,
+		Operation:   req.Operation,
+		RequestID:   req.RequestID,
+		Importance:  req.Importance,
+		Budget:      time.Until(r.task.Deadline),
+		Header:      req.Header,
+		Query:       req.Query,
+		Body:        req.Body,
+		HTTP:        req.HTTP,
+		Incarnation: inst.start.ID,
+		Workspace:   req.Workspace,
+		Idempotent:  req.Idempotent || r.task.Operation != nil && r.task.Operation.Idempotent,
 	})
 	callMayHaveRun := n.server.removeRun(r)
 	result := n.result(r, res, callMayHaveRun)
--- a/ops/counters.go
+++ b/ops/counters.go
@@ -64,8 +64,8 @@
 	// ones.
 	LateBeats expvar.Int
 	// Hedges counts second attempts made while the first had no answer yet,
-	// Strays answers of the backend server that belong to no request.
-	Hedges, Strays expvar.Int
+	// StrayAnswers counts answers of the backend server that belong to no request.
+	Hedges, StrayAnswers expvar.Int
 	// Deferred counts requests whose callers were asked to retry later because
 	// requests of the route fail.
 	Deferred expvar.Int
@@ -148,7 +148,7 @@
 		{name: "late_beats", value: &c.LateBeats},
 		{name: "hedges", value: &c.Hedges},
 		{name: "deferred", value: &c.Deferred},
-		{name: "strays", value: &c.Strays},
+		{name: "strays", value: &c.StrayAnswers},
 	}
 }
 
