--- a/backend/backend_test.go
+++ b/backend/backend_test.go
@@ -152,7 +152,7 @@
 			res := client.Run(context.Background(), s.url, r)
 			is.Equal(s.timesSeen("second"), 1)
 			is.Equal(res.Verdict, verdict.MayHaveRun)
-			is.Equal(res.Reason, verdict.Lost)
+			is.Equal(res.Reason, verdict.ConnectionLost)
 			is.True(res.Broken)
 			is.True(!res.Crashed) // the server still listens
 		})
@@ -213,9 +213,9 @@
 		{"too large", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n123456789", verdict.Ran, verdict.TooLarge, 0},
 		{"chunks too large", chunked + "9\r\n123456789\r\n0\r\n\r\n", verdict.Ran, verdict.TooLarge, 0},
 		{"fields too large", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 999) + "\r\nContent-Length: 0\r\n\r\n", verdict.Ran, verdict.TooLarge, 0},
-		{"cut head", "HTTP/1.1 200 OK\r\nContent-", verdict.MayHaveRun, verdict.Lost, 0},
-		{"no HTTP", "hello\r\n\r\n", verdict.MayHaveRun, verdict.Lost, 0},
-		{"nothing", "", verdict.MayHaveRun, verdict.Lost, 0},
+		{"cut head", "HTTP/1.1 200 OK\r\nContent-", verdict.MayHaveRun, verdict.ConnectionLost, 0},
+		{"no HTTP", "hello\r\n\r\n", verdict.MayHaveRun, verdict.ConnectionLost, 0},
+		{"nothing", "", verdict.MayHaveRun, verdict.ConnectionLost, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -187,9 +187,9 @@
 }
 
 func (x *exchange) refusal(resp *http.Response, kind AnswerKind, after time.Duration) (Result, bool) {
-	e := verdict.Refuse(verdict.Shed, "the backend server refused: status %d", resp.StatusCode).After(after)
+	e := verdict.Refuse(verdict.Shed, "the backend server refused: status %d", resp.StatusCode).WithRetryAfter(after)
 	if kind == OtherIncarnation {
-		e = verdict.Refuse(verdict.NoBackend, "another backend server has the address").After(after)
+		e = verdict.Refuse(verdict.NoBackend, "another backend server has the address").WithRetryAfter(after)
 	}
 	res := failed(e)
 	res.Offered = true
@@ -252,7 +252,7 @@
 	if now := time.Now(); x.reused && x.conn.broken && now.Sub(x.sentAt) < staleResetLimit {
 		x.client.pool.reduceReuseIdle(now, x.sentAt.Sub(x.conn.idleSince))
 	}
-	res := failed(verdict.Doubt(verdict.Lost, "no answer: %v", err))
+	res := failed(verdict.Doubt(verdict.ConnectionLost, "no answer: %v", err))
 	x.client.detectCrash(ctx, x.run.address, x.conn, &res)
 	return res
 }
--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -124,7 +124,7 @@
 // transportError returns the error for an attempt without an answer. Its verdict is
 // "not run" if nothing was sent.
 func transportError(ctx context.Context, node string, sent bool, err error) *verdict.Error {
-	e := verdict.Refuse(failureReason(ctx, verdict.Lost), "node %s: %v", node, err)
+	e := verdict.Refuse(failureReason(ctx, verdict.ConnectionLost), "node %s: %v", node, err)
 	if sent {
 		e.Verdict = verdict.MayHaveRun
 	}
--- a/caller/keys.go
+++ b/caller/keys.go
@@ -181,7 +181,7 @@
 		if ctx.Err() == nil {
 			c.avoidNode(node)
 		}
-		return heldKey{}, verdict.Refuse(failureReason(ctx, verdict.Lost), "key from node %s: %v", node, err)
+		return heldKey{}, verdict.Refuse(failureReason(ctx, verdict.ConnectionLost), "key from node %s: %v", node, err)
 	}
 	defer res.Body.Close()
 	return c.readKey(ctx, requested, res)
@@ -216,5 +216,5 @@
 		reason = verdict.Internal
 	}
 	e := verdict.Refuse(reason, "key: status %d: %s", res.StatusCode, detail(raw))
-	return e.After(retryAfter(res.Header))
+	return e.WithRetryAfter(retryAfter(res.Header))
 }
--- a/caller/resend.go
+++ b/caller/resend.go
@@ -82,7 +82,7 @@
 
 // retryMaySucceed reports whether another attempt may succeed after the reason.
 func retryMaySucceed(r verdict.Reason) bool {
-	return r.Elsewhere() || r == verdict.KeyNotBound || keyUnusable(r)
+	return r.RetryElsewhere() || r == verdict.KeyNotBound || keyUnusable(r)
 }
 
 // keyUnusable reports whether the request needs a new key.
@@ -94,7 +94,7 @@
 // that its other keys are unusable too.
 func holderUnavailable(r verdict.Reason) bool {
 	switch r {
-	case verdict.KeyHolderGone, verdict.NoBackend, verdict.Draining, verdict.Lost:
+	case verdict.KeyHolderGone, verdict.NoBackend, verdict.Draining, verdict.ConnectionLost:
 		return true
 	default:
 		return false
@@ -105,5 +105,5 @@
 // another node may be able to run the request. While an attempt may have run it keeps
 // the key: under a new one the request could run twice.
 func (s *retries) wantsNewKey(e *verdict.Error) bool {
-	return s.overall == verdict.NotRun && (e.Reason.Elsewhere() || keyUnusable(e.Reason))
+	return s.overall == verdict.NotRun && (e.Reason.RetryElsewhere() || keyUnusable(e.Reason))
 }
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -29,7 +29,7 @@
 		return d.deferIfUnhealthy(now, *p)
 	}
 	d.counts.Refused++
-	return verdict.Refuse(verdict.Shed, "%s does not admit priority %d", entry.BlockedBy, p.priority()).After(entry.RetryAfter)
+	return verdict.Refuse(verdict.Shed, "%s does not admit priority %d", entry.BlockedBy, p.priority()).WithRetryAfter(entry.RetryAfter)
 }
 
 // deferIfUnhealthy refuses an entering request whose route fails at present, and asks the
@@ -43,7 +43,7 @@
 		return nil
 	}
 	d.counts.Deferred++
-	return verdict.Refuse(verdict.Shed, "most requests of this route fail at present").After(after)
+	return verdict.Refuse(verdict.Shed, "most requests of this route fail at present").WithRetryAfter(after)
 }
 
 // recordOutcome records the outcome of an entering request for the health of its route.
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -71,12 +71,12 @@
 
 // mayRetry reports whether another attempt after r is safe and may help.
 func (a *attempts) mayRetry(r call.Reply) bool {
-	if !r.Reason.Elsewhere() {
+	if !r.Reason.RetryElsewhere() {
 		return false
 	}
 	switch r.Verdict {
 	case verdict.NotRun:
-		return !a.bound || r.Reason == verdict.Lost
+		return !a.bound || r.Reason == verdict.ConnectionLost
 	case verdict.Ran:
 		// The backend server answered, but its answer can't be used.
 		return a.idempotent && r.Reason == verdict.Incomplete
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -29,7 +29,7 @@
 func TestRefusalAfterLostAttemptMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	a := attempts{idempotent: true}
-	lost := errorReply(verdict.Doubt(verdict.Lost, ""))
+	lost := errorReply(verdict.Doubt(verdict.ConnectionLost, ""))
 	shed := errorReply(verdict.Refuse(verdict.Shed, ""))
 
 	is.Equal(a.next(lost, func() bool { return true }), tryAgain)
@@ -54,7 +54,7 @@
 			if next == tryAgain && !allNotRun && !a.idempotent && !a.keyed {
 				t.Fatalf("attempted again after %v", r.Verdict)
 			}
-			if next == tryAgain && a.bound && r.Verdict == verdict.NotRun && r.Reason != verdict.Lost {
+			if next == tryAgain && a.bound && r.Verdict == verdict.NotRun && r.Reason != verdict.ConnectionLost {
 				t.Fatalf("asked others after the holder refused: %v", r.Reason)
 			}
 			if next != finish {
@@ -71,8 +71,8 @@
 func drawReply(t *rapid.T) call.Reply {
 	r := call.Reply{
 		Verdict: rapid.SampledFrom([]verdict.Verdict{verdict.NotRun, verdict.MayHaveRun, verdict.Ran, verdict.Unknown}).Draw(t, "verdict"),
-		Reason: rapid.SampledFrom([]verdict.Reason{verdict.None, verdict.Shed, verdict.Lost, verdict.Draining,
-			verdict.Deadline, verdict.Incomplete, verdict.KeyNotBound, verdict.Poison}).Draw(t, "reason"),
+		Reason: rapid.SampledFrom([]verdict.Reason{verdict.None, verdict.Shed, verdict.ConnectionLost, verdict.Draining,
+			verdict.Deadline, verdict.Incomplete, verdict.KeyNotBound, verdict.PoisonRequest}).Draw(t, "reason"),
 	}
 	if rapid.Bool().Draw(t, "bound") {
 		r.BoundTo = wire.NodeID{1}
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -136,16 +136,16 @@
 
 // Counts are totals since the node started.
 type Counts struct {
-	Calls      uint64 `json:"calls"`
-	Attempts   uint64 `json:"attempts"`
-	Retries    uint64 `json:"retries"`
-	Redirects  uint64 `json:"redirects"`
-	Hedges     uint64 `json:"hedges"`
-	OverBudget uint64 `json:"over_budget"`
-	Refused    uint64 `json:"refused_by_levels"`
-	Deferred   uint64 `json:"deferred"`
-	Unmatched  uint64 `json:"unmatched_replies"`
-	Lost       uint64 `json:"lost"`
+	Calls          uint64 `json:"calls"`
+	Attempts       uint64 `json:"attempts"`
+	Retries        uint64 `json:"retries"`
+	Redirects      uint64 `json:"redirects"`
+	Hedges         uint64 `json:"hedges"`
+	OverBudget     uint64 `json:"over_budget"`
+	Refused        uint64 `json:"refused_by_levels"`
+	Deferred       uint64 `json:"deferred"`
+	Unmatched      uint64 `json:"unmatched_replies"`
+	ConnectionLost uint64 `json:"lost"`
 }
 
 // pendingAttempt is an attempt that waits for its answer.
@@ -281,7 +281,7 @@
 	to, ok := d.awaitTarget(ctx, p)
 	if !ok {
 		err := verdict.Refuse(verdict.NoBackend, "no backend server of %s takes work", p.Operation.Service)
-		err = err.After(d.cfg.NoBackendRetryAfter)
+		err = err.WithRetryAfter(d.cfg.NoBackendRetryAfter)
 		d.noteRefused(p, err)
 		return call.OutcomeOf(err)
 	}
--- a/dispatch/hedge.go
+++ b/dispatch/hedge.go
@@ -72,7 +72,7 @@
 	case <-timer.C:
 	}
 	var second target
-	silent := call.Reply{Verdict: verdict.MayHaveRun, Reason: verdict.Lost, Detail: "no answer yet"}
+	silent := call.Reply{Verdict: verdict.MayHaveRun, Reason: verdict.ConnectionLost, Detail: "no answer yet"}
 	if !d.acquireRetry(ctx, p, a, silent, &second, hopAttemptsLeft) {
 		return <-answers
 	}
--- a/dispatch/reroute_test.go
+++ b/dispatch/reroute_test.go
@@ -60,7 +60,7 @@
 	notOfferedReply = call.Reply{Verdict: verdict.NotRun, Reason: verdict.NoBackend}
 	declinedReply   = call.Reply{Verdict: verdict.NotRun, Reason: verdict.Shed, Offered: true}
 	servedReply     = call.Reply{Verdict: verdict.Ran, Status: 200}
-	lostReply       = call.Reply{Verdict: verdict.MayHaveRun, Reason: verdict.Lost}
+	lostReply       = call.Reply{Verdict: verdict.MayHaveRun, Reason: verdict.ConnectionLost}
 )
 
 // Guards against spending extra attempts on calls that nodes refused without offering them
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -56,7 +56,7 @@
 	if ctx.Err() != nil {
 		return contextError(ctx, verdict.NotRun)
 	}
-	return verdict.Refuse(verdict.Lost, "request not sent to %s: %v", to.id.Short(), err)
+	return verdict.Refuse(verdict.ConnectionLost, "request not sent to %s: %v", to.id.Short(), err)
 }
 
 // awaitReply waits for the answer, the end of the connection, or the end of ctx. settled
@@ -77,13 +77,13 @@
 		return r, true
 	default:
 	}
-	d.count(func(c *Counts) { c.Lost++ })
+	d.count(func(c *Counts) { c.ConnectionLost++ })
 	if !written() {
 		r := errorReply(notSent(ctx, to, errConnectionEnded))
 		r.Unused = req.Grant
 		return r, true
 	}
-	return errorReply(verdict.Doubt(verdict.Lost, "connection to %s ended before the answer", req.To.Short())), false
+	return errorReply(verdict.Doubt(verdict.ConnectionLost, "connection to %s ended before the answer", req.To.Short())), false
 }
 
 var errConnectionEnded = errors.New("the connection ended")
--- a/dispatch/targets.go
+++ b/dispatch/targets.go
@@ -198,9 +198,9 @@
 	switch {
 	case r.Reason == verdict.Canceled, r.Reason == verdict.Deadline && r.From.IsZero():
 		return balancer.Abandoned
-	case r.Reason == verdict.Lost:
+	case r.Reason == verdict.ConnectionLost:
 		return balancer.Failed
-	case r.Verdict == verdict.NotRun && r.Reason.Elsewhere():
+	case r.Verdict == verdict.NotRun && r.Reason.RetryElsewhere():
 		return balancer.Refused
 	case r.Verdict == verdict.NotRun:
 		return balancer.Neutral
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -144,7 +144,7 @@
 
 func TestRefusalHasRetryAfter(t *testing.T) {
 	is := is.New(t)
-	d := &fakeDoer{out: call.OutcomeOf(verdict.Refuse(verdict.Shed, "level 3").After(1200 * time.Millisecond))}
+	d := &fakeDoer{out: call.OutcomeOf(verdict.Refuse(verdict.Shed, "level 3").WithRetryAfter(1200 * time.Millisecond))}
 	resp, body := startAndExchange(t, d, get)
 	is.Equal(resp.StatusCode, 503)
 	is.Equal(resp.Header.Get("Retry-After"), "2") // rounded up
--- a/internal/prove/poison_test.go
+++ b/internal/prove/poison_test.go
@@ -108,7 +108,7 @@
 			poison.Number++
 			poison.Node = i.CallerAddr
 			told := f.SendBody(t.Context(), poison, []byte("action:poison crash:"+service))
-			if told.Reason == verdict.Poison || bytes.Contains(told.Body, []byte(verdict.Poison)) {
+			if told.Reason == verdict.PoisonRequest || bytes.Contains(told.Body, []byte(verdict.PoisonRequest)) {
 				refused++ // by the node that was asked, or one further down
 			}
 			time.Sleep(150 * time.Millisecond)
--- a/node/entry.go
+++ b/node/entry.go
@@ -32,7 +32,7 @@
 // enter makes the call for a caller's request.
 func (n *Node) enter(ctx context.Context, in entry.Incoming) call.Outcome {
 	if n.draining.Load() {
-		return call.OutcomeOf(verdict.Refuse(verdict.Draining, "this node is leaving; use another").After(refuseRetryAfter))
+		return call.OutcomeOf(verdict.Refuse(verdict.Draining, "this node is leaving; use another").WithRetryAfter(refuseRetryAfter))
 	}
 	op, err := n.lookup(in.Service, in.Operation)
 	if err != nil {
@@ -56,7 +56,7 @@
 func (n *Node) lookup(service, operation string) (*graph.Operation, *verdict.Error) {
 	g := n.graph.graph()
 	if g == nil {
-		return nil, verdict.Refuse(verdict.NoConfiguration, "this node has no configuration yet").After(refuseRetryAfter)
+		return nil, verdict.Refuse(verdict.NoConfiguration, "this node has no configuration yet").WithRetryAfter(refuseRetryAfter)
 	}
 	if _, ok := g.Service(service); !ok {
 		return nil, verdict.Refuse(verdict.UnknownService, "service %q is not declared", service)
--- a/node/forward.go
+++ b/node/forward.go
@@ -54,11 +54,11 @@
 // forward finds the route of a request and makes the call along it.
 func (n *Node) forward(ctx context.Context, in entry.Incoming, path string) call.Outcome {
 	if n.closedToCallers(time.Now()) {
-		return call.OutcomeOf(verdict.Refuse(verdict.Draining, "this node is leaving").After(refuseRetryAfter))
+		return call.OutcomeOf(verdict.Refuse(verdict.Draining, "this node is leaving").WithRetryAfter(refuseRetryAfter))
 	}
 	table := n.routing.table()
 	if table == nil {
-		return call.OutcomeOf(verdict.Refuse(verdict.NoConfiguration, "this node has no routes yet").After(refuseRetryAfter))
+		return call.OutcomeOf(verdict.Refuse(verdict.NoConfiguration, "this node has no routes yet").WithRetryAfter(refuseRetryAfter))
 	}
 	route, ok := table.Find(in.HTTP.Host, path)
 	if !ok {
--- a/node/mint.go
+++ b/node/mint.go
@@ -39,14 +39,14 @@
 	defer cancel()
 	id, ok := n.dispatch.Choose(service)
 	if !ok {
-		return "", 0, verdict.Refuse(verdict.NoBackend, "no backend server of %s takes work", service).After(refuseRetryAfter)
+		return "", 0, verdict.Refuse(verdict.NoBackend, "no backend server of %s takes work", service).WithRetryAfter(refuseRetryAfter)
 	}
 	r, err := n.mintAt(ctx, id, operation)
 	if err != nil {
 		return "", 0, err
 	}
 	if r.Key == "" {
-		return "", 0, verdict.Refuse(r.Reason, "%s", r.Detail).After(refuseRetryAfter)
+		return "", 0, verdict.Refuse(r.Reason, "%s", r.Detail).WithRetryAfter(refuseRetryAfter)
 	}
 	n.counts.KeysMinted.Add(1)
 	return r.Key, r.Held, nil
@@ -59,20 +59,20 @@
 	}
 	c, err := n.connect(ctx, id)
 	if err != nil {
-		return mintReply{}, verdict.Refuse(verdict.Lost, "%v", err).After(refuseRetryAfter)
+		return mintReply{}, verdict.Refuse(verdict.ConnectionLost, "%v", err).WithRetryAfter(refuseRetryAfter)
 	}
 	seq, answer := n.server.addPendingMint(id)
 	defer n.server.removePendingMint(seq)
 	if _, err := c.Send(wire.KindMint, mintRequest{Seq: seq, Operation: operation}); err != nil {
-		return mintReply{}, verdict.Refuse(verdict.Lost, "%v", err).After(refuseRetryAfter)
+		return mintReply{}, verdict.Refuse(verdict.ConnectionLost, "%v", err).WithRetryAfter(refuseRetryAfter)
 	}
 	select {
 	case r := <-answer:
 		return r, nil
 	case <-c.Done():
-		return mintReply{}, verdict.Refuse(verdict.Lost, "connection to %s ended", id.Short()).After(refuseRetryAfter)
+		return mintReply{}, verdict.Refuse(verdict.ConnectionLost, "connection to %s ended", id.Short()).WithRetryAfter(refuseRetryAfter)
 	case <-ctx.Done():
-		return mintReply{}, verdict.Refuse(verdict.Deadline, "no key from %s in time", id.Short()).After(refuseRetryAfter)
+		return mintReply{}, verdict.Refuse(verdict.Deadline, "no key from %s in time", id.Short()).WithRetryAfter(refuseRetryAfter)
 	}
 }
 
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -164,7 +164,7 @@
 		}
 		if !awaitChange(ctx, changed, until) {
 			return verdict.Refuse(verdict.StaleConfiguration, "cannot verify that the configuration is no older than %s", n.cfg.FreshWithin).
-				After(n.cfg.Quota.UnknownComeBack)
+				WithRetryAfter(n.cfg.Quota.UnknownComeBack)
 		}
 	}
 }
@@ -181,12 +181,12 @@
 	for answer == quota.Wait {
 		if !awaitChange(ctx, changed, until) {
 			return quota.Token{}, verdict.Refuse(verdict.QuotaUnknown, "no owner answered for the quota of workspace %s in time", workspace).
-				After(n.cfg.Quota.UnknownComeBack)
+				WithRetryAfter(n.cfg.Quota.UnknownComeBack)
 		}
 		token, answer, changed = n.quotas.takeToken(workspace, true)
 	}
 	if answer == quota.Over {
-		return quota.Token{}, verdict.Refuse(verdict.OverQuota, "workspace %s has used its quota", workspace).After(n.cfg.Quota.ComeBack)
+		return quota.Token{}, verdict.Refuse(verdict.OverQuota, "workspace %s has used its quota", workspace).WithRetryAfter(n.cfg.Quota.ComeBack)
 	}
 	return token, nil
 }
--- a/once/binder.go
+++ b/once/binder.go
@@ -208,12 +208,12 @@
 
 func (b *Binder) fullError(age time.Duration) *verdict.Error {
 	err := verdict.Refuse(verdict.Shed, "too many caller-made keys are in use")
-	return err.After(max(b.cfg.PendingFor, b.claims.nextEndIn(age)))
+	return err.WithRetryAfter(max(b.cfg.PendingFor, b.claims.nextEndIn(age)))
 }
 
 func (b *Binder) notBoundError(age time.Duration) *verdict.Error {
 	err := verdict.Refuse(verdict.KeyNotBound, "the log can't bind the key now")
-	return err.After(max(b.cfg.RetryEvery, b.retryAt-age))
+	return err.WithRetryAfter(max(b.cfg.RetryEvery, b.retryAt-age))
 }
 
 func (b *Binder) expire(age time.Duration) []Resolution {
--- a/once/keys.go
+++ b/once/keys.go
@@ -130,7 +130,7 @@
 	}
 	if len(k.used) >= k.cfg.MaxKeys {
 		full := verdict.Refuse(verdict.Shed, "all %d places for used keys are taken", k.cfg.MaxKeys)
-		return refuse[A](full.After(k.nextExpiryIn(age)))
+		return refuse[A](full.WithRetryAfter(k.nextExpiryIn(age)))
 	}
 	u := &usedKey[A, W]{key: key, minted: info.Minted, fingerprint: fingerprint, running: true, expires: expires}
 	k.used[key] = u
--- a/ops/ops_test.go
+++ b/ops/ops_test.go
@@ -91,7 +91,7 @@
 	var a, b Counters
 	a.Outcome(verdict.NotRun, verdict.Shed)
 	a.Outcome(verdict.Ran, verdict.None)
-	b.Outcome(verdict.Unknown, verdict.Lost)
+	b.Outcome(verdict.Unknown, verdict.ConnectionLost)
 
 	type counted struct {
 		Cassialoom struct {
--- a/poison/guard.go
+++ b/poison/guard.go
@@ -94,9 +94,9 @@
 // Refusal returns the error for a request that Check refused. Its Retry-After is
 // the remaining time of the quarantine.
 func (g *Guard) Refusal(now time.Time, fp uint64) *verdict.Error {
-	err := verdict.Refuse(verdict.Poison, "a request with this content crashed backend servers")
+	err := verdict.Refuse(verdict.PoisonRequest, "a request with this content crashed backend servers")
 	if e := g.table.get(now, fp); e != nil {
-		return err.After(e.until.Sub(now))
+		return err.WithRetryAfter(e.until.Sub(now))
 	}
 	return err
 }
--- a/serve/dump.go
+++ b/serve/dump.go
@@ -12,17 +12,17 @@
 
 // Counts counts events since the node started.
 type Counts struct {
-	Arrived     uint64 `json:"arrived"`
-	Misdirected uint64 `json:"misdirected"`
-	Started     uint64 `json:"started"`
-	Shed        uint64 `json:"shed"`
-	Expired     uint64 `json:"expired"`
-	Canceled    uint64 `json:"canceled"`
-	Duplicates  uint64 `json:"duplicates"`
-	Poison      uint64 `json:"poison"`
-	Crashes     uint64 `json:"crashes"`
-	Joined      uint64 `json:"joined"`
-	Replayed    uint64 `json:"replayed"`
+	Arrived       uint64 `json:"arrived"`
+	Misdirected   uint64 `json:"misdirected"`
+	Started       uint64 `json:"started"`
+	Shed          uint64 `json:"shed"`
+	Expired       uint64 `json:"expired"`
+	Canceled      uint64 `json:"canceled"`
+	Duplicates    uint64 `json:"duplicates"`
+	PoisonRequest uint64 `json:"poison"`
+	Crashes       uint64 `json:"crashes"`
+	Joined        uint64 `json:"joined"`
+	Replayed      uint64 `json:"replayed"`
 }
 
 // Dump is a snapshot of a Server for operators.
--- a/serve/faults.go
+++ b/serve/faults.go
@@ -41,7 +41,7 @@
 		return // declined because of load
 	case r.Verdict == verdict.Ran && r.Reason == verdict.None:
 		f.recordAnswer(own, r)
-	case r.Reason == verdict.Lost, r.Reason == verdict.Incomplete:
+	case r.Reason == verdict.ConnectionLost, r.Reason == verdict.Incomplete:
 		f.addSample(1)
 	case f.usualLatency > 0 && own > silentFactor*f.usualLatency:
 		f.addSample(1)
--- a/serve/faults_test.go
+++ b/serve/faults_test.go
@@ -16,7 +16,7 @@
 	failedSelf = Result{Verdict: verdict.Ran, Status: 500}
 	failedCall = Result{Verdict: verdict.Ran, Status: 500, CallsFailed: true}
 	noAnswer   = Result{Verdict: verdict.MayHaveRun, Reason: verdict.Deadline}
-	reset      = Result{Verdict: verdict.MayHaveRun, Reason: verdict.Lost}
+	reset      = Result{Verdict: verdict.MayHaveRun, Reason: verdict.ConnectionLost}
 	full       = Result{Verdict: verdict.NotRun, Reason: verdict.Shed, Offered: true}
 	gaveUp     = Result{Verdict: verdict.MayHaveRun, Reason: verdict.Canceled}
 )
--- a/serve/key.go
+++ b/serve/key.go
@@ -91,9 +91,9 @@
 	case len(waiting) > s.cfg.Once.MaxJoined:
 		s.reply(e, s.refusal(t.Request, verdict.Doubt(verdict.Duplicate, "too many copies wait for the key's binding")))
 	case s.parkedBytes+size > maxParkedBytes && len(waiting) > 0:
-		s.reply(e, s.refusal(t.Request, verdict.Doubt(verdict.Shed, "too many bytes wait for key bindings").After(s.cfg.RefuseRetryAfter)))
+		s.reply(e, s.refusal(t.Request, verdict.Doubt(verdict.Shed, "too many bytes wait for key bindings").WithRetryAfter(s.cfg.RefuseRetryAfter)))
 	case s.parkedBytes+size > maxParkedBytes:
-		s.reply(e, s.refusal(t.Request, verdict.Refuse(verdict.Shed, "too many bytes wait for key bindings").After(s.cfg.RefuseRetryAfter)))
+		s.reply(e, s.refusal(t.Request, verdict.Refuse(verdict.Shed, "too many bytes wait for key bindings").WithRetryAfter(s.cfg.RefuseRetryAfter)))
 	default:
 		s.parkedBytes += size
 		s.parked[t.Request.Key] = append(waiting, t)
@@ -145,7 +145,7 @@
 // the key is valid. It refuses while the node drains or has no backend server.
 func (s *Server) Mint(now time.Time, operation string) (string, time.Duration, *verdict.Error) {
 	if s.draining || !s.ready {
-		return "", 0, verdict.Refuse(verdict.Draining, "node accepts no new work").After(s.cfg.RefuseRetryAfter)
+		return "", 0, verdict.Refuse(verdict.Draining, "node accepts no new work").WithRetryAfter(s.cfg.RefuseRetryAfter)
 	}
 	return s.mint.Mint(now, s.cfg.Service, operation), s.cfg.Once.KeyTTL, nil
 }
--- a/serve/prove_test.go
+++ b/serve/prove_test.go
@@ -116,10 +116,10 @@
 	}
 	r := rapid.SampledFrom([]Result{
 		{Verdict: verdict.Ran, Status: 200, Latency: time.Millisecond},
-		{Verdict: verdict.MayHaveRun, Reason: verdict.Lost},
+		{Verdict: verdict.MayHaveRun, Reason: verdict.ConnectionLost},
 		{Verdict: verdict.MayHaveRun, Reason: verdict.Deadline},
 		{Verdict: verdict.NotRun, Reason: verdict.Shed},
-		{Verdict: verdict.MayHaveRun, Reason: verdict.Lost, Crashed: true},
+		{Verdict: verdict.MayHaveRun, Reason: verdict.ConnectionLost, Crashed: true},
 	}).Draw(rt, "result")
 	if err := c.m.complete(n, id, r); err != nil {
 		return err
--- a/serve/run.go
+++ b/serve/run.go
@@ -63,7 +63,7 @@
 	fp := t.Request.Fingerprint
 	switch s.guard.Check(now, fp) {
 	case poison.Refuse:
-		s.counts.Poison++
+		s.counts.PoisonRequest++
 		s.finishUnstarted(t, s.guard.Refusal(now, fp), e)
 		return true
 	case poison.Isolated:
@@ -77,7 +77,7 @@
 		}
 		s.removeTask(t)
 		e.Tell = append(e.Tell, Tell{To: node, Notices: s.guard.NoticeFor(now, fp)})
-		s.redirect(t, verdict.Refuse(verdict.Poison, "isolated run at another node"), node, e)
+		s.redirect(t, verdict.Refuse(verdict.PoisonRequest, "isolated run at another node"), node, e)
 		return true
 	default:
 		t.mustIsolate = false
@@ -103,7 +103,7 @@
 		return
 	}
 	if !s.guard.StartIsolated(now, t.Request.Fingerprint) {
-		s.finishUnstarted(t, verdict.Refuse(verdict.Shed, "another isolated run is in progress").After(s.cfg.RefuseRetryAfter), e)
+		s.finishUnstarted(t, verdict.Refuse(verdict.Shed, "another isolated run is in progress").WithRetryAfter(s.cfg.RefuseRetryAfter), e)
 		s.startQueued(now, e)
 		return
 	}
@@ -117,7 +117,7 @@
 	}
 	t := s.isolated
 	s.isolated = nil
-	err := verdict.Refuse(reason, "refused while waiting for an isolated run").After(s.cfg.RefuseRetryAfter)
+	err := verdict.Refuse(reason, "refused while waiting for an isolated run").WithRetryAfter(s.cfg.RefuseRetryAfter)
 	s.finishUnstarted(t, err, e)
 }
 
--- a/serve/server.go
+++ b/serve/server.go
@@ -158,7 +158,7 @@
 func (s *Server) precheck(req call.Request, op *graph.Operation, configured bool) *verdict.Error {
 	switch {
 	case !configured:
-		return verdict.Refuse(verdict.NoConfiguration, "node has no configuration yet").After(s.cfg.RefuseRetryAfter)
+		return verdict.Refuse(verdict.NoConfiguration, "node has no configuration yet").WithRetryAfter(s.cfg.RefuseRetryAfter)
 	case req.Service != s.cfg.Service:
 		return verdict.Refuse(verdict.UnknownService, "%s is not served here", req.Service)
 	case op == nil:
@@ -240,13 +240,13 @@
 func (s *Server) checkAdmission(now time.Time, t *Task) *verdict.Error {
 	switch {
 	case s.draining:
-		return verdict.Refuse(verdict.Draining, "backend server is leaving").After(s.cfg.RefuseRetryAfter)
+		return verdict.Refuse(verdict.Draining, "backend server is leaving").WithRetryAfter(s.cfg.RefuseRetryAfter)
 	case !s.ready:
-		return verdict.Refuse(verdict.NoBackend, "backend server has not announced itself").After(s.cfg.RefuseRetryAfter)
+		return verdict.Refuse(verdict.NoBackend, "backend server has not announced itself").WithRetryAfter(s.cfg.RefuseRetryAfter)
 	case s.cfg.Policy != PolicyFull:
 		return nil
 	case s.guard.Check(now, t.Request.Fingerprint) == poison.Refuse:
-		s.counts.Poison++
+		s.counts.PoisonRequest++
 		return s.guard.Refusal(now, t.Request.Fingerprint)
 	case !s.gate.Admit(now, t.priority, t.Request.Bar(s.cfg.Service)) && !s.cfg.TellOnly:
 		s.counts.Shed++
@@ -256,7 +256,7 @@
 }
 
 func (s *Server) shedError(now time.Time) *verdict.Error {
-	return verdict.Refuse(verdict.Shed, "%s sheds below priority %d", s.cfg.Service, s.gate.Level(now)).After(s.gate.RetryAfter(now, s.random))
+	return verdict.Refuse(verdict.Shed, "%s sheds below priority %d", s.cfg.Service, s.gate.Level(now)).WithRetryAfter(s.gate.RetryAfter(now, s.random))
 }
 
 // Cancel ends an attempt whose caller has given up. A task that has not started
@@ -331,7 +331,7 @@
 		if !ok {
 			break
 		}
-		err := verdict.Refuse(reason, "refused while waiting").After(s.cfg.RefuseRetryAfter)
+		err := verdict.Refuse(reason, "refused while waiting").WithRetryAfter(s.cfg.RefuseRetryAfter)
 		s.finishUnstarted(item.Value, err, e)
 	}
 	s.refuseIsolated(reason, e)
--- a/verdict/reason.go
+++ b/verdict/reason.go
@@ -23,12 +23,12 @@
 	Canceled Reason = "canceled"
 	// Draining: the node is leaving.
 	Draining Reason = "draining"
-	// Lost: the connection ended without an answer.
-	Lost Reason = "lost"
+	// ConnectionLost: the connection ended without an answer.
+	ConnectionLost Reason = "lost"
 	// Incomplete: the answer is truncated or has no certain end.
 	Incomplete Reason = "incomplete-answer"
-	// Poison: requests with the same content crashed backend servers.
-	Poison Reason = "poison"
+	// PoisonRequest: requests with the same content crashed backend servers.
+	PoisonRequest Reason = "poison"
 	// Duplicate: too many copies of a request wait for the result of one.
 	Duplicate Reason = "duplicate"
 	// KeyInvalid: the idempotency key is malformed or was used for another request.
@@ -67,7 +67,7 @@
 		return http.StatusGatewayTimeout
 	case KeyExpired, KeyHolderGone, AnswerDropped, Duplicate:
 		return http.StatusConflict
-	case Lost, Incomplete, Internal:
+	case ConnectionLost, Incomplete, Internal:
 		return http.StatusBadGateway
 	case TooDeep:
 		return http.StatusLoopDetected
@@ -94,11 +94,11 @@
 // maxReasonBytes is longer than any defined reason.
 const maxReasonBytes = 32
 
-// Elsewhere reports whether another backend server may accept the request,
+// RetryElsewhere reports whether another backend server may accept the request,
 // because the reason concerns one node and not the request itself.
-func (r Reason) Elsewhere() bool {
+func (r Reason) RetryElsewhere() bool {
 	switch r {
-	case Shed, NoBackend, Draining, Lost, Incomplete, NoConfiguration, Internal:
+	case Shed, NoBackend, Draining, ConnectionLost, Incomplete, NoConfiguration, Internal:
 		return true
 	default:
 		return false
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -79,8 +79,8 @@
 	return &Error{Verdict: MayHaveRun, Reason: reason, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After returns a copy of e with RetryAfter set to d.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e with RetryAfter set to d.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
