--- a/internal/bench/connections.go
+++ b/internal/bench/connections.go
@@ -75,6 +75,6 @@
 
 func (silent) Handle(*transport.Conn, wire.Frame) {}
 func (silent) Up(*transport.Conn)                 {}
-func (silent) Stalled(*transport.Conn)            {}
+func (silent) Suspended(*transport.Conn)          {}
 func (silent) Down(*transport.Conn)               {}
 func (silent) Busy(wire.NodeID) bool              { return true }
--- a/internal/capacity/memory.go
+++ b/internal/capacity/memory.go
@@ -146,7 +146,7 @@
 
 func (idleHandler) Handle(*transport.Conn, wire.Frame) {}
 func (idleHandler) Up(*transport.Conn)                 {}
-func (idleHandler) Stalled(*transport.Conn)            {}
+func (idleHandler) Suspended(*transport.Conn)          {}
 func (idleHandler) Down(*transport.Conn)               {}
 func (idleHandler) Busy(wire.NodeID) bool              { return false }
 
--- a/node/peers.go
+++ b/node/peers.go
@@ -45,9 +45,9 @@
 	(*Node)(h).counts.PeerLosses.Add(1)
 }
 
-// Stalled implements transport.Handler. The membership probes the peer through other
+// Suspended implements transport.Handler. The membership probes the peer through other
 // nodes at once, so that calls soon avoid it if it has failed.
-func (h *peerHandler) Stalled(c *transport.Conn) {
+func (h *peerHandler) Suspended(c *transport.Conn) {
 	n := (*Node)(h)
 	n.counts.PeerStalls.Add(1)
 	n.dispatch.Unreachable(c.Peer().ID)
--- a/transport/config.go
+++ b/transport/config.go
@@ -59,20 +59,20 @@
 	// example because it is frozen, is closed after it, so that messages queued
 	// for that peer fail.
 	WriteTimeout time.Duration
-	// ProofAfter is the age of an unanswered call after which its connection is
+	// ProbeAfter is the age of an unanswered call after which its connection is
 	// probed. Most calls are answered sooner, so few connections are probed.
-	ProofAfter time.Duration
-	// StallAfter is the time, in addition to two round trips, that a peer has
+	ProbeAfter time.Duration
+	// ProbeTimeout is the time, in addition to two round trips, that a peer has
 	// to answer a probe before its connection is suspended. It allows for a
 	// busy machine and is short against the deadlines of requests.
-	StallAfter time.Duration
+	ProbeTimeout time.Duration
 	// IdleTimeout is the time after which an unused connection is closed, so
 	// that the number of connections follows the traffic and not the size of
 	// the fleet.
 	IdleTimeout time.Duration
-	// Outbound bounds the messages queued for one peer. The default covers a
+	// MaxQueuedMessages bounds the messages queued for one peer. The default covers a
 	// few seconds at the design load of 400 calls/s.
-	Outbound int
+	MaxQueuedMessages int
 	// MaxInbound bounds the connections accepted from peers. The default allows
 	// one from each of the 3,500 other nodes of the design size.
 	MaxInbound int
@@ -82,12 +82,12 @@
 // node.
 func DefaultConfig() Config {
 	return Config{
-		DialTimeout:  time.Second,
-		WriteTimeout: 3 * time.Second,
-		ProofAfter:   150 * time.Millisecond,
-		StallAfter:   250 * time.Millisecond,
-		IdleTimeout:  30 * time.Second,
-		Outbound:     1024,
-		MaxInbound:   4096,
+		DialTimeout:       time.Second,
+		WriteTimeout:      3 * time.Second,
+		ProbeAfter:        150 * time.Millisecond,
+		ProbeTimeout:      250 * time.Millisecond,
+		IdleTimeout:       30 * time.Second,
+		MaxQueuedMessages: 1024,
+		MaxInbound:        4096,
 	}
 }
--- a/transport/conn.go
+++ b/transport/conn.go
@@ -51,7 +51,7 @@
 	c := &Conn{
 		peer: peer,
 		ws:   ws,
-		out:  newOutbox(cfg.Outbound),
+		out:  newOutbox(cfg.MaxQueuedMessages),
 		done: make(chan struct{}),
 		cfg:  cfg,
 	}
--- a/transport/stall.go
+++ b/transport/stall.go
@@ -84,14 +84,14 @@
 }
 
 // suspects returns the active connections whose calls have been unconfirmed for
-// longer than ProofAfter and that are not being probed, and marks them as being
+// longer than ProbeAfter and that are not being probed, and marks them as being
 // probed.
 func (t *Transport) suspects(now time.Time) []*Conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var found []*Conn
 	for _, c := range t.active {
-		if c.unackedCalls.unackedFor(now) > t.cfg.ProofAfter && c.probing.CompareAndSwap(false, true) {
+		if c.unackedCalls.unackedFor(now) > t.cfg.ProbeAfter && c.probing.CompareAndSwap(false, true) {
 			found = append(found, c)
 		}
 	}
@@ -107,7 +107,7 @@
 		defer c.probing.Store(false)
 		ctx, cancel := context.WithTimeout(context.Background(), t.cfg.WriteTimeout)
 		defer cancel()
-		timeout := t.cfg.StallAfter + 2*min(c.roundTrip, maxRoundTrip)
+		timeout := t.cfg.ProbeTimeout + 2*min(c.roundTrip, maxRoundTrip)
 		suspendTimer := time.AfterFunc(timeout, func() { t.suspend(c) })
 		defer suspendTimer.Stop()
 		begin := time.Now()
@@ -123,7 +123,7 @@
 // handler.
 func (t *Transport) suspend(c *Conn) {
 	if t.deactivate(c) {
-		t.handler.Stalled(c)
+		t.handler.Suspended(c)
 	}
 }
 
--- a/transport/stall_test.go
+++ b/transport/stall_test.go
@@ -92,8 +92,8 @@
 func TestStalledConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
 	shortTimeouts := func(cfg *Config) {
-		cfg.ProofAfter = 10 * time.Millisecond
-		cfg.StallAfter = 20 * time.Millisecond
+		cfg.ProbeAfter = 10 * time.Millisecond
+		cfg.ProbeTimeout = 20 * time.Millisecond
 		cfg.WriteTimeout = time.Minute // must not end the connection here
 	}
 	a, b := startPeerWith(t, "c", shortTimeouts), startPeer(t, "c")
@@ -133,8 +133,8 @@
 func TestRecoveredConnectionIsReused(t *testing.T) {
 	is := is.New(t)
 	a, b := startPeerWith(t, "c", func(cfg *Config) {
-		cfg.ProofAfter = 10 * time.Millisecond
-		cfg.StallAfter = 20 * time.Millisecond
+		cfg.ProbeAfter = 10 * time.Millisecond
+		cfg.ProbeTimeout = 20 * time.Millisecond
 		cfg.WriteTimeout = time.Minute
 	}), startPeer(t, "c")
 	l := startProxy(t, b.addr)
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -14,9 +14,9 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// ErrOther is returned when the node at the dialled address is not the
+// ErrOtherIncarnation is returned when the node at the dialled address is not the
 // requested incarnation, which therefore no longer runs there.
-var ErrOther = errors.New("another incarnation answers at the address")
+var ErrOtherIncarnation = errors.New("another incarnation answers at the address")
 
 // Handler receives messages and connection events. Its methods are called from
 // the connections' goroutines and must not block.
@@ -28,10 +28,10 @@
 	Up(c *Conn)
 	// Down is called once when a connection has ended.
 	Down(c *Conn)
-	// Stalled is called when a connection is suspended: its peer did not
+	// Suspended is called when a connection is suspended: its peer did not
 	// confirm in time that calls arrive, and new messages use another
 	// connection.
-	Stalled(c *Conn)
+	Suspended(c *Conn)
 	// Busy reports whether the peer waits for an answer, so that its connection
 	// must not be closed as idle.
 	Busy(id wire.NodeID) bool
@@ -97,7 +97,7 @@
 
 // Connect returns a connection to the incarnation id and dials addr if there is
 // none. A zero id accepts whichever incarnation answers. Connect sends no
-// message; if the node at addr is another incarnation the error is ErrOther.
+// message; if the node at addr is another incarnation the error is ErrOtherIncarnation.
 func (t *Transport) Connect(ctx context.Context, id wire.NodeID, addr string) (*Conn, error) {
 	c, d, start, err := t.findOrDial(id, addr)
 	if c != nil || err != nil {
@@ -115,7 +115,7 @@
 		return nil, d.err
 	}
 	if !id.IsZero() && d.conn.peer.ID != id {
-		return nil, ErrOther
+		return nil, ErrOtherIncarnation
 	}
 	return d.conn, nil
 }
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -39,7 +39,7 @@
 }
 func (r *recorder) Up(c *Conn)            { r.up <- c.Peer().ID }
 func (r *recorder) Busy(wire.NodeID) bool { return false }
-func (r *recorder) Stalled(*Conn)         {}
+func (r *recorder) Suspended(*Conn)       {}
 func (r *recorder) Down(c *Conn)          { r.down <- c.Peer().ID }
 
 type peer struct {
@@ -99,7 +99,7 @@
 	a, b := startPeer(t, "c"), startPeer(t, "c")
 
 	_, err := a.Connect(context.Background(), wire.NewNodeID(), b.addr)
-	is.Equal(err, ErrOther)
+	is.Equal(err, ErrOtherIncarnation)
 }
 
 // Callers that want different incarnations at one address share the dial.
@@ -115,7 +115,7 @@
 
 	_, err = a.Connect(context.Background(), wire.NewNodeID(), b.addr)
 
-	is.Equal(err, ErrOther)
+	is.Equal(err, ErrOtherIncarnation)
 }
 
 func TestOtherClusterIsRefused(t *testing.T) {
