--- a/internal/testnode/peer.go
+++ b/internal/testnode/peer.go
@@ -107,12 +107,12 @@
 
 // SyncTaking is Sync that hands the other messages to take.
 func (p *Peer) SyncTaking(take func(wire.Frame)) error {
-	if err := p.Send(wire.KindMint, mintRequest{Seq: 1}); err != nil {
+	if err := p.Send(wire.KindMintKeyRequest, mintRequest{Seq: 1}); err != nil {
 		return err
 	}
 	for {
 		f, err := p.Next()
-		if err != nil || f.Kind == wire.KindMinted {
+		if err != nil || f.Kind == wire.KindMintKeyReply {
 			return err
 		}
 		take(f)
--- a/node/drain_test.go
+++ b/node/drain_test.go
@@ -72,15 +72,15 @@
 	leaving := c.Add("fieldlog", testnode.Echo)
 	c.AwaitWhole()
 	unaware := leaving.Dial(t, wire.NewNodeID())
-	is.NoErr(unaware.Send(wire.KindMint, mintRequest{Seq: 1, Operation: "file"}))
+	is.NoErr(unaware.Send(wire.KindMintKeyRequest, mintRequest{Seq: 1, Operation: "file"}))
 	var before mintReply
-	is.NoErr(unaware.NextOf(wire.KindMinted, &before))
+	is.NoErr(unaware.NextOf(wire.KindMintKeyReply, &before))
 	is.True(before.Key != "")
 
 	leaving.Node.Drain()
-	is.NoErr(unaware.Send(wire.KindMint, mintRequest{Seq: 2, Operation: "file"}))
+	is.NoErr(unaware.Send(wire.KindMintKeyRequest, mintRequest{Seq: 2, Operation: "file"}))
 	var after mintReply
-	is.NoErr(unaware.NextOf(wire.KindMinted, &after))
+	is.NoErr(unaware.NextOf(wire.KindMintKeyReply, &after))
 	is.Equal(after.Key, "")
 	is.Equal(after.Reason, verdict.Draining)
 }
--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -42,12 +42,12 @@
 	got := make(chan string, 1)
 	go func() { got <- desk.MintKey(t, "fieldlog", "file") }()
 	var m mintRequest
-	is.NoErr(asked.NextOf(wire.KindMint, &m))
+	is.NoErr(asked.NextOf(wire.KindMintKeyRequest, &m))
 	for seq := range uint64(100) {
-		is.NoErr(forger.Send(wire.KindMinted, mintReply{Seq: seq, Key: "forged"}))
+		is.NoErr(forger.Send(wire.KindMintKeyReply, mintReply{Seq: seq, Key: "forged"}))
 	}
 	is.NoErr(forger.Sync())
-	is.NoErr(asked.Send(wire.KindMinted, mintReply{Seq: m.Seq, Key: "true"}))
+	is.NoErr(asked.Send(wire.KindMintKeyReply, mintReply{Seq: m.Seq, Key: "true"}))
 	is.Equal(<-got, "true")
 }
 
@@ -138,7 +138,7 @@
 		req.Key = "own"
 		is.NoErr(p.Send(wire.KindCall, req))
 	}
-	is.NoErr(p.Send(wire.KindMint, mintRequest{Seq: 1}))
+	is.NoErr(p.Send(wire.KindMintKeyRequest, mintRequest{Seq: 1}))
 	refused := 0
 	for {
 		f, err := p.Next()
@@ -146,7 +146,7 @@
 		if f.Kind == wire.KindReply {
 			refused++
 		}
-		if f.Kind == wire.KindMinted {
+		if f.Kind == wire.KindMintKeyReply {
 			break
 		}
 	}
--- a/node/fuzz_test.go
+++ b/node/fuzz_test.go
@@ -110,7 +110,7 @@
 		{{wire.KindPoison, poison.Notice{State: poison.Suspect, Fingerprints: []uint64{1, 2}, TTL: time.Second}},
 			{wire.KindPoison, poison.Notice{State: poison.Convicted, Fingerprints: []uint64{1}, TTL: time.Second}}, c(7, "")},
 		{{wire.KindLevels, levelsMessage{News: []call.LevelNews{{Service: "fieldlog", Priority: 65535}, {Service: "other", Priority: 1, AgeMillis: 65535}}}}, c(8, "")},
-		{{wire.KindMint, struct{}{}}, {wire.KindMinted, struct{}{}}, {wire.KindHello, 1}, {99, 1}},
+		{{wire.KindMintKeyRequest, struct{}{}}, {wire.KindMintKeyReply, struct{}{}}, {wire.KindHello, 1}, {99, 1}},
 	}
 }
 
--- a/node/mint.go
+++ b/node/mint.go
@@ -63,7 +63,7 @@
 	}
 	seq, answer := n.server.addPendingMint(id)
 	defer n.server.removePendingMint(seq)
-	if _, err := c.Send(wire.KindMint, mintRequest{Seq: seq, Operation: operation}); err != nil {
+	if _, err := c.Send(wire.KindMintKeyRequest, mintRequest{Seq: seq, Operation: operation}); err != nil {
 		return mintReply{}, verdict.Refuse(verdict.ConnectionLost, "%v", err).WithRetryAfter(refuseRetryAfter)
 	}
 	select {
@@ -78,7 +78,7 @@
 
 func (n *Node) handleMint(c *transport.Conn, m mintRequest) {
 	// If the answer cannot be sent, the request of the other node times out.
-	_, _ = c.Send(wire.KindMinted, n.mintHere(m))
+	_, _ = c.Send(wire.KindMintKeyReply, n.mintHere(m))
 }
 
 // mintHere makes a key that names this incarnation. A draining node refuses, though it still
--- a/node/peers.go
+++ b/node/peers.go
@@ -81,9 +81,9 @@
 		return decode(f, func(m call.Reply) { n.handleReply(from, m) })
 	case wire.KindCancel:
 		return decode(f, func(m call.Cancel) { n.handleCancel(from, m) })
-	case wire.KindMint:
+	case wire.KindMintKeyRequest:
 		return decode(f, func(m mintRequest) { n.handleMint(c, m) })
-	case wire.KindMinted:
+	case wire.KindMintKeyReply:
 		return decode(f, func(m mintReply) { n.server.deliverMint(from, m) })
 	}
 	n.counts.ControlBytesIn.Add(int64(len(f.Body)))
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -18,10 +18,10 @@
 	KindCancel
 	KindMembership
 	KindConfig
-	// KindMint: request for an idempotency key.
-	KindMint
-	// KindMinted: answer to KindMint.
-	KindMinted
+	// KindMintKeyRequest: request for an idempotency key.
+	KindMintKeyRequest
+	// KindMintKeyReply: answer to KindMintKeyRequest.
+	KindMintKeyReply
 	// KindPoison: notice about requests that may crash backend servers.
 	KindPoison
 	// KindRoutes: version or content of the routes in force.
