--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -97,7 +97,7 @@
 type servers struct {
 	callers, local, peers, ops *http.Server
 	listening                  *listeners
-	callerConns                *entry.Connections
+	callerConns                *entry.CountingListener
 }
 
 func newServers(cfg node.Config, n *node.Node, c *ops.Counters, listening *listeners) *servers {
--- a/entry/config.go
+++ b/entry/config.go
@@ -50,7 +50,7 @@
 // NewServer returns a server with the timeouts of cfg. It sets neither
 // ReadTimeout nor WriteTimeout: both count from the head of the request, and
 // ReadTimeout ends the request's context, so they would interrupt longer calls.
-// Exchange sets the deadlines of body and answer itself. The server must be
+// HandleCall sets the deadlines of body and answer itself. The server must be
 // served on a listener from Listener.
 func NewServer(cfg Config, h http.Handler) *http.Server {
 	return &http.Server{
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -63,7 +63,7 @@
 func New(cfg Config, d Doer) http.Handler {
 	r := NewRouter(cfg)
 	r.HandleFunc("/call/{service}/{operation}", func(w http.ResponseWriter, req *http.Request) {
-		Exchange(cfg, w, req, d.Do)
+		HandleCall(cfg, w, req, d.Do)
 	}).Methods(http.MethodGet, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete)
 	r.HandleFunc("/key/{service}/{operation}", func(w http.ResponseWriter, req *http.Request) {
 		mint(cfg, w, req, d)
@@ -82,16 +82,16 @@
 
 func refuseRoute(cfg Config, status int, detail string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		DropBody(w, req)
+		DiscardBody(w, req)
 		writeError(cfg, w, status, "", verdict.Refuse(verdict.BadRequest, "%s", detail))
 	})
 }
 
-// Exchange reads one call, runs it with do and writes its outcome.
-func Exchange(cfg Config, w http.ResponseWriter, r *http.Request, do func(context.Context, Incoming) call.Outcome) {
+// HandleCall reads one call, runs it with do and writes its outcome.
+func HandleCall(cfg Config, w http.ResponseWriter, r *http.Request, do func(context.Context, Incoming) call.Outcome) {
 	in, refusal := read(cfg, w, r, time.Now())
 	if refusal != nil {
-		DropBody(w, r)
+		DiscardBody(w, r)
 		write(cfg, w, in.RequestID, call.OutcomeOf(refusal))
 		return
 	}
@@ -100,7 +100,7 @@
 
 // Refuse answers a request that is not a call with the error e.
 func Refuse(cfg Config, w http.ResponseWriter, r *http.Request, e *verdict.Error) {
-	DropBody(w, r)
+	DiscardBody(w, r)
 	writeError(cfg, w, e.Reason.Status(), "", e)
 }
 
--- a/entry/listener.go
+++ b/entry/listener.go
@@ -20,10 +20,10 @@
 // without an answer if a head does not arrive in time. The caller would then
 // have to assume that the request may have run. The connections of this
 // listener add the missing verdicts.
-func Listener(ln net.Listener) *Connections { return &Connections{Listener: ln} }
+func Listener(ln net.Listener) *CountingListener { return &CountingListener{Listener: ln} }
 
-// Connections is a listener that counts its open connections.
-type Connections struct {
+// CountingListener is a listener that counts its open connections.
+type CountingListener struct {
 	net.Listener
 	open   atomic.Int64
 	closed sync.Once
@@ -32,7 +32,7 @@
 // Close implements net.Listener. Further calls do nothing and return nil:
 // http.Server.Shutdown closes the listener again after LastCall, and its error
 // would be reported as a failed stop.
-func (l *Connections) Close() (err error) {
+func (l *CountingListener) Close() (err error) {
 	l.closed.Do(func() { err = l.Listener.Close() })
 	return err
 }
@@ -45,7 +45,7 @@
 // connection after its next answer. Closing idle connections from this side
 // instead could interrupt a request that is just being sent, whose caller could
 // not know whether it ran.
-func (l *Connections) LastCall(ctx context.Context, limit time.Duration) {
+func (l *CountingListener) LastCall(ctx context.Context, limit time.Duration) {
 	l.Close() // the error does not matter: no new connections are accepted
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -59,7 +59,7 @@
 }
 
 // Accept implements net.Listener.
-func (l *Connections) Accept() (net.Conn, error) {
+func (l *CountingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 // are not changed.
 type conn struct {
 	net.Conn
-	listener *Connections
+	listener *CountingListener
 	closed   atomic.Bool
 	handled  atomic.Bool
 	// receiving is set when a part of the next request has arrived.
--- a/entry/read.go
+++ b/entry/read.go
@@ -206,9 +206,9 @@
 	return cfg.BodyTimeout
 }
 
-// ReadSmall reads the body of a request that is not a call, at most limit
+// ReadLimited reads the body of a request that is not a call, at most limit
 // bytes.
-func ReadSmall(cfg Config, w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *verdict.Error) {
+func ReadLimited(cfg Config, w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *verdict.Error) {
 	return readWithin(w, r, limit, time.Now().Add(cfg.BodyTimeout))
 }
 
@@ -277,11 +277,11 @@
 	return verdict.Refuse(verdict.TooLarge, "the body is too large: at most %d bytes are allowed", limit)
 }
 
-// DropBody makes the server stop reading the request's body, for which it would
+// DiscardBody makes the server stop reading the request's body, for which it would
 // otherwise wait before or after the answer. The connection is closed after the
 // answer, because the failed read also ends the context of later requests on
 // it.
-func DropBody(w http.ResponseWriter, r *http.Request) {
+func DiscardBody(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength == 0 {
 		return
 	}
--- a/entry/write.go
+++ b/entry/write.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// Empty sends an answer without a body.
-func Empty(cfg Config, w http.ResponseWriter) { Send(cfg, w, http.StatusNoContent, nil) }
+// SendEmpty sends an answer without a body.
+func SendEmpty(cfg Config, w http.ResponseWriter) { Send(cfg, w, http.StatusNoContent, nil) }
 
 func bodyAllowed(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
--- a/local/local.go
+++ b/local/local.go
@@ -47,8 +47,8 @@
 	Boot string `json:"boot"`
 }
 
-// Departure is the message that a backend server sends before it ends.
-type Departure struct {
+// LeaveNotice is the message that a backend server sends before it ends.
+type LeaveNotice struct {
 	Boot string `json:"boot"`
 }
 
@@ -78,7 +78,7 @@
 			"%s: want exactly one, with the value received with the running call", headers.Call))
 		return
 	}
-	entry.Exchange(cfg, w, r, func(ctx context.Context, in entry.Incoming) call.Outcome {
+	entry.HandleCall(cfg, w, r, func(ctx context.Context, in entry.Incoming) call.Outcome {
 		return d.Call(ctx, tokens[0], in)
 	})
 }
@@ -91,7 +91,7 @@
 }
 
 func leave(cfg entry.Config, w http.ResponseWriter, r *http.Request, b Backends) {
-	var d Departure
+	var d LeaveNotice
 	if decode(cfg, w, r, &d) {
 		b.Leave(d.Boot)
 		respond(cfg, w, r, nil)
@@ -99,7 +99,7 @@
 }
 
 func decode(cfg entry.Config, w http.ResponseWriter, r *http.Request, v any) bool {
-	body, refusal := entry.ReadSmall(cfg, w, r, maxAnnouncementBytes)
+	body, refusal := entry.ReadLimited(cfg, w, r, maxAnnouncementBytes)
 	if refusal != nil {
 		entry.Refuse(cfg, w, r, refusal)
 		return false
@@ -118,5 +118,5 @@
 		entry.Refuse(cfg, w, r, verdict.Refuse(verdict.BadRequest, "announcement: %v", err))
 		return
 	}
-	entry.Empty(cfg, w)
+	entry.SendEmpty(cfg, w)
 }
