--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -56,7 +56,7 @@
 	if ctx.Err() != nil {
 		return contextError(ctx, verdict.NotRun)
 	}
-	return verdict.Refuse(verdict.Lost, "request not sent to %s: %v", to.id.Short(), err)
+	return verdict.Refuse(verdict.ConnectionLost, "request not sent to %s: %v", to.id.Short(), err)
 }
 
 // awaitReply waits for the answer, the end of the connection, or the end of ctx. settled
@@ -77,13 +77,13 @@
 		return r, true
 	default:
 	}
-	d.count(func(c *Counts) { c.Lost++ })
+	d.count(func(c *Counts) { c.ConnectionLost++ })
 	if !written() {
 		r := errorReply(notSent(ctx, to, errConnectionEnded))
 		r.Unused = req.Grant
 		return r, true
 	}
-	return errorReply(verdict.Doubt(verdict.Lost, "connection to %s ended before the answer", req.To.Short())), false
+	return errorReply(verdict.Doubt(verdict.ConnectionLost, "connection to %s ended before the answer", req.To.Short())), false
 }
 
 var errConnectionEnded = errors.New("the connection ended")
@@ -105,27 +105,27 @@
 	remaining := time.Until(p.Deadline)
 	margin := min(d.cfg.Margin, remaining/10)
 	return call.Request{
-		From:        d.cfg.Self,
-		Seq:         d.seq.Add(1),
-		To:          to,
-		RequestID:   p.RequestID,
-		Service:     p.Operation.Service,
-		Operation:   p.Operation.Name,
-		Importance:  p.Importance,
-		Budget:      remaining - margin,
-		Grant:       grant,
-		Key:         p.Key,
-		Fingerprint: p.Fingerprint,
-		Depth:       p.Depth,
-		Header:      p.Header,
-		Query:       p.Query,
-		Body:        p.Body,
-		HTTP:        p.HTTP,
-		Idempotent:  p.Operation.Idempotent,
-		Root:        p.Root,
-		Bars:        p.Bars,
-		Repeat:      p.Repeat || p.repeated,
-		Workspace:   p.Workspace,
+		From:          d.cfg.Self,
+		Seq:           d.seq.Add(1),
+		To:            to,
+		RequestID:     p.RequestID,
+		Service:       p.Operation.Service,
+		Operation:     p.Operation.Name,
+		Importance:    p.Importance,
+		Budget:        remaining - margin,
+		Grant:         grant,
+		Key:           p.Key,
+		Fingerprint:   p.Fingerprint,
+		Depth:         p.Depth,
+		Header:        p.Header,
+		Query:         p.Query,
+		Body:          p.Body,
+		HTTP:          p.HTTP,
+		Idempotent:    p.Operation.Idempotent,
+		RootRequestID: p.RootRequestID,
+		Bars:          p.Bars,
+		Repeat:        p.Repeat || p.repeated,
+		Workspace:     p.Workspace,
 	}
 }
 
--- a/dispatch/targets.go
+++ b/dispatch/targets.go
@@ -198,9 +198,9 @@
 	switch {
 	case r.Reason == verdict.Canceled, r.Reason == verdict.Deadline && r.From.IsZero():
 		return balancer.Abandoned
-	case r.Reason == verdict.Lost:
+	case r.Reason == verdict.ConnectionLost:
 		return balancer.Failed
-	case r.Verdict == verdict.NotRun && r.Reason.Elsewhere():
+	case r.Verdict == verdict.NotRun && r.Reason.RetryElsewhere():
 		return balancer.Refused
 	case r.Verdict == verdict.NotRun:
 		return balancer.Neutral
@@ -238,13 +238,13 @@
 // newEvent returns an event with the fields common to all steps of a call.
 func newEvent(now time.Time, p Params, step explain.Step) explain.Event {
 	return explain.Event{
-		RequestID: p.RequestID,
-		Root:      p.Root,
-		Service:   p.Operation.Service,
-		Operation: p.Operation.Name,
-		Step:      step,
-		Version:   p.Version,
-		Left:      p.Deadline.Sub(now),
+		RequestID:     p.RequestID,
+		RootRequestID: p.RootRequestID,
+		Service:       p.Operation.Service,
+		Operation:     p.Operation.Name,
+		Step:          step,
+		Version:       p.Version,
+		Left:          p.Deadline.Sub(now),
 	}
 }
 
--- a/internal/prove/poison_test.go
+++ b/internal/prove/poison_test.go
@@ -105,7 +105,7 @@
 			poison.Number++
 			poison.Node = i.CallerAddr
 			result := f.SendBody(t.Context(), poison, []byte("action:poison crash:"+service))
-			if result.Reason == verdict.Poison || bytes.Contains(result.Body, []byte(verdict.Poison)) {
+			if result.Reason == verdict.PoisonRequest || bytes.Contains(result.Body, []byte(verdict.PoisonRequest)) {
 				refused++ // by the receiving node or by one further down
 			}
 			time.Sleep(150 * time.Millisecond)
--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -48,7 +48,7 @@
 	ctx         context.Context
 	stop        context.CancelFunc
 	callsFailed bool
-	used        []call.Use
+	used        []call.SlotTime
 }
 
 // minimalExplain limits the records of decisions, which nothing reads here.
@@ -146,7 +146,7 @@
 	}
 	out := n.dispatch.Call(ctx, p)
 	if out.Verdict == verdict.Ran {
-		n.learnReach(c, call.Names(out.Used))
+		n.learnReach(c, call.SlotTimeServices(out.Used))
 	}
 	return out
 }
@@ -176,7 +176,7 @@
 	out := n.dispatch.Call(r.ctx, dispatch.Params{
 		RequestID: n.simulation.nextID(), Operation: op, Importance: req.Importance, Deadline: deadline,
 		Ledger: retry.New(uint32(op.ExtraAttempts)), Fanout: 1,
-		Root: req.RootID(), Bars: req.Bars, Admitted: true, Repeat: req.Repeat, Depth: req.Depth + 1,
+		RootRequestID: req.RootID(), Bars: req.Bars, Admitted: true, Repeat: req.Repeat, Depth: req.Depth + 1,
 	})
 	n.used(r, c.Service, out)
 	n.simulation.report.callEnded(c.Service, out)
@@ -187,9 +187,9 @@
 func (n *node) used(r *run, service string, out call.Outcome) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r.used = out.AddUses(r.used, service)
-	r.callsFailed = r.callsFailed || !out.Served()
-	if n.callReach.Learn(time.Now(), "", call.Names(r.used)) {
+	r.used = out.AddSlotTimes(r.used, service)
+	r.callsFailed = r.callsFailed || !out.Succeeded()
+	if n.callReach.Learn(time.Now(), "", call.SlotTimeServices(r.used)) {
 		n.dispatch.PassOn(n.callReach.Reach(""))
 	}
 }
--- a/internal/testnode/peer.go
+++ b/internal/testnode/peer.go
@@ -112,12 +112,12 @@
 
 // SyncTaking is Sync, but calls handle for each other message.
 func (p *Peer) SyncTaking(handle func(wire.Frame)) error {
-	if err := p.Send(wire.KindMint, mintRequest{Seq: 1}); err != nil {
+	if err := p.Send(wire.KindMintKeyRequest, mintRequest{Seq: 1}); err != nil {
 		return err
 	}
 	for {
 		f, err := p.Next()
-		if err != nil || f.Kind == wire.KindMinted {
+		if err != nil || f.Kind == wire.KindMintKeyReply {
 			return err
 		}
 		handle(f)
--- a/node/peers.go
+++ b/node/peers.go
@@ -45,9 +45,9 @@
 	(*Node)(h).counts.PeerLosses.Add(1)
 }
 
-// Stalled implements transport.Handler. The membership probes the peer through other
+// Suspended implements transport.Handler. The membership probes the peer through other
 // nodes at once, so that calls soon avoid it if it has failed.
-func (h *peerHandler) Stalled(c *transport.Conn) {
+func (h *peerHandler) Suspended(c *transport.Conn) {
 	n := (*Node)(h)
 	n.counts.PeerStalls.Add(1)
 	n.dispatch.Unreachable(c.Peer().ID)
@@ -81,9 +81,9 @@
 		return decode(f, func(m call.Reply) { n.handleReply(from, m) })
 	case wire.KindCancel:
 		return decode(f, func(m call.Cancel) { n.handleCancel(from, m) })
-	case wire.KindMint:
+	case wire.KindMintKeyRequest:
 		return decode(f, func(m mintRequest) { n.handleMint(c, m) })
-	case wire.KindMinted:
+	case wire.KindMintKeyReply:
 		return decode(f, func(m mintReply) { n.server.deliverMint(from, m) })
 	}
 	n.counts.ControlBytesIn.Add(int64(len(f.Body)))
@@ -152,7 +152,7 @@
 		n.counts.BadMessages.Add(1)
 		return
 	}
-	req.Via = c.Number()
+	req.ConnNumber = c.Number()
 	n.arriveDelayed(c.Delay(time.Now(), req.SentMillis), req)
 }
 
