--- a/admission/gate.go
+++ b/admission/gate.go
@@ -110,9 +110,9 @@
 	return toLevel(g.publishedLevel)
 }
 
-// Own returns the level that the node itself applies, which is never above Level. When
+// OwnLevel returns the level that the node itself applies, which is never above Level. When
 // it rises, the node also sheds waiting calls below it.
-func (g *Gate) Own(now time.Time) uint16 {
+func (g *Gate) OwnLevel(now time.Time) uint16 {
 	g.advance(now)
 	return toLevel(g.ownLevel)
 }
@@ -140,7 +140,7 @@
 	if elapsed < g.cfg.Interval {
 		return
 	}
-	if g.counts.served < g.cfg.Calls && elapsed < time.Duration(g.cfg.Stretch)*g.cfg.Interval {
+	if g.counts.served < g.cfg.MinCalls && elapsed < time.Duration(g.cfg.MaxIntervals)*g.cfg.Interval {
 		return
 	}
 	intervals := float64(elapsed) / float64(g.cfg.Interval)
@@ -186,7 +186,7 @@
 	}
 	queued := q.queued / max(q.calls, 1)
 	targetQueue := g.cfg.Queue * math.Sqrt(q.limit/max(q.calls, 1))
-	targetRate := g.capacity + (targetQueue-queued)/g.cfg.Settle
+	targetRate := g.capacity + (targetQueue-queued)/g.cfg.SettleIntervals
 	targetRate = max(targetRate, g.capacity/2)
 	if queued > targetQueue && q.minQueued > 0 {
 		g.raise(targetRate)
@@ -207,10 +207,10 @@
 }
 
 // headroom returns the rate to admit while the limit is not in use: the served rate
-// scaled by the free slots, at most by Probe, or the known capacity if that is more.
+// scaled by the free slots, at most by MaxProbeGrowth, or the known capacity if that is more.
 func (g *Gate) headroom(served float64) float64 {
 	free := g.counts.queue.limit / max(g.counts.queue.inFlight, 1)
-	return max(g.capacity, served*min(free, g.cfg.Probe))
+	return max(g.capacity, served*min(free, g.cfg.MaxProbeGrowth))
 }
 
 // raise sets the level while the queue is too long. The level may also fall here: the
@@ -230,7 +230,7 @@
 
 // setOwnLevel sets the level that the node itself applies.
 func (g *Gate) setOwnLevel(rate float64) {
-	own := g.levelFor(rate * (1 + g.cfg.Surplus))
+	own := g.levelFor(rate * (1 + g.cfg.OwnSurplus))
 	g.ownLevel = min(g.publishedLevel, stepDown(g.ownLevel, own))
 }
 
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -81,8 +81,8 @@
 				if least < most {
 					r.Fatalf("admitted %d and refused %d at one time", least, most)
 				}
-				if g.Own(now) > g.Level(now) {
-					r.Fatalf("own level %d above the published %d", g.Own(now), g.Level(now))
+				if g.OwnLevel(now) > g.Level(now) {
+					r.Fatalf("own level %d above the published %d", g.OwnLevel(now), g.Level(now))
 				}
 			}
 		}
@@ -151,7 +151,7 @@
 		settled         = 5000   // milliseconds
 	)
 	cfg := DefaultGateConfig()
-	cfg.Queue, cfg.Settle = 4, 20
+	cfg.Queue, cfg.SettleIntervals = 4, 20
 	g := NewGate(cfg)
 	rng := rand.New(rand.NewPCG(1, 2))
 	type call struct{ priority, admittedLevel uint16 }
@@ -198,7 +198,7 @@
 		intervals = 200
 	)
 	cfg := DefaultGateConfig()
-	cfg.Queue, cfg.Settle = 4, 20
+	cfg.Queue, cfg.SettleIntervals = 4, 20
 	offered := [importance.Count]float64{importance.Normal: 25, importance.Critical: 20}
 	var emptied, refused, highest int
 	for seed := range uint64(5) {
--- a/admission/news.go
+++ b/admission/level_gossip.go
@@ -9,38 +9,38 @@
 	"github.com/cassialoom/cassialoom/call"
 )
 
-// NewsConfig configures News. With the zero value, News neither accepts nor publishes
+// LevelGossipConfig configures LevelGossip. With the zero value, LevelGossip neither accepts nor publishes
 // anything.
-type NewsConfig struct {
+type LevelGossipConfig struct {
 	// Interval is the time between two rounds of gossip. It is shorter than the time in
 	// which a level settles.
 	Interval time.Duration
-	// Words is the number of replies that a node must have received from a service's
+	// MinDirectReplies is the number of replies that a node must have received from a service's
 	// own nodes in one interval to publish the level of the service. Fewer replies may
 	// come from a few nodes that don't represent the service.
-	Words int
-	// Fresh is how long a level is valid: several intervals, since random gossip may
+	MinDirectReplies int
+	// TTL is how long a level is valid: several intervals, since random gossip may
 	// miss a node for some rounds in a row.
-	Fresh time.Duration
-	// Linger is how long a level is published after it fell to zero, so that other
+	TTL time.Duration
+	// ZeroTTL is how long a level is published after it fell to zero, so that other
 	// nodes receive the zero before they fall back to older reports.
-	Linger time.Duration
+	ZeroTTL time.Duration
 	// Services bounds the number of services remembered.
 	Services int
 }
 
-// DefaultNewsConfig returns the settings of a node on the platform.
-func DefaultNewsConfig() NewsConfig {
-	return NewsConfig{
-		Interval: 100 * time.Millisecond,
-		Words:    8,
-		Fresh:    700 * time.Millisecond,
-		Linger:   2 * time.Second,
-		Services: 256, // as many as LevelsConfig
+// DefaultLevelGossipConfig returns the settings of a node on the platform.
+func DefaultLevelGossipConfig() LevelGossipConfig {
+	return LevelGossipConfig{
+		Interval:         100 * time.Millisecond,
+		MinDirectReplies: 8,
+		TTL:              700 * time.Millisecond,
+		ZeroTTL:          2 * time.Second,
+		Services:         256, // as many as LevelsConfig
 	}
 }
 
-// News spreads the levels of services from node to node by gossip, in addition to the
+// LevelGossip spreads the levels of services from node to node by gossip, in addition to the
 // levels that replies carry.
 //
 // It handles overload deep in the graph when requests enter at hundreds of nodes. An
@@ -52,9 +52,9 @@
 // logarithm of the number of nodes, and the messages sent by each node do not grow.
 //
 // Each level carries the time at which it was observed at the service itself, so
-// forwarding does not make it newer. News is not safe for concurrent use.
-type News struct {
-	cfg      NewsConfig
+// forwarding does not make it newer. LevelGossip is not safe for concurrent use.
+type LevelGossip struct {
+	cfg      LevelGossipConfig
 	services map[string]*gossipEntry
 }
 
@@ -67,22 +67,22 @@
 	lastNonZero time.Time
 }
 
-// NewNews returns an empty News.
-func NewNews(cfg NewsConfig) *News {
-	return &News{cfg: cfg, services: make(map[string]*gossipEntry)}
+// NewLevelGossip returns an empty LevelGossip.
+func NewLevelGossip(cfg LevelGossipConfig) *LevelGossip {
+	return &LevelGossip{cfg: cfg, services: make(map[string]*gossipEntry)}
 }
 
 // Level returns the latest level of a service, and false if none is fresh.
-func (n *News) Level(now time.Time, service string) (uint16, bool) {
+func (n *LevelGossip) Level(now time.Time, service string) (uint16, bool) {
 	e := n.services[service]
-	if e == nil || now.Sub(e.observedAt) > n.cfg.Fresh {
+	if e == nil || now.Sub(e.observedAt) > n.cfg.TTL {
 		return 0, false
 	}
 	return e.level, true
 }
 
-// Hear records the levels that another node published.
-func (n *News) Hear(now time.Time, levels []call.LevelNews) {
+// Receive records the levels that another node published.
+func (n *LevelGossip) Receive(now time.Time, levels []call.LevelNews) {
 	for _, t := range levels {
 		n.record(now, t.Service, t.Priority, now.Add(-time.Duration(t.AgeMillis)*time.Millisecond))
 	}
@@ -90,8 +90,8 @@
 
 // record stores a level observed at a time, unless it is too old or a newer one is
 // known.
-func (n *News) record(now time.Time, service string, level uint16, observedAt time.Time) {
-	if now.Sub(observedAt) > n.cfg.Fresh {
+func (n *LevelGossip) record(now time.Time, service string, level uint16, observedAt time.Time) {
+	if now.Sub(observedAt) > n.cfg.TTL {
 		return
 	}
 	e := n.services[service]
@@ -115,21 +115,21 @@
 }
 
 // removeExpired removes services whose level is no longer fresh.
-func (n *News) removeExpired(now time.Time) {
+func (n *LevelGossip) removeExpired(now time.Time) {
 	for service, e := range n.services {
-		if now.Sub(e.observedAt) > n.cfg.Fresh {
+		if now.Sub(e.observedAt) > n.cfg.TTL {
 			delete(n.services, service)
 		}
 	}
 }
 
-// Tell returns the levels to publish to other nodes, ordered by service. It is empty
+// Outgoing returns the levels to publish to other nodes, ordered by service. It is empty
 // while no service is or recently was overloaded.
-func (n *News) Tell(now time.Time) []call.LevelNews {
+func (n *LevelGossip) Outgoing(now time.Time) []call.LevelNews {
 	var out []call.LevelNews
 	for service, e := range n.services {
 		age := now.Sub(e.observedAt)
-		if age > n.cfg.Fresh || now.Sub(e.lastNonZero) > n.cfg.Linger {
+		if age > n.cfg.TTL || now.Sub(e.lastNonZero) > n.cfg.ZeroTTL {
 			continue
 		}
 		out = append(out, call.LevelNews{Service: service, Priority: e.level, AgeMillis: uint16(min(age.Milliseconds(), math.MaxUint16))})
--- a/admission/news_test.go
+++ b/admission/level_gossip_test.go
@@ -16,7 +16,7 @@
 type fleet struct {
 	rng     *rand.Rand
 	now     time.Time
-	nodes   []*News
+	nodes   []*LevelGossip
 	sources int
 	// published counts the messages sent.
 	published int
@@ -25,7 +25,7 @@
 func newFleet(nodes, sources int) *fleet {
 	f := &fleet{rng: rand.New(rand.NewPCG(1, 2)), now: start, sources: sources}
 	for range nodes {
-		f.nodes = append(f.nodes, NewNews(DefaultNewsConfig()))
+		f.nodes = append(f.nodes, NewLevelGossip(DefaultLevelGossipConfig()))
 	}
 	return f
 }
@@ -33,18 +33,18 @@
 // round runs one gossip interval, in which the sources observe the given level.
 func (f *fleet) round(level uint16) {
 	const fanOut = 3
-	f.now = f.now.Add(DefaultNewsConfig().Interval)
+	f.now = f.now.Add(DefaultLevelGossipConfig().Interval)
 	for _, n := range f.nodes[:f.sources] {
 		n.record(f.now, "deep", level, f.now)
 	}
 	for _, n := range f.nodes {
-		published := n.Tell(f.now)
+		published := n.Outgoing(f.now)
 		if len(published) == 0 {
 			continue
 		}
 		for range fanOut {
 			f.published++
-			f.nodes[f.rng.IntN(len(f.nodes))].Hear(f.now, published)
+			f.nodes[f.rng.IntN(len(f.nodes))].Receive(f.now, published)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 	}
 	is.True(f.countInformed(30000) > 185)
 	f.sources = 0
-	for range DefaultNewsConfig().Fresh/DefaultNewsConfig().Interval + 1 {
+	for range DefaultLevelGossipConfig().TTL/DefaultLevelGossipConfig().Interval + 1 {
 		f.round(0)
 	}
 	is.Equal(f.countInformed(30000), 0)
@@ -102,9 +102,9 @@
 // and unbounded memory for services.
 func TestLateGossipDoesNotReplaceNewer(t *testing.T) {
 	is := is.New(t)
-	n := NewNews(DefaultNewsConfig())
+	n := NewLevelGossip(DefaultLevelGossipConfig())
 	receive := func(level, age uint16) {
-		n.Hear(start, []call.LevelNews{{Service: "deep", Priority: level, AgeMillis: age}})
+		n.Receive(start, []call.LevelNews{{Service: "deep", Priority: level, AgeMillis: age}})
 	}
 	level := func() uint16 { l, _ := n.Level(start, "deep"); return l }
 	receive(10, 5000)
@@ -114,9 +114,9 @@
 	receive(30, 200)
 	is.Equal(level(), uint16(20))
 	for i := range 1000 {
-		n.Hear(start, []call.LevelNews{{Service: string(rune('a' + i)), Priority: 1}})
+		n.Receive(start, []call.LevelNews{{Service: string(rune('a' + i)), Priority: 1}})
 	}
-	is.Equal(len(n.services), DefaultNewsConfig().Services)
+	is.Equal(len(n.services), DefaultLevelGossipConfig().Services)
 	is.Equal(level(), uint16(20))
 }
 
@@ -124,26 +124,26 @@
 // frequent replies of the service's own nodes.
 func TestGossipTakesPrecedenceOverForwardedLevels(t *testing.T) {
 	is := is.New(t)
-	news := NewNews(DefaultNewsConfig())
-	entry := NewLevels(DefaultLevelsConfig(), news, 1)
+	gossip := NewLevelGossip(DefaultLevelGossipConfig())
+	entry := NewLevels(DefaultLevelsConfig(), gossip, 1)
 	now := start
-	entry.Heard(now, "top", wire.NodeID{1}, []call.Level{{Service: "deep", Priority: 1000}})
+	entry.RecordReply(now, "top", wire.NodeID{1}, []call.Level{{Service: "deep", Priority: 1000}})
 	is.Equal(entry.Level(now, "deep"), uint16(1000))
 	now = now.Add(100 * time.Millisecond)
-	news.Hear(now, []call.LevelNews{{Service: "deep", Priority: 30000, AgeMillis: 50}})
+	gossip.Receive(now, []call.LevelNews{{Service: "deep", Priority: 30000, AgeMillis: 50}})
 	is.Equal(entry.Level(now, "deep"), uint16(30000))
 	is.Equal(entry.Level(now, "other"), uint16(0))
-	fresh := NewLevels(DefaultLevelsConfig(), news, 1)
+	fresh := NewLevels(DefaultLevelsConfig(), gossip, 1)
 	is.Equal(fresh.Level(now, "deep"), uint16(30000)) // without any reply
 
-	for i := range DefaultNewsConfig().Words {
-		entry.Heard(now, "deep", wire.NodeID{byte(i)}, []call.Level{{Service: "deep", Priority: 20000}})
+	for i := range DefaultLevelGossipConfig().MinDirectReplies {
+		entry.RecordReply(now, "deep", wire.NodeID{byte(i)}, []call.Level{{Service: "deep", Priority: 20000}})
 	}
-	entry.Speak(now)
+	entry.PublishGossip(now)
 	is.Equal(entry.Level(now, "deep"), uint16(20000))
 	now = now.Add(100 * time.Millisecond)
-	entry.Speak(now) // without replies since the last call
-	told, ok := news.Level(now, "deep")
+	entry.PublishGossip(now) // without replies since the last call
+	received, ok := gossip.Level(now, "deep")
 	is.True(ok)
-	is.Equal(told, uint16(20000))
+	is.Equal(received, uint16(20000))
 }
--- a/admission/levels.go
+++ b/admission/levels.go
@@ -24,8 +24,8 @@
 type serviceLevels struct {
 	reports  []nodeReport
 	recovery recovery
-	// directReports counts the reports of the service's own nodes since the last Speak.
-	// reliable is set if there were enough of them before the last Speak for this node
+	// directReports counts the reports of the service's own nodes since the last PublishGossip.
+	// reliable is set if there were enough of them before the last PublishGossip for this node
 	// to publish the level as gossip.
 	directReports int
 	reliable      bool
@@ -43,7 +43,7 @@
 type Levels struct {
 	cfg       LevelsConfig
 	rng       *rand.Rand
-	gossip    *News
+	gossip    *LevelGossip
 	services  map[string]*serviceLevels
 	forwarded []string
 	scratch   []uint16
@@ -51,7 +51,7 @@
 
 // NewLevels returns Levels that admit everything. Fresh gossip takes precedence over
 // levels that replies forwarded. The seed randomizes Retry-After times.
-func NewLevels(cfg LevelsConfig, gossip *News, seed uint64) *Levels {
+func NewLevels(cfg LevelsConfig, gossip *LevelGossip, seed uint64) *Levels {
 	return &Levels{
 		cfg:      cfg,
 		gossip:   gossip,
@@ -60,15 +60,15 @@
 	}
 }
 
-// PassOn sets the services whose levels Report forwards: those that the node's own
+// SetForwarded sets the services whose levels Report forwards: those that the node's own
 // service reaches, without any that reaches back to it. If levels were forwarded in a
 // cycle, nodes would keep renewing their own old reports and a level would never fall.
-func (l *Levels) PassOn(services []string) {
+func (l *Levels) SetForwarded(services []string) {
 	l.forwarded = slices.Clone(services)
 }
 
-// Learn records the level of a service as reported by one of its nodes.
-func (l *Levels) Learn(now time.Time, name string, node wire.NodeID, level uint16) {
+// RecordLevel records the level of a service as reported by one of its nodes.
+func (l *Levels) RecordLevel(now time.Time, name string, node wire.NodeID, level uint16) {
 	l.record(now, name, nodeReport{node: node, reporter: name, level: level, receivedAt: now})
 }
 
@@ -88,11 +88,11 @@
 	l.update(now, name, s)
 }
 
-// Speak publishes as gossip the levels of the services whose own nodes reported often
+// PublishGossip publishes as gossip the levels of the services whose own nodes reported often
 // since the last call.
-func (l *Levels) Speak(now time.Time) {
+func (l *Levels) PublishGossip(now time.Time) {
 	for name, s := range l.services {
-		s.reliable = s.directReports >= l.gossip.cfg.Words
+		s.reliable = s.directReports >= l.gossip.cfg.MinDirectReplies
 		s.directReports = 0
 		if s.reliable {
 			l.gossip.record(now, name, l.level(now, s), now)
@@ -109,17 +109,17 @@
 	}
 	maps.DeleteFunc(l.services, func(_ string, s *serviceLevels) bool {
 		return !slices.ContainsFunc(s.reports, func(n nodeReport) bool {
-			return now.Sub(n.receivedAt) < l.cfg.Fresh+l.cfg.Decay
+			return now.Sub(n.receivedAt) < l.cfg.TTL+l.cfg.Decay
 		})
 	})
 	return len(l.services) < l.cfg.Services
 }
 
-// Heard records all levels of one reply from a node of the service reporter. A level of
+// RecordReply records all levels of one reply from a node of the service reporter. A level of
 // zero is recorded for what the reply doesn't name: the reporter itself, and the
 // services that any of its nodes has named before. Without these zeros, a single
 // overloaded node would determine the level of its service.
-func (l *Levels) Heard(now time.Time, reporter string, node wire.NodeID, levels []call.Level) {
+func (l *Levels) RecordReply(now time.Time, reporter string, node wire.NodeID, levels []call.Level) {
 	report := nodeReport{node: node, reporter: reporter, receivedAt: now}
 	if reporter != "" && !contains(levels, reporter) {
 		l.record(now, reporter, report)
@@ -175,7 +175,7 @@
 // decayedLevel returns a node's level, which decays without new reports: while nothing
 // is admitted, no reply can report the end of the overload.
 func (l *Levels) decayedLevel(now time.Time, n nodeReport) uint16 {
-	decaying := now.Sub(n.receivedAt) - l.cfg.Fresh
+	decaying := now.Sub(n.receivedAt) - l.cfg.TTL
 	if decaying <= 0 {
 		return n.level
 	}
@@ -193,10 +193,10 @@
 	if now.Before(s.validUntil) {
 		return s.combined
 	}
-	s.validUntil = now.Add(l.cfg.Fresh)
+	s.validUntil = now.Add(l.cfg.TTL)
 	l.scratch = l.scratch[:0]
 	for _, n := range s.reports {
-		decayStart := n.receivedAt.Add(l.cfg.Fresh)
+		decayStart := n.receivedAt.Add(l.cfg.TTL)
 		if now.Sub(decayStart) >= l.cfg.Decay {
 			continue
 		}
@@ -243,30 +243,30 @@
 	return l.update(now, name, s)
 }
 
-// Entry is the decision whether to admit a new request.
-type Entry struct {
+// EntryDecision is the decision whether to admit a new request.
+type EntryDecision struct {
 	// BlockedBy names the service that does not admit the request, and is empty if all
 	// do. RetryAfter is the time after which the caller should retry.
 	BlockedBy  string
 	RetryAfter time.Duration
-	// Bars are the levels above zero that were applied.
-	Bars []call.Level
+	// AdmittedLevels are the levels above zero that were applied.
+	AdmittedLevels []call.Level
 }
 
 // Admitted reports whether the request may start.
-func (e Entry) Admitted() bool { return e.BlockedBy == "" }
+func (e EntryDecision) Admitted() bool { return e.BlockedBy == "" }
 
 // Admit decides whether a request of a priority may start that will reach the services.
-// If not, Entry names the blocking service with the highest level.
-func (l *Levels) Admit(now time.Time, services []string, prio uint16) Entry {
-	var entry Entry
+// If not, EntryDecision names the blocking service with the highest level.
+func (l *Levels) Admit(now time.Time, services []string, prio uint16) EntryDecision {
+	var entry EntryDecision
 	var blockingLevel uint16
 	for _, name := range services {
 		level := l.Level(now, name)
 		if level == 0 {
 			continue
 		}
-		entry.Bars = append(entry.Bars, call.Level{Service: name, Priority: level})
+		entry.AdmittedLevels = append(entry.AdmittedLevels, call.Level{Service: name, Priority: level})
 		if level > prio && level > blockingLevel {
 			blockingLevel, entry.BlockedBy = level, name
 		}
@@ -315,7 +315,7 @@
 	return out
 }
 
-// LearnReply is Heard for a node whose service is not known.
-func (l *Levels) LearnReply(now time.Time, node wire.NodeID, levels []call.Level) {
-	l.Heard(now, "", node, levels)
+// RecordReplyOfUnknownService is RecordReply for a node whose service is not known.
+func (l *Levels) RecordReplyOfUnknownService(now time.Time, node wire.NodeID, levels []call.Level) {
+	l.RecordReply(now, "", node, levels)
 }
--- a/admission/levels_test.go
+++ b/admission/levels_test.go
@@ -21,13 +21,13 @@
 func TestLevelsAdmitInOrderOfPriority(t *testing.T) {
 	services := []string{"a", "b", "c"}
 	proptest.Check(t, func(r *rapid.T) {
-		l := NewLevels(DefaultLevelsConfig(), NewNews(NewsConfig{}), 1)
+		l := NewLevels(DefaultLevelsConfig(), NewLevelGossip(LevelGossipConfig{}), 1)
 		now := start
 		for range rapid.IntRange(1, 40).Draw(r, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(r, "ms")) * time.Millisecond)
 			name := rapid.SampledFrom(services).Draw(r, "service")
 			level := rapid.Uint16().Draw(r, "level")
-			l.Learn(now, name, node(rapid.IntRange(1, 4).Draw(r, "node")), level)
+			l.RecordLevel(now, name, node(rapid.IntRange(1, 4).Draw(r, "node")), level)
 
 			reach := services[:rapid.IntRange(1, len(services)).Draw(r, "reach")]
 			offered := rapid.SliceOfN(rapid.Uint16(), 1, 20).Draw(r, "priorities")
@@ -56,19 +56,19 @@
 func TestOneSlowNodeDoesNotCloseService(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultLevelsConfig()
-	l := NewLevels(cfg, NewNews(NewsConfig{}), 1)
+	l := NewLevels(cfg, NewLevelGossip(LevelGossipConfig{}), 1)
 	low := Priority(importance.Low, "r1")
 	closed := []call.Level{{Service: "plumecast", Priority: 60000}}
-	l.Heard(start, "plumecast", node(0), closed)
+	l.RecordReply(start, "plumecast", node(0), closed)
 	for i := range 5 {
-		l.Heard(start, "plumecast", node(i), nil)
+		l.RecordReply(start, "plumecast", node(i), nil)
 	}
-	l.Heard(start, "plumecast", node(0), closed)
+	l.RecordReply(start, "plumecast", node(0), closed)
 	ok := l.Admit(start, []string{"plumecast"}, low).Admitted()
 	is.True(ok)
 
 	for i := range 5 {
-		l.Heard(start, "plumecast", node(i), closed)
+		l.RecordReply(start, "plumecast", node(i), closed)
 	}
 	entry := l.Admit(start, []string{"plumecast"}, low)
 	blockedBy, after := entry.BlockedBy, entry.RetryAfter
@@ -77,9 +77,9 @@
 	is.Equal(blockedBy, "plumecast")
 	is.True(after >= cfg.RetryMin/2)
 
-	later := start.Add(cfg.Fresh + cfg.Decay/2)
+	later := start.Add(cfg.TTL + cfg.Decay/2)
 	is.True(l.Level(later, "plumecast") < 31000) // half way down
-	ok = l.Admit(start.Add(cfg.Fresh+cfg.Decay), []string{"plumecast"}, low).Admitted()
+	ok = l.Admit(start.Add(cfg.TTL+cfg.Decay), []string{"plumecast"}, low).Admitted()
 	is.True(ok)
 }
 
@@ -87,12 +87,12 @@
 // names it resets its level, and only services below are forwarded.
 func TestRecoveredServiceIsAdmitted(t *testing.T) {
 	is := is.New(t)
-	l := NewLevels(DefaultLevelsConfig(), NewNews(NewsConfig{}), 1)
-	l.PassOn([]string{"fieldlog", "stationlog"})
-	l.Heard(start, "plumecast", node(1), []call.Level{{Service: "stationlog", Priority: 50}, {Service: "alertdesk", Priority: 70}})
+	l := NewLevels(DefaultLevelsConfig(), NewLevelGossip(LevelGossipConfig{}), 1)
+	l.SetForwarded([]string{"fieldlog", "stationlog"})
+	l.RecordReply(start, "plumecast", node(1), []call.Level{{Service: "stationlog", Priority: 50}, {Service: "alertdesk", Priority: 70}})
 	is.Equal(l.Report(start), []call.Level{{Service: "stationlog", Priority: 50}})
 	is.Equal(l.Level(start, "alertdesk"), uint16(70))
-	l.Heard(start, "plumecast", node(1), []call.Level{{Service: "fieldlog", Priority: 9}})
+	l.RecordReply(start, "plumecast", node(1), []call.Level{{Service: "fieldlog", Priority: 9}})
 	is.Equal(l.Report(start), []call.Level{{Service: "fieldlog", Priority: 9}})
 	is.Equal(l.Level(start, "alertdesk"), uint16(0))
 }
@@ -102,16 +102,16 @@
 func TestLevelsStayBounded(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultLevelsConfig()
-	l := NewLevels(cfg, NewNews(NewsConfig{}), 1)
+	l := NewLevels(cfg, NewLevelGossip(LevelGossipConfig{}), 1)
 	for i := range 200 {
-		l.Learn(start.Add(time.Duration(i)*time.Millisecond), "dossier-svc", node(i), 10)
+		l.RecordLevel(start.Add(time.Duration(i)*time.Millisecond), "dossier-svc", node(i), 10)
 	}
 	is.Equal(l.Dump(start)[0].Nodes, cfg.Nodes)
 	for i := range 1000 {
-		l.Learn(start, strconv.Itoa(i), node(1), 10)
+		l.RecordLevel(start, strconv.Itoa(i), node(1), 10)
 	}
 	is.Equal(len(l.Dump(start)), cfg.Services)
-	later := start.Add(cfg.Fresh + cfg.Decay)
-	l.Learn(later, "history-svc", node(1), 10)
+	later := start.Add(cfg.TTL + cfg.Decay)
+	l.RecordLevel(later, "history-svc", node(1), 10)
 	is.Equal(l.Level(later, "history-svc"), uint16(10))
 }
--- a/admission/flow.go
+++ b/admission/rate_estimate.go
@@ -25,11 +25,11 @@
 	if f.changed(arrived, exposure) {
 		*f = rateEstimate{}
 	}
-	decay := math.Pow(cfg.Fade, intervals)
+	decay := math.Pow(cfg.ArrivalDecay, intervals)
 	f.counted = f.counted*decay + arrived
 	f.exposure = f.exposure*decay + exposure
 	if admittedShare == 0 {
-		f.counted *= math.Pow(0.5, intervals*float64(cfg.Interval)/float64(cfg.Memory))
+		f.counted *= math.Pow(0.5, intervals*float64(cfg.Interval)/float64(cfg.ClosedHalfLife))
 	}
 	if arrived > f.rate()*intervals {
 		*f = rateEstimate{counted: arrived, exposure: intervals}
--- a/admission/outlook_test.go
+++ b/admission/route_health_test.go
@@ -7,25 +7,25 @@
 	"github.com/matryer/is"
 )
 
-// testOutlook is an Outlook with a simulated clock.
-type testOutlook struct {
-	*Outlook
+// testRouteHealth is a RouteHealth with a simulated clock.
+type testRouteHealth struct {
+	*RouteHealth
 	now time.Time
 }
 
-func newTestOutlook() *testOutlook {
-	return &testOutlook{Outlook: NewOutlook(DefaultOutlookConfig(), 1), now: time.Unix(1000, 0)}
+func newTestOutlook() *testRouteHealth {
+	return &testRouteHealth{RouteHealth: NewRouteHealth(DefaultRouteHealthConfig(), 1), now: time.Unix(1000, 0)}
 }
 
 // complete completes requests of a route at fifty per second.
-func (o *testOutlook) complete(route string, requests int, success bool) {
+func (o *testRouteHealth) complete(route string, requests int, success bool) {
 	for range requests {
 		o.now = o.now.Add(20 * time.Millisecond)
-		o.Ended(o.now, route, success)
+		o.RecordOutcome(o.now, route, success)
 	}
 }
 
-func (o *testOutlook) deferred(route string, remaining time.Duration) bool {
+func (o *testRouteHealth) deferred(route string, remaining time.Duration) bool {
 	_, yes := o.Defer(o.now, route, remaining)
 	return yes
 }
@@ -89,9 +89,9 @@
 // Guards against unbounded memory for routes; requests of untracked routes are tried.
 func TestOutlookIsBounded(t *testing.T) {
 	is := is.New(t)
-	cfg := DefaultOutlookConfig()
+	cfg := DefaultRouteHealthConfig()
 	cfg.Routes = 1
-	o := &testOutlook{Outlook: NewOutlook(cfg, 1), now: time.Unix(1000, 0)}
+	o := &testRouteHealth{RouteHealth: NewRouteHealth(cfg, 1), now: time.Unix(1000, 0)}
 	o.complete("a", 40, false)
 	o.complete("b", 40, false)
 	is.True(o.deferred("a", 6*time.Second))
--- a/balancer/choose.go
+++ b/balancer/choose.go
@@ -146,7 +146,7 @@
 func (p *Picker) mergeFull() *pool {
 	all, remote := &p.pools[fullLocal], &p.pools[fullRemote]
 	for i, m := range remote.members {
-		all.add(m, remote.shares[i], remote.loads[i]+p.cfg.RemoteLoad)
+		all.add(m, remote.shares[i], remote.loads[i]+p.cfg.RemotePenalty)
 	}
 	return all
 }
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -15,37 +15,37 @@
 	// SlowStart is how long the share of a new candidate grows to that of a warm one,
 	// while its caches fill.
 	SlowStart time.Duration
-	// ReturnRamp is the same for a straggler that recovered. It may be shorter than
+	// ReadmitRamp is the same for a straggler that recovered. It may be shorter than
 	// SlowStart, since the candidate has served probes all along.
-	ReturnRamp time.Duration
+	ReadmitRamp time.Duration
 	// MinShare is the share at the start of a ramp, relative to a warm candidate. It
 	// must be large enough for latencies to be measured.
 	MinShare float64
 
-	// LeaveFactor is the multiple of the median latency above which a candidate is a
+	// StragglerFactor is the multiple of the median latency above which a candidate is a
 	// straggler.
-	LeaveFactor float64
-	// SlowRun consecutive latencies above SlowRunFactor times the median also make a
+	StragglerFactor float64
+	// SlowStreak consecutive latencies above SlowRunFactor times the median also make a
 	// candidate a straggler. This detects one quickly when there are few calls and
 	// the average moves slowly.
-	SlowRun       int
+	SlowStreak    int
 	SlowRunFactor float64
-	// FastRun consecutive probes below ReturnFactor times the median readmit a
-	// straggler. ReturnFactor is below LeaveFactor so that a candidate doesn't
+	// FastStreak consecutive probes below ReadmitFactor times the median readmit a
+	// straggler. ReadmitFactor is below StragglerFactor so that a candidate doesn't
 	// alternate between the two states.
-	FastRun      int
-	ReturnFactor float64
-	// LeaveFaults is the excess of a candidate's failure rate over the median failure
+	FastStreak    int
+	ReadmitFactor float64
+	// StragglerErrorRate is the excess of a candidate's failure rate over the median failure
 	// rate, from 0 to 1, above which it is a straggler. Probes readmit it once the
-	// excess is at most ReturnFaults.
-	LeaveFaults  float64
-	ReturnFaults float64
-	// LeaveGap is the minimum excess over the median latency. It keeps network jitter
+	// excess is at most ReadmitErrorRate.
+	StragglerErrorRate float64
+	ReadmitErrorRate   float64
+	// StragglerMinGap is the minimum excess over the median latency. It keeps network jitter
 	// from making stragglers in a service with short latencies.
-	LeaveGap time.Duration
-	// LeaveShare is the maximum share of candidates that are stragglers at one time.
+	StragglerMinGap time.Duration
+	// MaxStragglerShare is the maximum share of candidates that are stragglers at one time.
 	// If more are slow, overload is the cause, and removing them makes it worse.
-	LeaveShare float64
+	MaxStragglerShare float64
 	// MinSamples is the number of latencies measured before a candidate is compared
 	// with the median.
 	MinSamples int
@@ -56,27 +56,27 @@
 	// request, which may be slow or fail.
 	ProbeEvery time.Duration
 	ProbePicks int
-	// MaxLeft is the longest time that a candidate stays a straggler. It readmits
+	// MaxStragglerTime is the longest time that a candidate stays a straggler. It readmits
 	// candidates of services with too few calls for probes.
-	MaxLeft time.Duration
+	MaxStragglerTime time.Duration
 
 	// EjectBase is how long a candidate is ejected after a failed call, with a jitter
 	// of half of it. It doubles with each consecutive failure, up to EjectMax.
 	// Membership removes a node that has stopped.
 	EjectBase time.Duration
 	EjectMax  time.Duration
-	// RefusedFor is how long a candidate that refused a call counts as full, with a
+	// RefusalBackoff is how long a candidate that refused a call counts as full, with a
 	// jitter of half of it. Otherwise a candidate that refuses every call at once
 	// would have the shortest queue and attract all calls.
-	RefusedFor time.Duration
+	RefusalBackoff time.Duration
 
-	// ReportFor is how long a reported load counts; its weight falls to zero
+	// ReportTTL is how long a reported load counts; its weight falls to zero
 	// linearly over this time.
-	ReportFor time.Duration
-	// RemoteLoad is added to the load of full candidates of other data centres, as a
+	ReportTTL time.Duration
+	// RemotePenalty is added to the load of full candidates of other data centres, as a
 	// fraction of their limit. It keeps calls in the local data centre unless its
 	// queues are longer by more than that.
-	RemoteLoad float64
+	RemotePenalty float64
 	// DefaultLimit is the concurrency limit assumed until a candidate reports one.
 	DefaultLimit int
 }
@@ -84,30 +84,30 @@
 // DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
-		Subset:        24,
-		SubsetRemote:  8,
-		SlowStart:     10 * time.Second,
-		ReturnRamp:    2 * time.Second,
-		MinShare:      0.05,
-		LeaveFactor:   3,
-		SlowRun:       3,
-		SlowRunFactor: 6,
-		FastRun:       3,
-		ReturnFactor:  1.7,
-		LeaveFaults:   0.1,
-		ReturnFaults:  0.05,
-		LeaveGap:      5 * time.Millisecond,
-		LeaveShare:    1.0 / 3,
-		MinSamples:    8,
-		EvaluateEvery: 100 * time.Millisecond,
-		ProbeEvery:    200 * time.Millisecond,
-		ProbePicks:    50,
-		MaxLeft:       30 * time.Second,
-		EjectBase:     500 * time.Millisecond,
-		EjectMax:      10 * time.Second,
-		RefusedFor:    100 * time.Millisecond,
-		ReportFor:     time.Second,
-		RemoteLoad:    0.5,
-		DefaultLimit:  32,
+		Subset:             24,
+		SubsetRemote:       8,
+		SlowStart:          10 * time.Second,
+		ReadmitRamp:        2 * time.Second,
+		MinShare:           0.05,
+		StragglerFactor:    3,
+		SlowStreak:         3,
+		SlowRunFactor:      6,
+		FastStreak:         3,
+		ReadmitFactor:      1.7,
+		StragglerErrorRate: 0.1,
+		ReadmitErrorRate:   0.05,
+		StragglerMinGap:    5 * time.Millisecond,
+		MaxStragglerShare:  1.0 / 3,
+		MinSamples:         8,
+		EvaluateEvery:      100 * time.Millisecond,
+		ProbeEvery:         200 * time.Millisecond,
+		ProbePicks:         50,
+		MaxStragglerTime:   30 * time.Second,
+		EjectBase:          500 * time.Millisecond,
+		EjectMax:           10 * time.Second,
+		RefusalBackoff:     100 * time.Millisecond,
+		ReportTTL:          time.Second,
+		RemotePenalty:      0.5,
+		DefaultLimit:       32,
 	}
 }
--- a/balancer/dump.go
+++ b/balancer/dump.go
@@ -14,11 +14,11 @@
 	Remote    uint64 `json:"remote"`
 	Refused   uint64 `json:"refused"`
 	Ejections uint64 `json:"ejections"`
-	// Leaves and Returns count candidates that became stragglers and that were
+	// Stragglers and Readmitted count candidates that became stragglers and that were
 	// readmitted; Probes counts the calls sent to stragglers.
-	Leaves  uint64 `json:"leaves"`
-	Returns uint64 `json:"returns"`
-	Probes  uint64 `json:"probes"`
+	Stragglers uint64 `json:"leaves"`
+	Readmitted uint64 `json:"returns"`
+	Probes     uint64 `json:"probes"`
 }
 
 // MemberDump is the state of one candidate in use.
--- a/balancer/member.go
+++ b/balancer/member.go
@@ -93,7 +93,7 @@
 
 // refresh updates the fields that change with time.
 func (m *member) refresh(now time.Time, cfg *Config, median float64) {
-	reportWeight := 1 - float64(now.Sub(m.reportedAt))/float64(cfg.ReportFor)
+	reportWeight := 1 - float64(now.Sub(m.reportedAt))/float64(cfg.ReportTTL)
 	m.reportWeight = min(max(reportWeight, 0), 1)
 	m.refused = now.Before(m.fullUntil)
 	m.share = m.shareAt(now, cfg.MinShare, median)
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -149,7 +149,7 @@
 	case Refused:
 		m.failures = 0
 		m.refused = true
-		m.fullUntil = now.Add(p.jitter(p.cfg.RefusedFor))
+		m.fullUntil = now.Add(p.jitter(p.cfg.RefusalBackoff))
 		p.counters.Refused++
 	case Failed:
 		p.eject(now, m)
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -207,7 +207,7 @@
 		is := is.New(t)
 		cfg := DefaultConfig()
 		cfg.Subset, cfg.SubsetRemote = 6, 2
-		cfg.MinSamples, cfg.LeaveGap = 2, 0
+		cfg.MinSamples, cfg.StragglerMinGap = 2, 0
 		p := New(cfg, node(99), "a", rand.NewPCG(1, 1))
 		now := start
 		var view []wire.NodeID
@@ -319,7 +319,7 @@
 		return far / picks
 	}
 	queuesAlone := DefaultConfig()
-	queuesAlone.RemoteLoad = 0
+	queuesAlone.RemotePenalty = 0
 	near, even := remote(DefaultConfig()), remote(queuesAlone)
 	t.Logf("remote share: %.2f, %.2f with RemoteLoad 0", near, even)
 	is.True(near < 0.8*even)
--- a/balancer/straggler.go
+++ b/balancer/straggler.go
@@ -56,7 +56,7 @@
 		if !m.straggler {
 			continue
 		}
-		if p.hasRecovered(m) || now.Sub(m.stragglerSince) >= p.cfg.MaxLeft {
+		if p.hasRecovered(m) || now.Sub(m.stragglerSince) >= p.cfg.MaxStragglerTime {
 			p.readmit(now, m)
 			continue
 		}
@@ -71,15 +71,15 @@
 // hasRecovered reports whether the probes of a straggler were fast and its backend
 // server's failure rate is close to the median.
 func (p *Picker) hasRecovered(m *member) bool {
-	return m.fastStreak >= p.cfg.FastRun && m.errorRate <= p.medianErrorRate+p.cfg.ReturnFaults
+	return m.fastStreak >= p.cfg.FastStreak && m.errorRate <= p.medianErrorRate+p.cfg.ReadmitErrorRate
 }
 
 func (p *Picker) readmit(now time.Time, m *member) {
 	m.straggler = false
 	m.samples = 0
 	m.slowStreak = 0
-	m.startRamp(now, p.cfg.ReturnRamp)
-	p.counters.Returns++
+	m.startRamp(now, p.cfg.ReadmitRamp)
+	p.counters.Readmitted++
 }
 
 func (p *Picker) fastestStraggler() *member {
@@ -104,7 +104,7 @@
 		m.stragglerSince = now
 		m.probedAt = now
 		p.stragglers++
-		p.counters.Leaves++
+		p.counters.Stragglers++
 	}
 }
 
@@ -133,19 +133,19 @@
 // failsTooOften reports whether the backend server's failure rate is well above the
 // median.
 func (p *Picker) failsTooOften(m *member) bool {
-	return m.errorRate > p.medianErrorRate+p.cfg.LeaveFaults
+	return m.errorRate > p.medianErrorRate+p.cfg.StragglerErrorRate
 }
 
 func (p *Picker) isSlow(m *member) bool {
-	if m.slowStreak >= p.cfg.SlowRun {
+	if m.slowStreak >= p.cfg.SlowStreak {
 		return true
 	}
-	return m.samples >= p.cfg.MinSamples && m.latency() > p.latencyThreshold(p.cfg.LeaveFactor)
+	return m.samples >= p.cfg.MinSamples && m.latency() > p.latencyThreshold(p.cfg.StragglerFactor)
 }
 
 // maxStragglers returns the maximum number of stragglers at one time.
 func (p *Picker) maxStragglers() int {
-	return int(float64(len(p.active)) * p.cfg.LeaveShare)
+	return int(float64(len(p.active)) * p.cfg.MaxStragglerShare)
 }
 
 // recordLatency adds a latency to the candidate's average and updates its streaks.
@@ -159,7 +159,7 @@
 		m.slowStreak++
 		m.fastStreak = 0
 	case atLeast:
-	case latency <= p.latencyThreshold(p.cfg.ReturnFactor):
+	case latency <= p.latencyThreshold(p.cfg.ReadmitFactor):
 		m.fastStreak++
 		m.slowStreak = 0
 	default:
@@ -167,8 +167,8 @@
 	}
 }
 
-// latencyThreshold returns the median latency times factor, but at least LeaveGap more
+// latencyThreshold returns the median latency times factor, but at least StragglerMinGap more
 // than the median.
 func (p *Picker) latencyThreshold(factor float64) float64 {
-	return max(p.medianLatency*factor, p.medianLatency+float64(p.cfg.LeaveGap))
+	return max(p.medianLatency*factor, p.medianLatency+float64(p.cfg.StragglerMinGap))
 }
--- a/call/message.go
+++ b/call/message.go
@@ -58,9 +58,9 @@
 	// Repeat says that the call, or the request that it is made for, may have
 	// run before: its own calls are extra attempts.
 	Repeat bool `cbor:"20,keyasint,omitempty"`
-	// Bars are the levels above zero that let the request in, by which a node
+	// AdmittedLevels are the levels above zero that let the request in, by which a node
 	// knows what part of those like it were not.
-	Bars []Level `cbor:"23,keyasint,omitempty"`
+	AdmittedLevels []Level `cbor:"23,keyasint,omitempty"`
 	// SentMillis is the sender's clock in milliseconds when the message was
 	// written, from any beginning and modulo 2^32; zero if it is not told.
 	SentMillis uint32 `cbor:"24,keyasint,omitempty"`
@@ -71,8 +71,8 @@
 	Via uint64 `cbor:"-"`
 }
 
-// Bar is the level of a service that let the request in.
-func (r *Request) Bar(service string) uint16 { return LevelOf(r.Bars, service) }
+// AdmittedLevel is the level of a service that let the request in.
+func (r *Request) AdmittedLevel(service string) uint16 { return LevelOf(r.AdmittedLevels, service) }
 
 // RootID returns the id of the request as it entered the system. All its calls
 // fare alike by it.
--- a/call/message_test.go
+++ b/call/message_test.go
@@ -39,7 +39,7 @@
 	joined := HighestLevels(a, []Level{{Service: "a", Priority: 7}, {Service: "b", Priority: 1}, {Service: "c", Priority: 2}})
 	is.Equal(joined, []Level{{Service: "a", Priority: 7}, {Service: "b", Priority: 9}, {Service: "c", Priority: 2}})
 	is.Equal(a[0].Priority, uint16(5)) // the lists are as they were
-	r := Request{Bars: joined}
-	is.Equal(r.Bar("a"), uint16(7))
-	is.Equal(r.Bar("d"), uint16(0))
+	r := Request{AdmittedLevels: joined}
+	is.Equal(r.AdmittedLevel("a"), uint16(7))
+	is.Equal(r.AdmittedLevel("d"), uint16(0))
 }
--- a/caller/client.go
+++ b/caller/client.go
@@ -154,13 +154,13 @@
 func (c *Client) countRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.budget.Call(time.Now())
+	c.budget.RecordCall(time.Now())
 }
 
 func (c *Client) allowResend() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.budget.Allow(time.Now(), math.MaxUint16) // resends of a caller have no order
+	return c.budget.TryTake(time.Now(), math.MaxUint16) // resends of a caller have no order
 }
 
 func (c *Client) random() float64 {
--- a/daemon/platform_config.go
+++ b/daemon/platform_config.go
@@ -162,21 +162,21 @@
 // load balancing and the retry budget.
 func LoadPolicy(cfg *node.Config, b platform.Bounds) {
 	cfg.Serve.TellOnly = true
-	cfg.Serve.Queue.SoonerShare = soonerShare
+	cfg.Serve.Queue.YieldShare = soonerShare
 	cfg.Serve.Gate.Queue = levelQueue
-	cfg.Serve.Gate.Settle = levelSettle
+	cfg.Serve.Gate.SettleIntervals = levelSettle
 	cfg.Serve.Queue.MaxWait = waitMax
 	cfg.Serve.Queue.MinItems = waitMin
 	cfg.Serve.Queue.WaitShare = waitShare
 	cfg.Serve.Queue.OverloadAfter = time.Duration(math.MaxInt64)
-	cfg.Dispatch.Reroutes = reroutes
-	cfg.Dispatch.Reoffers = reoffers
+	cfg.Dispatch.MaxReroutes = reroutes
+	cfg.Dispatch.MaxReoffers = reoffers
 	cfg.Dispatch.Hedge = true
-	cfg.Dispatch.Outlook = admission.DefaultOutlookConfig()
-	cfg.Dispatch.News = admission.DefaultNewsConfig()
+	cfg.Dispatch.RouteHealth = admission.DefaultRouteHealthConfig()
+	cfg.Dispatch.LevelGossip = admission.DefaultLevelGossipConfig()
 	cfg.Dispatch.Balancer.SlowStart = slowStart
 	cfg.Dispatch.Budget.Window = b.RetryWindow
 	cfg.Dispatch.Budget.Ratio = b.RetryRatio * budgetShare
 	cfg.Dispatch.Budget.Burst = max(1, b.RetrySlack*budgetShare/budgetNodes)
-	cfg.Dispatch.Budget.Nodes = budgetNodes
+	cfg.Dispatch.Budget.FullBurstNodes = budgetNodes
 }
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -8,23 +8,23 @@
 )
 
 // admit records the call in the retry budget and refuses it, before any work is done, if a
-// service that it would reach doesn't admit it. It adds the admitted levels to p.Bars.
+// service that it would reach doesn't admit it. It adds the admitted levels to p.AdmittedLevels.
 func (d *Dispatcher) admit(p *Params) *verdict.Error {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.counts.Calls++
-	switch budget := d.budgets.Of(now, p.Operation.Service); {
+	switch budget := d.budgets.ForService(now, p.Operation.Service); {
 	case p.Repeat:
 		budget.Charge(now)
-	case !p.Resend:
-		budget.Call(now)
+	case !p.CallerResend:
+		budget.RecordCall(now)
 	}
 	if d.cfg.NoAdmission || p.Admitted {
 		return nil
 	}
 	entry := d.levels(*p).Admit(now, p.reach(), p.priority())
-	p.Bars = call.HighestLevels(p.Bars, entry.Bars)
+	p.AdmittedLevels = call.HighestLevels(p.AdmittedLevels, entry.AdmittedLevels)
 	if entry.Admitted() {
 		return d.deferIfUnhealthy(now, *p)
 	}
@@ -35,10 +35,10 @@
 // deferIfUnhealthy refuses an entering request whose route fails at present, and asks the
 // caller to retry later. d.mu must be held.
 func (d *Dispatcher) deferIfUnhealthy(now time.Time, p Params) *verdict.Error {
-	if !p.Entering {
+	if !p.FromCaller {
 		return nil
 	}
-	after, deferred := d.routeHealth.Defer(now, operationKey(p), p.Patience)
+	after, deferred := d.routeHealth.Defer(now, operationKey(p), p.CallerDeadline)
 	if !deferred {
 		return nil
 	}
@@ -50,11 +50,11 @@
 // Only requests that made calls count: deferring doesn't help when the backend server of
 // the route itself fails.
 func (d *Dispatcher) recordOutcome(p Params, out call.Outcome) {
-	if !p.Entering || out.Verdict == verdict.NotRun || len(out.Used) == 0 {
+	if !p.FromCaller || out.Verdict == verdict.NotRun || len(out.Used) == 0 {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	d.routeHealth.Ended(now, operationKey(p), out.Served())
+	d.routeHealth.RecordOutcome(now, operationKey(p), out.Served())
 }
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -109,7 +109,7 @@
 	return attempts{
 		idempotent: p.Operation.Idempotent,
 		keyed:      p.Key != "",
-		bound:      !p.Holder.IsZero(),
+		bound:      !p.KeyHolder.IsZero(),
 	}
 }
 
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -9,7 +9,7 @@
 //   - An answer is accepted only for the attempt that it names, from the incarnation that
 //     the attempt was sent to.
 //   - Every retry takes one extra attempt from the request's ledger and one from the
-//     node's budget, except as Config.Reroutes and Config.Reoffers say.
+//     node's budget, except as Config.MaxReroutes and Config.MaxReoffers say.
 package dispatch
 
 import (
@@ -37,8 +37,8 @@
 	Call(req call.Request) (written func() bool, err error)
 	// Cancel tells the remote node that the caller no longer waits for the attempt.
 	Cancel(c call.Cancel)
-	// Answered tells the link that the attempt has been answered.
-	Answered()
+	// MarkAnswered tells the link that the attempt has been answered.
+	MarkAnswered()
 	// Done is closed when the connection has closed.
 	Done() <-chan struct{}
 	// Release returns the link after one attempt.
@@ -68,8 +68,8 @@
 	Balancer   balancer.Config
 	Budget     retry.Config
 	Levels     admission.LevelsConfig
-	// News configures the level gossip; the zero value disables it.
-	News admission.NewsConfig
+	// LevelGossip configures the level gossip; the zero value disables it.
+	LevelGossip admission.LevelGossipConfig
 	// Margin is subtracted from the deadline at each hop, so that the callee's answer
 	// to an expired call arrives in time.
 	Margin time.Duration
@@ -81,19 +81,19 @@
 	// HopAttempts, if above zero, is the number of extra attempts of each hop, which
 	// replaces the request's ledger, for experiments.
 	HopAttempts int
-	// Reroutes is how often a call that a node refused without offering it to its
+	// MaxReroutes is how often a call that a node refused without offering it to its
 	// backend server moves to another node without spending an extra attempt.
-	Reroutes int
-	// Reoffers is how often a call that backend servers declined is offered again to
+	MaxReroutes int
+	// MaxReoffers is how often a call that backend servers declined is offered again to
 	// one of them if no other can be tried. Each takes an extra attempt from the
 	// node's budget, but none from the ledger.
-	Reoffers int
+	MaxReoffers int
 	// Hedge sends a second attempt to another backend server if an idempotent call
 	// gets no answer for unusually long.
 	Hedge bool
-	// Outlook configures the deferral of entering requests whose route fails; the zero
+	// RouteHealth configures the deferral of entering requests whose route fails; the zero
 	// value defers none.
-	Outlook admission.OutlookConfig
+	RouteHealth admission.RouteHealthConfig
 	// RoundRobin replaces the balancer by round robin, for experiments.
 	RoundRobin bool
 	Seed       uint64
@@ -126,8 +126,8 @@
 	// node's backend server; only the latter are forwarded in replies.
 	ingressLevels  *admission.Levels
 	backendLevels  *admission.Levels
-	levelGossip    *admission.News
-	routeHealth    *admission.Outlook
+	levelGossip    *admission.LevelGossip
+	routeHealth    *admission.RouteHealth
 	budgets        *retry.Budgets
 	averageLatency map[string]*averageLatency // by operationKey
 	random         *rand.Rand
@@ -156,7 +156,7 @@
 
 // New returns a Dispatcher.
 func New(cfg Config, l Linker, m Members, notes *explain.Recorder) *Dispatcher {
-	levelGossip := admission.NewNews(cfg.News)
+	levelGossip := admission.NewLevelGossip(cfg.LevelGossip)
 	return &Dispatcher{
 		cfg:            cfg,
 		linker:         l,
@@ -168,7 +168,7 @@
 		ingressLevels:  admission.NewLevels(cfg.Levels, levelGossip, cfg.Seed),
 		backendLevels:  admission.NewLevels(cfg.Levels, levelGossip, cfg.Seed+1),
 		levelGossip:    levelGossip,
-		routeHealth:    admission.NewOutlook(cfg.Outlook, cfg.Seed),
+		routeHealth:    admission.NewRouteHealth(cfg.RouteHealth, cfg.Seed),
 		budgets:        retry.NewBudgets(cfg.Budget),
 		averageLatency: make(map[string]*averageLatency),
 	}
@@ -179,39 +179,39 @@
 	RequestID  string
 	Operation  *graph.Operation
 	Importance importance.Importance
-	// Bars are the admitted levels: the admission levels in force when the request was
+	// AdmittedLevels are the admitted levels: the admission levels in force when the request was
 	// admitted.
-	Bars     []call.Level
-	Deadline time.Time
+	AdmittedLevels []call.Level
+	Deadline       time.Time
 	// Ledger holds the remaining extra attempts of the request at this node.
 	Ledger *retry.Ledger
-	// Key is the caller's idempotency key. Holder is the incarnation that the key
+	// Key is the caller's idempotency key. KeyHolder is the incarnation that the key
 	// names, zero if it names none.
 	Key         string
-	Holder      wire.NodeID
+	KeyHolder   wire.NodeID
 	Fingerprint uint64
 	Depth       uint8
-	// Entering marks a request of an external caller, as opposed to a call of the
+	// FromCaller marks a request of an external caller, as opposed to a call of the
 	// node's backend server.
-	Entering bool
-	// Patience is the remaining deadline of the caller, including later retries; zero
+	FromCaller bool
+	// CallerDeadline is the remaining deadline of the caller, including later retries; zero
 	// if unknown.
-	Patience time.Duration
+	CallerDeadline time.Duration
 	// Fanout is the number of calls that the calling operation declares; they share
 	// the ledger.
 	Fanout int
-	// Resend marks a request that the caller has sent before.
-	Resend bool
-	Header []call.Field
-	Query  string
-	Body   []byte
+	// CallerResend marks a request that the caller has sent before.
+	CallerResend bool
+	Header       []call.Field
+	Query        string
+	Body         []byte
 	// HTTP is set for a request that was routed by host and path.
 	HTTP call.HTTP
 	// Workspace is the workspace of the caller's key, empty if there is none.
 	Workspace string
-	// Enter, if set, is called after the request was admitted; its error refuses the
+	// TakeQuota, if set, is called after the request was admitted; its error refuses the
 	// request. It isn't called for shed requests, so that they use up no quota.
-	Enter func(ctx context.Context) *verdict.Error
+	TakeQuota func(ctx context.Context) *verdict.Error
 	// Root is the id of the entering request that caused this call; empty if this is
 	// that request.
 	Root string
@@ -258,14 +258,14 @@
 		d.noteRefused(p, err)
 		return call.Failed(err)
 	}
-	if p.Enter != nil {
-		if err := p.Enter(ctx); err != nil {
+	if p.TakeQuota != nil {
+		if err := p.TakeQuota(ctx); err != nil {
 			d.noteRefused(p, err)
 			return call.Failed(err)
 		}
 	}
-	if !p.Holder.IsZero() && !d.members.Known(p.Holder) {
-		err := verdict.Doubt(verdict.KeyHolderGone, "the node %s that the key names is not there", p.Holder.Short())
+	if !p.KeyHolder.IsZero() && !d.members.Known(p.KeyHolder) {
+		err := verdict.Doubt(verdict.KeyHolderGone, "the node %s that the key names is not there", p.KeyHolder.Short())
 		d.noteRefused(p, err)
 		return call.Failed(err)
 	}
@@ -286,8 +286,8 @@
 		return call.Failed(err)
 	}
 	a := newAttempts(p)
-	a.reroutesLeft = d.cfg.Reroutes
-	a.reoffersLeft = d.cfg.Reoffers
+	a.reroutesLeft = d.cfg.MaxReroutes
+	a.reoffersLeft = d.cfg.MaxReoffers
 	hopAttemptsLeft := d.cfg.HopAttempts
 	start := time.Now()
 	for {
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -107,7 +107,7 @@
 func (l *attemptLink) Cancel(c call.Cancel)  { l.canceled = append(l.canceled, c) }
 func (l *attemptLink) Done() <-chan struct{} { return l.done }
 func (l *attemptLink) Release()              {}
-func (l *attemptLink) Answered()             {}
+func (l *attemptLink) MarkAnswered()         {}
 
 const graphText = `
 service "s" { 
@@ -135,7 +135,7 @@
 		t.Fatal(problems)
 	}
 	op, _ := g.Operation("s", operation)
-	return Params{RequestID: "r", Operation: op, Deadline: time.Now().Add(time.Minute), Fanout: 1, Ledger: retry.New(extra)}
+	return Params{RequestID: "r", Operation: op, Deadline: time.Now().Add(time.Minute), Fanout: 1, Ledger: retry.NewLedger(extra)}
 }
 
 // Property: "not run" means that nothing ran; only idempotent or keyed calls run twice;
@@ -171,8 +171,8 @@
 			}
 		}
 		spent := uint32(n.linksAsked - 1)
-		if spent+n.grants+p.Ledger.Left() != extra {
-			t.Fatalf("%d extra attempts: %d spent, %d lost, %d left", extra, spent, n.grants, p.Ledger.Left())
+		if spent+n.grants+p.Ledger.Available() != extra {
+			t.Fatalf("%d extra attempts: %d spent, %d lost, %d left", extra, spent, n.grants, p.Ledger.Available())
 		}
 		if out.Reason == verdict.None && string(out.Body) != fmt.Sprint(n.d.seq.Load()) {
 			t.Fatalf("answer %q to attempt %d", out.Body, n.d.seq.Load())
--- a/dispatch/levels.go
+++ b/dispatch/levels.go
@@ -14,22 +14,22 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.levels(p).Heard(time.Now(), p.Operation.Service, r.From, r.Levels)
+	d.levels(p).RecordReply(time.Now(), p.Operation.Service, r.From, r.Levels)
 }
 
 // levels returns the levels that apply to the call.
 func (d *Dispatcher) levels(p Params) *admission.Levels {
-	if p.Entering {
+	if p.FromCaller {
 		return d.ingressLevels
 	}
 	return d.backendLevels
 }
 
-// PassOn sets the services whose levels are forwarded in replies.
-func (d *Dispatcher) PassOn(services []string) {
+// SetForwarded sets the services whose levels are forwarded in replies.
+func (d *Dispatcher) SetForwarded(services []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.backendLevels.PassOn(services)
+	d.backendLevels.SetForwarded(services)
 }
 
 // Levels returns the received levels to forward in a reply.
@@ -39,18 +39,18 @@
 	return d.backendLevels.Report(now)
 }
 
-// TellLevels returns the level gossip to send now.
-func (d *Dispatcher) TellLevels(now time.Time) []call.LevelNews {
+// OutgoingGossip returns the level gossip to send now.
+func (d *Dispatcher) OutgoingGossip(now time.Time) []call.LevelNews {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.backendLevels.Speak(now)
-	d.ingressLevels.Speak(now)
-	return d.levelGossip.Tell(now)
+	d.backendLevels.PublishGossip(now)
+	d.ingressLevels.PublishGossip(now)
+	return d.levelGossip.Outgoing(now)
 }
 
-// HearLevels receives level gossip from another node.
-func (d *Dispatcher) HearLevels(now time.Time, told []call.LevelNews) {
+// ReceiveGossip receives level gossip from another node.
+func (d *Dispatcher) ReceiveGossip(now time.Time, told []call.LevelNews) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.levelGossip.Hear(now, told)
+	d.levelGossip.Receive(now, told)
 }
--- a/dispatch/reroute_test.go
+++ b/dispatch/reroute_test.go
@@ -45,7 +45,7 @@
 func (s *scriptedLink) Cancel(call.Cancel)    {}
 func (s *scriptedLink) Done() <-chan struct{} { return s.done }
 func (s *scriptedLink) Release()              {}
-func (s *scriptedLink) Answered()             {}
+func (s *scriptedLink) MarkAnswered()         {}
 
 func newScriptedNetwork(change func(*Config), script ...call.Reply) *scriptedNetwork {
 	a := &scriptedNetwork{script: script}
@@ -67,7 +67,7 @@
 // to their backend servers.
 func TestReroutesTakeNoExtraAttempts(t *testing.T) {
 	is := is.New(t)
-	a := newScriptedNetwork(func(c *Config) { c.Reroutes = 3 }, notOfferedReply, notOfferedReply, servedReply)
+	a := newScriptedNetwork(func(c *Config) { c.MaxReroutes = 3 }, notOfferedReply, notOfferedReply, servedReply)
 	p := params(t, "once", 0)
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
 	is.Equal(len(a.asked), 3)
@@ -78,7 +78,7 @@
 // the budget, and only those to further backend servers take one from the ledger.
 func TestReoffersAreTakenFromTheBudget(t *testing.T) {
 	is := is.New(t)
-	a := newScriptedNetwork(func(c *Config) { c.Reroutes, c.Reoffers = 3, 5 }, declinedReply, declinedReply, declinedReply, servedReply)
+	a := newScriptedNetwork(func(c *Config) { c.MaxReroutes, c.MaxReoffers = 3, 5 }, declinedReply, declinedReply, declinedReply, servedReply)
 	p := params(t, "once", 1)
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
 	distinct := map[wire.NodeID]bool{}
@@ -94,11 +94,11 @@
 // them, and the outcome is "not run".
 func TestReoffersAreLimited(t *testing.T) {
 	is := is.New(t)
-	a := newScriptedNetwork(func(c *Config) { c.Reoffers = 5 }, declinedReply)
+	a := newScriptedNetwork(func(c *Config) { c.MaxReoffers = 5 }, declinedReply)
 	out := a.d.Call(t.Context(), params(t, "once", 1))
 	is.Equal(out.Verdict, verdict.NotRun)
 	is.Equal(len(a.asked), 7) // the first, one of the ledger, five reoffers
-	a = newScriptedNetwork(func(c *Config) { c.Reoffers, c.Budget.Burst, c.Budget.MinPerSecond = 5, 2, 0 }, declinedReply)
+	a = newScriptedNetwork(func(c *Config) { c.MaxReoffers, c.Budget.Burst, c.Budget.MinPerSecond = 5, 2, 0 }, declinedReply)
 	a.d.Call(t.Context(), params(t, "once", 1))
 	is.Equal(len(a.asked), 3)
 }
@@ -107,7 +107,7 @@
 // have run is marked.
 func TestRepeatsAreMarked(t *testing.T) {
 	is := is.New(t)
-	a := newScriptedNetwork(func(c *Config) { c.Reroutes = 3 }, notOfferedReply, lostReply, servedReply)
+	a := newScriptedNetwork(func(c *Config) { c.MaxReroutes = 3 }, notOfferedReply, lostReply, servedReply)
 	is.Equal(a.d.Call(t.Context(), params(t, "safe", 2)).Verdict, verdict.Ran)
 	is.Equal(len(a.sent), 3)
 	is.Equal([]bool{a.sent[0].Repeat, a.sent[1].Repeat, a.sent[2].Repeat}, []bool{false, false, true})
@@ -121,7 +121,7 @@
 	shed.Levels = []call.Level{{Service: "s", Priority: 60000}}
 	a := newScriptedNetwork(func(*Config) {}, shed)
 	p := params(t, "safe", 0)
-	p.Entering = true
+	p.FromCaller = true
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
 	is.Equal(a.d.Call(t.Context(), p).Reason, verdict.Shed) // it has received the level
 	p.Admitted, p.Root = true, "root"
@@ -136,10 +136,10 @@
 	failing := call.Reply{Verdict: verdict.Ran, Status: 500, Used: []call.Use{{Service: "below"}}}
 	enter := func(a *scriptedNetwork) call.Outcome {
 		p := params(t, "once", 0)
-		p.Entering, p.Patience = true, 6*time.Second
+		p.FromCaller, p.CallerDeadline = true, 6*time.Second
 		return a.d.Call(t.Context(), p)
 	}
-	a := newScriptedNetwork(func(c *Config) { c.Outlook = admission.DefaultOutlookConfig() }, failing)
+	a := newScriptedNetwork(func(c *Config) { c.RouteHealth = admission.DefaultRouteHealthConfig() }, failing)
 	for range 10 {
 		enter(a)
 	}
@@ -149,12 +149,12 @@
 	is.True(out.RetryAfter > time.Second)
 	asked := len(a.asked)
 	p := params(t, "once", 0)
-	p.Admitted, p.Patience = true, 6*time.Second
+	p.Admitted, p.CallerDeadline = true, 6*time.Second
 	is.Equal(a.d.Call(t.Context(), p).Status, 500)
 	is.Equal(len(a.asked), asked+1)
 
 	alone := call.Reply{Verdict: verdict.Ran, Status: 500}
-	a = newScriptedNetwork(func(c *Config) { c.Outlook = admission.DefaultOutlookConfig() }, alone)
+	a = newScriptedNetwork(func(c *Config) { c.RouteHealth = admission.DefaultRouteHealthConfig() }, alone)
 	for range 20 {
 		is.Equal(enter(a).Status, 500)
 	}
@@ -168,14 +168,14 @@
 	low.Levels = []call.Level{{Service: "s", Priority: 1}}
 	a := newScriptedNetwork(func(*Config) {}, low)
 	p := params(t, "safe", 0)
-	p.Entering = true
+	p.FromCaller = true
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
-	is.Equal(a.sent[0].Bar("s"), uint16(0)) // no level received yet
-	is.Equal(a.sent[1].Bar("s"), uint16(1))
-	p.Entering, p.Admitted, p.Root = false, true, "root"
-	p.Bars = []call.Level{{Service: "below", Priority: 9}}
+	is.Equal(a.sent[0].AdmittedLevel("s"), uint16(0)) // no level received yet
+	is.Equal(a.sent[1].AdmittedLevel("s"), uint16(1))
+	p.FromCaller, p.Admitted, p.Root = false, true, "root"
+	p.AdmittedLevels = []call.Level{{Service: "below", Priority: 9}}
 	is.Equal(a.d.Call(t.Context(), p).Verdict, verdict.Ran)
-	is.Equal(a.sent[2].Bar("below"), uint16(9))
+	is.Equal(a.sent[2].AdmittedLevel("below"), uint16(9))
 	is.Equal(a.sent[2].Root, "root") // sets the priority of the request
 }
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -64,7 +64,7 @@
 func (d *Dispatcher) awaitReply(ctx context.Context, link Link, w *pendingAttempt, req call.Request, written func() bool, to target) (r call.Reply, settled bool) {
 	select {
 	case r := <-w.reply:
-		link.Answered()
+		link.MarkAnswered()
 		return r, true
 	case <-link.Done():
 	case <-ctx.Done():
@@ -105,27 +105,27 @@
 	remaining := time.Until(p.Deadline)
 	margin := min(d.cfg.Margin, remaining/10)
 	return call.Request{
-		From:        d.cfg.Self,
-		Seq:         d.seq.Add(1),
-		To:          to,
-		RequestID:   p.RequestID,
-		Service:     p.Operation.Service,
-		Operation:   p.Operation.Name,
-		Importance:  p.Importance,
-		Budget:      remaining - margin,
-		Grant:       grant,
-		Key:         p.Key,
-		Fingerprint: p.Fingerprint,
-		Depth:       p.Depth,
-		Header:      p.Header,
-		Query:       p.Query,
-		Body:        p.Body,
-		HTTP:        p.HTTP,
-		Idempotent:  p.Operation.Idempotent,
-		Root:        p.Root,
-		Bars:        p.Bars,
-		Repeat:      p.Repeat || p.repeated,
-		Workspace:   p.Workspace,
+		From:           d.cfg.Self,
+		Seq:            d.seq.Add(1),
+		To:             to,
+		RequestID:      p.RequestID,
+		Service:        p.Operation.Service,
+		Operation:      p.Operation.Name,
+		Importance:     p.Importance,
+		Budget:         remaining - margin,
+		Grant:          grant,
+		Key:            p.Key,
+		Fingerprint:    p.Fingerprint,
+		Depth:          p.Depth,
+		Header:         p.Header,
+		Query:          p.Query,
+		Body:           p.Body,
+		HTTP:           p.HTTP,
+		Idempotent:     p.Operation.Idempotent,
+		Root:           p.Root,
+		AdmittedLevels: p.AdmittedLevels,
+		Repeat:         p.Repeat || p.repeated,
+		Workspace:      p.Workspace,
 	}
 }
 
--- a/dispatch/spend.go
+++ b/dispatch/spend.go
@@ -28,7 +28,7 @@
 }
 
 // takeRetry takes an extra attempt at a target from the ledger and the budget, and returns
-// false if there is none. With Config.Reoffers, another attempt at a node that was already
+// false if there is none. With Config.MaxReoffers, another attempt at a node that was already
 // tried takes one from the budget alone, since the request reaches no further node.
 func (d *Dispatcher) takeRetry(p Params, a *attempts, to target, hopAttemptsLeft *int) bool {
 	if d.cfg.HopAttempts > 0 {
@@ -37,12 +37,12 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	newTarget := d.cfg.Reoffers == 0 || !slices.Contains(a.tried, to.id)
-	if newTarget && p.Ledger.Left() == 0 {
+	newTarget := d.cfg.MaxReoffers == 0 || !slices.Contains(a.tried, to.id)
+	if newTarget && p.Ledger.Available() == 0 {
 		return false
 	}
 	now := time.Now()
-	if !d.budgets.Of(now, p.Operation.Service).Allow(now, p.priority()) {
+	if !d.budgets.ForService(now, p.Operation.Service).TryTake(now, p.priority()) {
 		d.counts.OverBudget++
 		return false
 	}
--- a/dispatch/targets.go
+++ b/dispatch/targets.go
@@ -36,8 +36,8 @@
 
 // firstTarget returns the node for the first attempt; there may be none.
 func (d *Dispatcher) firstTarget(p Params) (target, bool) {
-	if !p.Holder.IsZero() {
-		return target{id: p.Holder, keyHolder: true}, true
+	if !p.KeyHolder.IsZero() {
+		return target{id: p.KeyHolder, keyHolder: true}, true
 	}
 	return d.pick(p, nil)
 }
@@ -45,8 +45,8 @@
 // nextTarget returns the node for another attempt; there may be none. A keyed call that
 // may have run stays at the incarnation that remembers its key.
 func (d *Dispatcher) nextTarget(p Params, a *attempts, r call.Reply) (target, bool) {
-	if !p.Holder.IsZero() {
-		return target{id: p.Holder, keyHolder: true}, true
+	if !p.KeyHolder.IsZero() {
+		return target{id: p.KeyHolder, keyHolder: true}, true
 	}
 	if a.keyed && r.Verdict != verdict.NotRun {
 		return target{id: a.tried[len(a.tried)-1], keyHolder: true}, true
@@ -54,7 +54,7 @@
 	if !declined(r) || a.reoffersLeft == 0 {
 		return d.pick(p, a.tried)
 	}
-	if p.Ledger.Left() > 0 {
+	if p.Ledger.Available() > 0 {
 		if to, ok := d.pick(p, a.tried); ok {
 			return to, true
 		}
--- a/internal/loadmodel/model.go
+++ b/internal/loadmodel/model.go
@@ -57,9 +57,9 @@
 	}
 	if m.policy.Admission {
 		n.gate = admission.NewGate(m.policy.Gate)
-		n.levels = admission.NewLevels(m.policy.Levels, admission.NewNews(admission.NewsConfig{}), m.scenario.Seed)
-		n.levels.PassOn(m.scenario.below(s))
-		n.entry = admission.NewLevels(m.policy.Levels, admission.NewNews(admission.NewsConfig{}), m.scenario.Seed+1)
+		n.levels = admission.NewLevels(m.policy.Levels, admission.NewLevelGossip(admission.LevelGossipConfig{}), m.scenario.Seed)
+		n.levels.SetForwarded(m.scenario.below(s))
+		n.entry = admission.NewLevels(m.policy.Levels, admission.NewLevelGossip(admission.LevelGossipConfig{}), m.scenario.Seed+1)
 	}
 	return n
 }
@@ -208,7 +208,7 @@
 
 func (a *asking) attempt() {
 	m := a.model
-	var entry admission.Entry
+	var entry admission.EntryDecision
 	if m.policy.Admission {
 		entry = a.levels.Admit(m.sim.now, m.reach(a.op, a.hop), a.priority)
 		if !entry.Admitted() {
@@ -219,7 +219,7 @@
 	}
 	m.ids++
 	to := m.nodes[a.op.Path[a.hop]]
-	bars := wirecall.HighestLevels(a.bars, entry.Bars)
+	bars := wirecall.HighestLevels(a.bars, entry.AdmittedLevels)
 	c := &call{id: m.ids, bars: bars, op: a.op, hop: a.hop, priority: a.priority, deadline: a.deadline, node: to}
 	c.reply = func(r result) {
 		m.sim.after(m.scenario.Delay, func() { a.answer(c, r) })
@@ -258,7 +258,7 @@
 	a.current = nil
 	m := a.model
 	if m.policy.Admission {
-		a.levels.Heard(m.sim.now, c.node.backend.service.Name, c.node.id, r.levels)
+		a.levels.RecordReply(m.sim.now, c.node.backend.service.Name, c.node.id, r.levels)
 	}
 	if !r.ok && a.left > 0 && m.sim.now.Before(a.deadline) {
 		a.left--
--- a/internal/loadmodel/node.go
+++ b/internal/loadmodel/node.go
@@ -72,7 +72,7 @@
 	item := queue.Item[*call]{ID: c.id, Priority: c.priority, Value: c}
 	if n.policy.Cancel {
 		item.Deadline = c.deadline
-		item.Need = n.expect(c)
+		item.ExpectedRunTime = n.expect(c)
 	}
 	if n.late(&item) {
 		n.observe(admission.Shed)
@@ -89,14 +89,14 @@
 // expect is how long the call takes at least.
 func (n *node) expect(c *call) time.Duration {
 	if l, ok := n.limit.(*limit.Limiter); ok {
-		return l.Expect(c.op.class())
+		return l.ExpectedRunTime(c.op.class())
 	}
 	return 0
 }
 
 // shedBelow empties the queue below the node's own level when that has risen.
 func (n *node) shedBelow() {
-	own := n.gate.Own(n.model.sim.now)
+	own := n.gate.OwnLevel(n.model.sim.now)
 	if own > n.own {
 		n.shed(n.queue.Shed(own))
 	}
@@ -107,7 +107,7 @@
 // expire, those do not count for the order.
 func (n *node) late(item *queue.Item[*call]) bool {
 	q, ok := n.queue.(*queue.Queue[*call])
-	return ok && q.Late(n.model.sim.now, item)
+	return ok && q.WouldExpire(n.model.sim.now, item)
 }
 
 // shed refuses calls that left the queue for want of room.
--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -114,7 +114,7 @@
 
 func (l link) Done() <-chan struct{} { return nil }
 
-func (l link) Answered() {}
+func (l link) MarkAnswered() {}
 
 func (l link) Release() {}
 
@@ -135,7 +135,7 @@
 	}
 	p := dispatch.Params{
 		RequestID: id, Operation: op, Importance: c.Importance, Deadline: deadline,
-		Ledger: retry.New(uint32(op.ExtraAttempts)), Fanout: 1, Entering: true, Patience: patience,
+		Ledger: retry.NewLedger(uint32(op.ExtraAttempts)), Fanout: 1, FromCaller: true, CallerDeadline: patience,
 		Reach: n.reach(c),
 	}
 	out := n.dispatch.Call(ctx, p)
@@ -167,8 +167,8 @@
 	}
 	out := n.dispatch.Call(r.ctx, dispatch.Params{
 		RequestID: n.world.nextID(), Operation: op, Importance: req.Importance, Deadline: deadline,
-		Ledger: retry.New(uint32(op.ExtraAttempts)), Fanout: 1,
-		Root: req.RootID(), Bars: req.Bars, Admitted: true, Repeat: req.Repeat, Depth: req.Depth + 1,
+		Ledger: retry.NewLedger(uint32(op.ExtraAttempts)), Fanout: 1,
+		Root: req.RootID(), AdmittedLevels: req.AdmittedLevels, Admitted: true, Repeat: req.Repeat, Depth: req.Depth + 1,
 	})
 	n.used(r, c.Service, out)
 	n.world.report.called(c.Service, out)
@@ -182,7 +182,7 @@
 	r.used = out.AddUses(r.used, service)
 	r.callsFailed = r.callsFailed || !out.Served()
 	if n.calls.Learn(time.Now(), "", call.Names(r.used)) {
-		n.dispatch.PassOn(n.calls.Reach(""))
+		n.dispatch.SetForwarded(n.calls.Reach(""))
 	}
 }
 
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -37,7 +37,7 @@
 	p.Serve.Policy = serve.PolicyNone
 	p.Dispatch.NoAdmission = true
 	p.Dispatch.RoundRobin = true
-	p.Dispatch.Reroutes, p.Dispatch.Reoffers, p.Dispatch.Hedge = 0, 0, false
+	p.Dispatch.MaxReroutes, p.Dispatch.MaxReoffers, p.Dispatch.Hedge = 0, 0, false
 	p.Dispatch.Budget.Ratio, p.Dispatch.Budget.Burst = 0, 0
 	p.Blind = true
 	return p
--- a/internal/replay/random_test.go
+++ b/internal/replay/random_test.go
@@ -40,7 +40,7 @@
 	}
 	variants := []Policy{
 		Ours(),
-		variant("less time first", func(p *Policy) { p.Serve.Queue.SoonerShare = 0 }),
+		variant("less time first", func(p *Policy) { p.Serve.Queue.YieldShare = 0 }),
 		Naive(),
 	}
 	for seed := range n {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -88,7 +88,7 @@
 func TestLevelWaitsForWhatIsUnderWay(t *testing.T) {
 	both(t, func(t *testing.T, d Deployment) {
 		is := is.New(t)
-		hasty := variant("level in 0.3 s, short queue", func(p *Policy) { p.Serve.Gate.Queue, p.Serve.Gate.Settle = 1, 6 })
+		hasty := variant("level in 0.3 s, short queue", func(p *Policy) { p.Serve.Gate.Queue, p.Serve.Gate.SettleIntervals = 1, 6 })
 		gain := 0.0
 		for k := range uint64(2) {
 			day := burst(d, 1.25)
@@ -244,10 +244,10 @@
 		is := is.New(t)
 		day := burst(d, 0.6)
 		day.Phases[1].Decline = 0.55
-		several := variant("tried at once", func(p *Policy) { p.Dispatch.Outlook = admission.OutlookConfig{} })
+		several := variant("tried at once", func(p *Policy) { p.Dispatch.RouteHealth = admission.RouteHealthConfig{} })
 		once := variant("one more attempt a call", func(p *Policy) {
-			p.Dispatch.Outlook = admission.OutlookConfig{}
-			p.Dispatch.Reoffers = 0
+			p.Dispatch.RouteHealth = admission.RouteHealthConfig{}
+			p.Dispatch.MaxReoffers = 0
 		})
 		ours := play(t, day, several)
 		is.True(ours.During().Served(importance.Critical) > 1.2*play(t, day, once).During().Served(importance.Critical))
@@ -265,7 +265,7 @@
 		is := is.New(t)
 		day := burst(d, 0.6)
 		day.Phases[1].Decline = 0.55
-		tried := variant("tried at once", func(p *Policy) { p.Dispatch.Outlook = admission.OutlookConfig{} })
+		tried := variant("tried at once", func(p *Policy) { p.Dispatch.RouteHealth = admission.RouteHealthConfig{} })
 		at := play(t, day, tried)
 		ours := play(t, day, Ours())
 		is.True(ours.During().Served(importance.Critical) > at.During().Served(importance.Critical)+0.12)
@@ -332,7 +332,7 @@
 	t.Parallel()
 	is := is.New(t)
 	const days = 12 // one day alone varies by as much as the order of waiting brings
-	inOrder := variant("in order of arrival", func(p *Policy) { p.Serve.Queue.SoonerShare = 0 })
+	inOrder := variant("in order of arrival", func(p *Policy) { p.Serve.Queue.YieldShare = 0 })
 	var trials []trial
 	for _, policy := range []Policy{Ours(), inOrder} {
 		for k := range uint64(days) {
@@ -355,7 +355,7 @@
 	day := burst(Savukartta(), 0.6)
 	day.Phases[1].Grey = 1
 	day.Phases[1].Errors = 0.4
-	blind := variant("failures are not told", func(p *Policy) { p.Dispatch.Balancer.LeaveFaults = 1 })
+	blind := variant("failures are not told", func(p *Policy) { p.Dispatch.Balancer.StragglerErrorRate = 1 })
 	reports := playAll(t, []trial{{day, Ours()}, {day, blind}})
 	is.True(reports[0].During().Credit() > 0.95)
 	is.True(reports[1].During().Credit() < 0.8)
--- a/internal/replay/wide_test.go
+++ b/internal/replay/wide_test.go
@@ -28,7 +28,7 @@
 func TestNewsInAWideFleet(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	replies := variant("levels with replies alone", func(p *Policy) { p.Dispatch.News = admission.NewsConfig{} })
+	replies := variant("levels with replies alone", func(p *Policy) { p.Dispatch.LevelGossip = admission.LevelGossipConfig{} })
 	reports := playAll(t, []trial{{wideBurst(), Ours()}, {wideBurst(), replies}})
 	ours, other := reports[0], reports[1]
 	t.Log(ours.Details())
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -48,7 +48,7 @@
 	stop := make(chan struct{})
 	for _, n := range w.all {
 		go n.tick(stop)
-		if policy.Dispatch.News.Interval > 0 {
+		if policy.Dispatch.LevelGossip.Interval > 0 {
 			go n.tellLevels(stop, rand.New(rand.NewPCG(w.seed(), 5)))
 		}
 	}
@@ -143,7 +143,7 @@
 
 // tellLevels passes the levels of services on to a few nodes, as in production.
 func (n *node) tellLevels(stop <-chan struct{}, rng *rand.Rand) {
-	interval := n.world.policy.Dispatch.News.Interval
+	interval := n.world.policy.Dispatch.LevelGossip.Interval
 	time.Sleep(time.Duration(rng.Int64N(int64(interval))))
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -153,13 +153,13 @@
 			return
 		case <-ticker.C:
 		}
-		told := n.dispatch.TellLevels(time.Now())
+		told := n.dispatch.OutgoingGossip(time.Now())
 		if len(told) == 0 {
 			continue
 		}
 		for range production.NewsFanOut {
 			to := n.world.all[rng.IntN(len(n.world.all))]
-			time.AfterFunc(link{from: n, to: to}.delay(), func() { to.dispatch.HearLevels(time.Now(), told) })
+			time.AfterFunc(link{from: n, to: to}.delay(), func() { to.dispatch.ReceiveGossip(time.Now(), told) })
 		}
 	}
 }
--- a/limit/config.go
+++ b/limit/config.go
@@ -34,31 +34,31 @@
 	// by the square root of the calls in the window is added to it, so that a few slow
 	// calls at a small backend server are not taken for queueing.
 	Tolerance, Noise float64
-	// Jump is the ratio of latency to floor above which an experiment decides between
+	// ExperimentRatio is the ratio of latency to floor above which an experiment decides between
 	// queueing and a new floor. Below it the limit is reduced directly.
-	Jump float64
-	// CutTo is the share of the calls in flight that remains in an experiment. The cut
+	ExperimentRatio float64
+	// ExperimentShare is the share of the calls in flight that remains in an experiment. The cut
 	// must be large enough for its effect to exceed the noise of TestCalls calls.
-	CutTo float64
-	// Unqueued is the elasticity of the latency below which no call queued before the
-	// experiment. Queued is the elasticity from which calls still queue after it.
-	Unqueued, Queued float64
+	ExperimentShare float64
+	// UnqueuedElasticity is the elasticity of the latency below which no call queued before the
+	// experiment. QueuedElasticity is the elasticity from which calls still queue after it.
+	UnqueuedElasticity, QueuedElasticity float64
 	// TestCalls is the number of calls measured after the cut of an experiment.
 	TestCalls int
 	// RecheckAfter is how long the limit may be in use before an experiment checks the
 	// floor again. The time doubles up to RecheckMax while the floor proves right.
 	RecheckAfter, RecheckMax time.Duration
-	// LowUse is the share of the limit up to which calls in flight are assumed not to
+	// UnqueuedUse is the share of the limit up to which calls in flight are assumed not to
 	// queue, so that their latency updates the floor. It leaves a margin for a limit
 	// that has grown too high.
-	LowUse float64
+	UnqueuedUse float64
 	// FloorCalls is the number of calls over which a floor is averaged.
 	FloorCalls int
 	// Classes bounds the number of classes with their own floor. All others share one.
 	Classes int
-	// RefusedShare is the share of refused calls that counts as overload. RefusedTo is
+	// RefusedShare is the share of refused calls that counts as overload. RefusalCutShare is
 	// the new limit as a share of the calls in flight that were not refused.
-	RefusedShare, RefusedTo float64
+	RefusedShare, RefusalCutShare float64
 	// HoldMin and HoldMax bound the time in which the limit does not grow after the
 	// backend server refused calls. The time doubles with each overload, and decreases
 	// with each growth.
@@ -69,30 +69,30 @@
 // take one millisecond to one second.
 func DefaultConfig() Config {
 	return Config{
-		Initial:         20,
-		Min:             1,
-		Max:             2000,
-		Window:          100 * time.Millisecond,
-		WindowMax:       time.Second,
-		WindowCalls:     60,
-		WindowLatencies: 2,
-		Headroom:        0.7,
-		MaxGrowth:       2,
-		Tolerance:       0.15,
-		Noise:           1.5,
-		Jump:            1.6,
-		CutTo:           0.7,
-		Unqueued:        0.3,
-		Queued:          0.8,
-		TestCalls:       100,
-		RecheckAfter:    2 * time.Second,
-		RecheckMax:      16 * time.Second,
-		LowUse:          0.5,
-		FloorCalls:      200,
-		Classes:         256,
-		RefusedShare:    0.01,
-		RefusedTo:       0.95,
-		HoldMin:         500 * time.Millisecond,
-		HoldMax:         4 * time.Second,
+		Initial:            20,
+		Min:                1,
+		Max:                2000,
+		Window:             100 * time.Millisecond,
+		WindowMax:          time.Second,
+		WindowCalls:        60,
+		WindowLatencies:    2,
+		Headroom:           0.7,
+		MaxGrowth:          2,
+		Tolerance:          0.15,
+		Noise:              1.5,
+		ExperimentRatio:    1.6,
+		ExperimentShare:    0.7,
+		UnqueuedElasticity: 0.3,
+		QueuedElasticity:   0.8,
+		TestCalls:          100,
+		RecheckAfter:       2 * time.Second,
+		RecheckMax:         16 * time.Second,
+		UnqueuedUse:        0.5,
+		FloorCalls:         200,
+		Classes:            256,
+		RefusedShare:       0.01,
+		RefusalCutShare:    0.95,
+		HoldMin:            500 * time.Millisecond,
+		HoldMax:            4 * time.Second,
 	}
 }
--- a/limit/decide.go
+++ b/limit/decide.go
@@ -78,7 +78,7 @@
 // low would close the limit step by step.
 func (l *Limiter) experimentDue(now time.Time) bool {
 	l.experiments.limit = max(l.experiments.limit, l.limit)
-	return now.Sub(l.experiments.lastAt) >= l.experiments.interval || l.limit < l.experiments.limit*l.cfg.CutTo
+	return now.Sub(l.experiments.lastAt) >= l.experiments.interval || l.limit < l.experiments.limit*l.cfg.ExperimentShare
 }
 
 // queuesBelowLimit reports whether calls queue although the limit is not in use, for
@@ -95,7 +95,7 @@
 func (l *Limiter) handleQueueing(now time.Time, m measurement) {
 	l.growth.streak = 0
 	l.ratio = m.ratio
-	if m.ratio > l.cfg.Jump {
+	if m.ratio > l.cfg.ExperimentRatio {
 		l.experiment(now, m)
 		return
 	}
--- a/limit/experiment.go
+++ b/limit/experiment.go
@@ -29,7 +29,7 @@
 // experiment cuts the limit by so much that the latency must fall if calls queue.
 func (l *Limiter) experiment(now time.Time, m measurement) {
 	l.ref = reference{measurement: m, limit: l.limit}
-	l.setLimit(min(l.limit, m.inFlight) * l.cfg.CutTo)
+	l.setLimit(min(l.limit, m.inFlight) * l.cfg.ExperimentShare)
 	l.growth.streak = 0
 	l.settleThen(now, measuring)
 }
@@ -73,10 +73,10 @@
 	case !ok:
 		l.setLimit(l.ref.limit)
 		return
-	case elasticity >= l.cfg.Queued:
+	case elasticity >= l.cfg.QueuedElasticity:
 		l.experiment(now, m)
 		return
-	case elasticity >= l.cfg.Unqueued:
+	case elasticity >= l.cfg.UnqueuedElasticity:
 		slots := l.ref.waiting + l.ref.own()*math.Exp(-fell)
 		l.setLimit(min(l.ref.limit, slots+l.headroom(slots)))
 	default:
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -92,13 +92,13 @@
 // InFlight returns the number of calls begun and not ended.
 func (l *Limiter) InFlight() int { return l.inFlight }
 
-// Free reports whether another call may begin.
-func (l *Limiter) Free() bool { return l.inFlight < l.Limit() }
+// HasCapacity reports whether another call may begin.
+func (l *Limiter) HasCapacity() bool { return l.inFlight < l.Limit() }
 
-// Expect returns the present mean time of a call of the class at the backend server,
+// ExpectedRunTime returns the present mean time of a call of the class at the backend server,
 // without downstream calls. It is zero if unknown, or if nothing is in flight, so that
 // there is always a call that can measure it.
-func (l *Limiter) Expect(class uint32) time.Duration {
+func (l *Limiter) ExpectedRunTime(class uint32) time.Duration {
 	if l.inFlight == 0 {
 		return 0
 	}
@@ -160,7 +160,7 @@
 	fl := l.floors.get(s.Class, own, l.ratio)
 	fl.recent += own
 	fl.recentCalls++
-	unqueued := float64(s.InFlight) <= l.cfg.LowUse*l.limit
+	unqueued := float64(s.InFlight) <= l.cfg.UnqueuedUse*l.limit
 	switch {
 	case l.phase == steady && unqueued:
 		l.floors.update(fl, own)
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -77,7 +77,7 @@
 
 // fill begins calls up to the limit.
 func (s *server) fill() {
-	for s.l.Free() && s.l.InFlight() < s.demand {
+	for s.l.HasCapacity() && s.l.InFlight() < s.demand {
 		s.begin()
 	}
 }
@@ -268,7 +268,7 @@
 			downstream = 500 * time.Millisecond
 		}
 		n := 0
-		for l.Free() && n < 30 {
+		for l.HasCapacity() && n < 30 {
 			l.Begin(now)
 			n++
 		}
--- a/limit/refusal.go
+++ b/limit/refusal.go
@@ -22,7 +22,7 @@
 		return false
 	}
 	l.ref = reference{measurement: m, limit: l.limit, refusals: true}
-	l.setLimit(m.succeeding * l.cfg.RefusedTo)
+	l.setLimit(m.succeeding * l.cfg.RefusalCutShare)
 	l.growth.streak = 0
 	l.settleThen(now, measuring)
 	return true
--- a/node/entry.go
+++ b/node/entry.go
@@ -46,9 +46,9 @@
 	defer n.dispatch.CloseLedger(ledger)
 	p := n.callParams(in, op)
 	p.Ledger = ledger
-	p.Holder = holder
-	p.Entering = true
-	p.Resend = op.ExtraAttempts > 0 && ledger.Left() == 0
+	p.KeyHolder = holder
+	p.FromCaller = true
+	p.CallerResend = op.ExtraAttempts > 0 && ledger.Available() == 0
 	return n.dispatch.Call(ctx, p)
 }
 
@@ -139,11 +139,11 @@
 		return call.Failed(err)
 	}
 	p := n.callParams(in, op)
-	p.Holder = holder
+	p.KeyHolder = holder
 	p.RequestID = parent.Request.RequestID
 	p.Importance = lowerImportance(parent.Request.Importance, in.Importance)
 	if p.Importance == parent.Request.Importance {
-		p.Bars = parent.Request.Bars
+		p.AdmittedLevels = parent.Request.AdmittedLevels
 	}
 	p.Depth = parent.Request.Depth + 1
 	p.Fanout = len(parent.Operation.DependsOn)
--- a/node/forward.go
+++ b/node/forward.go
@@ -95,7 +95,7 @@
 	use := quotaUse{node: n, workspace: space}
 	p.Importance = route.ImportanceFor(space)
 	p.Workspace = space.Name
-	p.Enter = use.takeToken
+	p.TakeQuota = use.takeToken
 	out := n.forwardRoot(ctx, p)
 	use.settle(out)
 	return out
@@ -105,25 +105,25 @@
 func (n *Node) routeParams(table *routes.Table, route *routes.Route, in entry.Incoming) dispatch.Params {
 	op := n.routing.pickShare(table, route).Operation
 	return dispatch.Params{
-		Version:     table.Version,
-		RequestID:   in.RequestID,
-		Operation:   op,
-		Importance:  op.Importance,
-		Deadline:    in.Received.Add(budget(in, op)),
-		Ledger:      retry.New(uint32(op.ExtraAttempts)),
-		Patience:    in.Budget,
-		Fanout:      1,
-		Fingerprint: poison.Fingerprint(op.Service, in.HTTP.Origin, in.HTTP.Method+in.HTTP.Target, in.Body),
-		Header:      in.Header,
-		Body:        in.Body,
-		HTTP:        in.HTTP,
+		Version:        table.Version,
+		RequestID:      in.RequestID,
+		Operation:      op,
+		Importance:     op.Importance,
+		Deadline:       in.Received.Add(budget(in, op)),
+		Ledger:         retry.NewLedger(uint32(op.ExtraAttempts)),
+		CallerDeadline: in.Budget,
+		Fanout:         1,
+		Fingerprint:    poison.Fingerprint(op.Service, in.HTTP.Origin, in.HTTP.Method+in.HTTP.Target, in.Body),
+		Header:         in.Header,
+		Body:           in.Body,
+		HTTP:           in.HTTP,
 	}
 }
 
 // forwardRoot forwards a caller's request.
 func (n *Node) forwardRoot(ctx context.Context, p dispatch.Params) call.Outcome {
 	defer n.dispatch.CloseLedger(p.Ledger)
-	p.Entering = true
+	p.FromCaller = true
 	p.Reach = n.routing.servicesReached(p.Operation)
 	out := n.dispatch.Call(ctx, p)
 	if out.Verdict == verdict.Ran {
@@ -143,7 +143,7 @@
 	req := &parent.task.Request
 	p.Root = req.RootID()
 	p.Importance = req.Importance
-	p.Bars = req.Bars
+	p.AdmittedLevels = req.AdmittedLevels
 	p.Depth = req.Depth + 1
 	p.Admitted = true
 	p.Repeat = req.Repeat
@@ -152,7 +152,7 @@
 	}
 	out := n.callForRun(ctx, parent, p)
 	if n.routing.recordCallReach(time.Now(), p.Operation.Service, call.Names(out.Used)) {
-		n.dispatch.PassOn(n.routing.servicesCalled(n.cfg.Service))
+		n.dispatch.SetForwarded(n.routing.servicesCalled(n.cfg.Service))
 	}
 	return out
 }
--- a/node/fuzz_test.go
+++ b/node/fuzz_test.go
@@ -35,7 +35,7 @@
 		cfg.Membership.MaxMembers = fuzzBound
 		cfg.Membership.ProbeInterval = time.Hour
 		// An admission level in a fuzzed reply must not reject the next calls.
-		cfg.Dispatch.Levels.Fresh = time.Millisecond
+		cfg.Dispatch.Levels.TTL = time.Millisecond
 		cfg.Dispatch.Levels.Decay = time.Millisecond
 	}
 	c := testnode.Start(f, cfg)
@@ -109,7 +109,7 @@
 		{{wire.KindQuotaClaim, []any{asPeer, 9, []int{-1, 1 << 40}}}},
 		{{wire.KindPoison, poison.Notice{State: poison.Suspect, Fingerprints: []uint64{1, 2}, TTL: time.Second}},
 			{wire.KindPoison, poison.Notice{State: poison.Convicted, Fingerprints: []uint64{1}, TTL: time.Second}}, c(7, "")},
-		{{wire.KindLevels, levelsMessage{News: []call.LevelNews{{Service: "fieldlog", Priority: 65535}, {Service: "other", Priority: 1, AgeMillis: 65535}}}}, c(8, "")},
+		{{wire.KindLevels, levelsMessage{LevelGossip: []call.LevelNews{{Service: "fieldlog", Priority: 65535}, {Service: "other", Priority: 1, AgeMillis: 65535}}}}, c(8, "")},
 		{{wire.KindMint, struct{}{}}, {wire.KindMinted, struct{}{}}, {wire.KindHello, 1}, {99, 1}},
 	}
 }
--- a/node/links.go
+++ b/node/links.go
@@ -72,7 +72,7 @@
 	_, _ = l.c.Send(wire.KindCancel, c)
 }
 
-func (l *peerLink) Answered() { l.c.Answered(l.sent) }
+func (l *peerLink) MarkAnswered() { l.c.MarkAnswered(l.sent) }
 
 func (l *peerLink) Done() <-chan struct{} { return l.c.Done() }
 
@@ -88,7 +88,7 @@
 
 func (l ownLink) Cancel(c call.Cancel) { l.n.cancel(c) }
 
-func (l ownLink) Answered() {}
+func (l ownLink) MarkAnswered() {}
 
 func (l ownLink) Done() <-chan struct{} { return nil }
 
--- a/node/loops.go
+++ b/node/loops.go
@@ -196,7 +196,7 @@
 	if n.inForce.Swap(version) == version {
 		return // only the offset in the log has changed
 	}
-	n.dispatch.PassOn(downstreamServices(n.graph.graph(), n.cfg.Service))
+	n.dispatch.SetForwarded(downstreamServices(n.graph.graph(), n.cfg.Service))
 	n.counts.ConfigChanges.Add(1)
 	n.log.Info().Uint64("version", version).Msg("configuration in force")
 }
--- a/node/routing_test.go
+++ b/node/routing_test.go
@@ -55,7 +55,7 @@
 	cfg := testnode.DefaultConfig()
 	cfg.Change = func(c *node.Config) {
 		c.DecodeRoutes = decodeTestRoutes
-		c.Dispatch.Reroutes = 3
+		c.Dispatch.MaxReroutes = 3
 		if change != nil {
 			change(c)
 		}
--- a/node/server.go
+++ b/node/server.go
@@ -90,7 +90,7 @@
 // register creates the run of a task. The caller holds the lock.
 func (s *server) register(t *serve.Task) *run {
 	ctx, stop := context.WithDeadline(context.Background(), t.Deadline)
-	r := &run{task: t, token: newToken(), ctx: ctx, stop: stop, ledger: retry.New(t.Request.Grant)}
+	r := &run{task: t, token: newToken(), ctx: ctx, stop: stop, ledger: retry.NewLedger(t.Request.Grant)}
 	s.runs[t.ID] = r
 	s.byToken[r.token] = r
 	s.byRequest[t.Request.RequestID] = r
--- a/node/spread_levels.go
+++ b/node/spread_levels.go
@@ -13,13 +13,13 @@
 
 // levelsMessage carries the known admission levels of services to a peer.
 type levelsMessage struct {
-	News []call.LevelNews `cbor:"1,keyasint"`
+	LevelGossip []call.LevelNews `cbor:"1,keyasint"`
 }
 
 // gossipLevels sends admission levels to peers at random intervals while any is above
 // zero. Without one it sleeps until the next is received.
 func (n *Node) gossipLevels() {
-	interval := n.cfg.Dispatch.News.Interval
+	interval := n.cfg.Dispatch.LevelGossip.Interval
 	if interval <= 0 {
 		return
 	}
@@ -31,11 +31,11 @@
 			return
 		case <-timer.C:
 		}
-		levels := n.dispatch.TellLevels(time.Now())
+		levels := n.dispatch.OutgoingGossip(time.Now())
 		if len(levels) == 0 && !n.awaitLevels() {
 			return
 		}
-		n.sendLevels(levelsMessage{News: levels})
+		n.sendLevels(levelsMessage{LevelGossip: levels})
 		timer.Reset(interval/2 + rand.N(interval))
 	}
 }
@@ -61,7 +61,7 @@
 // sendLevels sends a message to NewsFanOut connected nodes: most in the own data centre,
 // where traffic is cheap, and one in another, so that the gossip reaches all data centres.
 func (n *Node) sendLevels(m levelsMessage) {
-	if len(m.News) == 0 {
+	if len(m.LevelGossip) == 0 {
 		return
 	}
 	var local, remote []wire.NodeID
@@ -88,6 +88,6 @@
 
 // handleLevels applies the admission levels that a peer reports.
 func (n *Node) handleLevels(m levelsMessage) {
-	n.dispatch.HearLevels(time.Now(), m.News)
+	n.dispatch.ReceiveGossip(time.Now(), m.LevelGossip)
 	n.wakeLevelGossip()
 }
--- a/queue/config.go
+++ b/queue/config.go
@@ -18,12 +18,12 @@
 	// the oldest items are about to expire.
 	OverloadAfter time.Duration
 	// WaitShare is the share of its spare time that an item may wait. The rest is a
-	// margin for calls that take longer than Item.Need.
+	// margin for calls that take longer than Item.ExpectedRunTime.
 	WaitShare float64
-	// SoonerShare is the share of its spare time for which an item yields to later
+	// YieldShare is the share of its spare time for which an item yields to later
 	// items with less spare time. Those are closer to the deadline of their request,
 	// and the work spent on it is lost if they are late.
-	SoonerShare float64
+	YieldShare float64
 	// RateSpan is the busy time over which the service rate is averaged.
 	RateSpan time.Duration
 	// RateCalls is the number of served items from which the service rate is known.
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -16,15 +16,15 @@
 	ID uint64
 	// Priority has the importance in its high bits.
 	Priority uint16
-	// UnderWay is set if work was already spent on the request that the item belongs
+	// WorkSpent is set if work was already spent on the request that the item belongs
 	// to.
-	UnderWay bool
+	WorkSpent bool
 	// Deadline is when the caller stops waiting; zero for no deadline.
 	Deadline time.Time
-	// Need is the expected service time. The rest of the time until Deadline is the
+	// ExpectedRunTime is the expected service time. The rest of the time until Deadline is the
 	// spare time of the item.
-	Need  time.Duration
-	Value T
+	ExpectedRunTime time.Duration
+	Value           T
 }
 
 type entry[T any] struct {
@@ -100,8 +100,8 @@
 // items of requests without work spent are dropped first, then those with the least
 // priority.
 func dropsSooner[T any](a, b *entry[T]) bool {
-	if a.rank == b.rank && a.item.UnderWay != b.item.UnderWay {
-		return b.item.UnderWay
+	if a.rank == b.rank && a.item.WorkSpent != b.item.WorkSpent {
+		return b.item.WorkSpent
 	}
 	if a.item.Priority != b.item.Priority {
 		return a.item.Priority < b.item.Priority
@@ -120,7 +120,7 @@
 // it is refused. Dropped items will not be served.
 func (q *Queue[T]) Push(now time.Time, item Item[T]) (dropped []Item[T]) {
 	q.expire(now)
-	if _, ok := q.byID[item.ID]; ok || q.Late(now, &item) {
+	if _, ok := q.byID[item.ID]; ok || q.WouldExpire(now, &item) {
 		return []Item[T]{item}
 	}
 	if q.Len() == 0 {
@@ -135,9 +135,9 @@
 	return dropped
 }
 
-// Late reports whether an item that arrives now would expire before it is served. Push
+// WouldExpire reports whether an item that arrives now would expire before it is served. Push
 // then refuses it, even if the queue is not full.
-func (q *Queue[T]) Late(now time.Time, item *Item[T]) bool {
+func (q *Queue[T]) WouldExpire(now time.Time, item *Item[T]) bool {
 	if item.Deadline.IsZero() {
 		return false
 	}
@@ -147,7 +147,7 @@
 
 // expires returns when an item that arrives now has waited for too long.
 func (q *Queue[T]) expires(now time.Time, item *Item[T]) time.Time {
-	spare := item.Deadline.Sub(now) - item.Need
+	spare := item.Deadline.Sub(now) - item.ExpectedRunTime
 	return now.Add(time.Duration(float64(spare) * q.cfg.WaitShare))
 }
 
@@ -156,8 +156,8 @@
 	if item.Deadline.IsZero() {
 		return 0
 	}
-	spare := max(0, item.Deadline.Sub(now)-item.Need)
-	return time.Duration(float64(spare) * q.cfg.SoonerShare)
+	spare := max(0, item.Deadline.Sub(now)-item.ExpectedRunTime)
+	return time.Duration(float64(spare) * q.cfg.YieldShare)
 }
 
 // ahead returns the number of items that are served before a new one of the rank.
@@ -205,8 +205,8 @@
 	return Item[T]{}, false
 }
 
-// Waited returns how long the item last returned by Pop had waited.
-func (q *Queue[T]) Waited() time.Duration { return q.lastWait }
+// LastWait returns how long the item last returned by Pop had waited.
+func (q *Queue[T]) LastWait() time.Duration { return q.lastWait }
 
 // Remove removes an item, for example because its caller has disconnected. It returns
 // false if the item is not waiting.
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -26,7 +26,7 @@
 }
 
 func (n *sliceQueue) push(now time.Time, item Item[int]) (dropped []uint64) {
-	item.Value = int(float64(item.Deadline.Sub(now)-item.Need) * n.cfg.WaitShare)
+	item.Value = int(float64(item.Deadline.Sub(now)-item.ExpectedRunTime) * n.cfg.WaitShare)
 	if !item.Deadline.IsZero() && item.Value <= 0 {
 		return []uint64{item.ID}
 	}
@@ -113,7 +113,7 @@
 				item := Item[int]{ID: next, Priority: rapid.Uint16().Draw(r, "priority")}
 				if rapid.Bool().Draw(r, "expires") {
 					item.Deadline = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(r, "deadline")) * time.Millisecond)
-					item.Need = time.Duration(rapid.IntRange(0, 50).Draw(r, "need")) * time.Millisecond
+					item.ExpectedRunTime = time.Duration(rapid.IntRange(0, 50).Draw(r, "need")) * time.Millisecond
 				}
 				expire()
 				want := n.push(now, item)
@@ -223,12 +223,12 @@
 func TestLessSpareTimeIsServedFirst(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
-	cfg.SoonerShare = 0.25
+	cfg.YieldShare = 0.25
 	cfg.OverloadAfter = time.Hour
 	cfg.MinItems = 3
 	push := func(q *Queue[int], now time.Time, id uint64, spare time.Duration, underWay bool) []Item[int] {
 		const need = 100 * time.Millisecond
-		return q.Push(now, Item[int]{ID: id, UnderWay: underWay, Deadline: now.Add(need + spare), Need: need})
+		return q.Push(now, Item[int]{ID: id, WorkSpent: underWay, Deadline: now.Add(need + spare), ExpectedRunTime: need})
 	}
 	pop := func(q *Queue[int], now time.Time) uint64 {
 		item, _ := q.Pop(now)
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -38,8 +38,8 @@
 	return b
 }
 
-// Call records the first attempt of a call, which earns Config.Ratio of an extra one.
-func (b *Budget) Call(now time.Time) {
+// RecordCall records the first attempt of a call, which earns Config.Ratio of an extra one.
+func (b *Budget) RecordCall(now time.Time) {
 	b.calls++
 	if b.window != nil {
 		b.window.now(now).calls++
@@ -49,9 +49,9 @@
 	b.add(b.cfg.Ratio)
 }
 
-// Allow reports whether an extra attempt may be made now, and takes it from the budget.
+// TryTake reports whether an extra attempt may be made now, and takes it from the budget.
 // When attempts are scarce, those of low priority are rejected.
-func (b *Budget) Allow(now time.Time, priority uint16) bool {
+func (b *Budget) TryTake(now time.Time, priority uint16) bool {
 	b.refill(now)
 	if b.window != nil {
 		b.refreshFromWindow(now)
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -17,16 +17,16 @@
 	return &Budgets{cfg: cfg, burst: cfg.Burst, byService: make(map[string]*Budget)}
 }
 
-// sharedBudget is the key of the budget shared by services beyond Config.Services.
+// sharedBudget is the key of the budget shared by services beyond Config.MaxServiceBudgets.
 const sharedBudget = ""
 
-// Of returns the budget for calls to a service.
-func (b *Budgets) Of(now time.Time, service string) *Budget {
+// ForService returns the budget for calls to a service.
+func (b *Budgets) ForService(now time.Time, service string) *Budget {
 	if budget, ok := b.byService[service]; ok {
 		return budget
 	}
-	if len(b.byService) >= b.cfg.Services && service != sharedBudget {
-		return b.Of(now, sharedBudget)
+	if len(b.byService) >= b.cfg.MaxServiceBudgets && service != sharedBudget {
+		return b.ForService(now, sharedBudget)
 	}
 	budget := NewBudget(b.cfg, now)
 	budget.cfg.Burst = b.burst
@@ -34,13 +34,13 @@
 	return budget
 }
 
-// SetNodes sets the number of nodes. Above Config.Nodes the burst of each node shrinks, so
+// SetNodes sets the number of nodes. Above Config.FullBurstNodes the burst of each node shrinks, so
 // that the sum over all nodes stays the same.
 func (b *Budgets) SetNodes(n int) {
-	if b.cfg.Nodes == 0 {
+	if b.cfg.FullBurstNodes == 0 {
 		return
 	}
-	b.burst = b.cfg.Burst * float64(b.cfg.Nodes) / float64(max(n, b.cfg.Nodes))
+	b.burst = b.cfg.Burst * float64(b.cfg.FullBurstNodes) / float64(max(n, b.cfg.FullBurstNodes))
 	for _, budget := range b.byService {
 		budget.cfg.Burst = b.burst
 	}
--- a/retry/ledger.go
+++ b/retry/ledger.go
@@ -20,18 +20,18 @@
 
 // LedgerState is the state of a Ledger.
 type LedgerState struct {
-	Left    uint32 `json:"left"`
-	Granted uint32 `json:"granted"`
-	Closed  bool   `json:"closed,omitempty"`
+	Available uint32 `json:"left"`
+	Granted   uint32 `json:"granted"`
+	Closed    bool   `json:"closed,omitempty"`
 }
 
-// New returns a ledger that holds the given number of extra attempts.
-func New(extra uint32) *Ledger {
+// NewLedger returns a ledger that holds the given number of extra attempts.
+func NewLedger(extra uint32) *Ledger {
 	return &Ledger{available: extra}
 }
 
-// Left returns the extra attempts that are neither spent nor granted.
-func (l *Ledger) Left() uint32 { return l.available }
+// Available returns the extra attempts that are neither spent nor granted.
+func (l *Ledger) Available() uint32 { return l.available }
 
 // Grant takes extra attempts for one attempt at a child call from the ledger. height is
 // the length of the longest chain of calls below the callee; a callee that makes no calls
@@ -88,7 +88,7 @@
 
 // Dump returns the state of the ledger.
 func (l *Ledger) Dump() LedgerState {
-	s := LedgerState{Left: l.available, Closed: l.closed}
+	s := LedgerState{Available: l.available, Closed: l.closed}
 	for _, g := range l.granted {
 		s.Granted += g.Extra
 	}
--- a/retry/requests.go
+++ b/retry/requests.go
@@ -32,11 +32,11 @@
 	r.evict(now)
 	id := xxhash.Sum64String(requestID)
 	if _, again := r.seen[id]; again {
-		return New(0)
+		return NewLedger(0)
 	}
 	r.seen[id] = struct{}{}
 	r.order = append(r.order, rememberedRequest{id, now})
-	return New(allowance)
+	return NewLedger(allowance)
 }
 
 // Len returns the number of requests remembered.
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -33,9 +33,9 @@
 	// Burst is the maximum number of saved extra attempts. With Window it is the number
 	// allowed beyond those that the calls have earned.
 	Burst float64
-	// Nodes is the number of nodes up to which each has the full Burst; beyond it the
+	// FullBurstNodes is the number of nodes up to which each has the full Burst; beyond it the
 	// burst of each node shrinks in proportion. Zero disables the scaling.
-	Nodes int
+	FullBurstNodes int
 	// MinPerSecond is the number of extra attempts earned per second without any call,
 	// so that a node with little traffic can retry too.
 	MinPerSecond float64
@@ -43,9 +43,9 @@
 	// attempts earned by the calls of the last Window can be spent at any time in it,
 	// plus Burst. A bucket would discard those beyond Burst.
 	Window time.Duration
-	// Services is the maximum number of services with their own budget; the others share
+	// MaxServiceBudgets is the maximum number of services with their own budget; the others share
 	// one.
-	Services int
+	MaxServiceBudgets int
 	// MaxRequests is the maximum number of requests remembered to recognise resends.
 	MaxRequests int
 	// RequestMemory is how long a request is remembered. It should exceed the time for
@@ -56,7 +56,7 @@
 // DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
-		Ratio: 0.1, Burst: 10, MinPerSecond: 0.1, Services: 1024,
+		Ratio: 0.1, Burst: 10, MinPerSecond: 0.1, MaxServiceBudgets: 1024,
 		MaxRequests: 16384, RequestMemory: time.Minute,
 	}
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -64,7 +64,7 @@
 // attempt runs the callee once and returns the content of its reply.
 func (r *run) attempt(n *tree, extra uint32) (ok bool, unused uint32) {
 	r.attempts++
-	ledger := New(extra)
+	ledger := NewLedger(extra)
 	grants := make([]Grant, len(n.children)) // all calls are sent in parallel
 	for i, c := range n.children {
 		grants[i] = ledger.Grant(c.height, len(n.children)-i)
@@ -171,7 +171,7 @@
 		naive := run{choose: failing}
 		naive.naive(chain(depth), limit)
 		ours := run{choose: failing}
-		entry := New(allowance)
+		entry := NewLedger(allowance)
 		root := chain(depth)
 		ours.call(entry, root, entry.Grant(root.height, 1))
 		t.Logf("depth %d: naive %d attempts (counted up to %d), ledger %d for %d calls",
@@ -186,7 +186,7 @@
 // had; one must stay for the parent.
 func TestParallelGrantsStayWithinTheLedger(t *testing.T) {
 	is := is.New(t)
-	l := New(5)
+	l := NewLedger(5)
 	a, b, c := l.Grant(1, 3), l.Grant(1, 2), l.Grant(1, 1)
 	is.Equal([]uint32{a.Extra, b.Extra, c.Extra}, []uint32{2, 1, 1})
 	is.Equal(l.Grant(0, 1), Grant{}) // a callee without calls gets none
@@ -198,12 +198,12 @@
 // forfeited or the parent was cancelled.
 func TestLateRepliesCreateNoAttempts(t *testing.T) {
 	is := is.New(t)
-	l := New(4)
+	l := NewLedger(4)
 	lost, out := l.Grant(1, 2), l.Grant(1, 1)
-	is.Equal(l.Dump(), LedgerState{Left: 1, Granted: 3})
+	is.Equal(l.Dump(), LedgerState{Available: 1, Granted: 3})
 	l.Forfeit(lost)
 	l.Return(lost, lost.Extra)
-	is.Equal(l.Left(), uint32(1))
+	is.Equal(l.Available(), uint32(1))
 	wrong := l.Grant(1, 1)
 	l.Return(wrong, math.MaxUint32) // returns no more than was granted
 	is.Equal(l.Close(), uint32(1))
@@ -231,10 +231,10 @@
 				latest = now
 			}
 			if rapid.Bool().Draw(t, "call") {
-				b.Call(now)
+				b.RecordCall(now)
 				calls++
 			}
-			if b.Allow(now, rapid.Uint16().Draw(t, "priority")) {
+			if b.TryTake(now, rapid.Uint16().Draw(t, "priority")) {
 				allowed++
 			}
 			bound := cfg.Burst + cfg.Ratio*calls + cfg.MinPerSecond*forward.Seconds()
@@ -256,13 +256,13 @@
 	var high, low int
 	for i := range 40_000 { // 40 s of 1,000 calls a second
 		now = now.Add(time.Millisecond)
-		b.Call(now)
+		b.RecordCall(now)
 		important := i%10 == 0
 		priority := uint16(half / 2)
 		if important {
 			priority = half + half/2
 		}
-		if b.Allow(now, priority) && i > 5000 {
+		if b.TryTake(now, priority) && i > 5000 {
 			if important {
 				high++
 			} else {
@@ -274,9 +274,9 @@
 	is.True(low < high/4) // the others get the rest of the budget
 	for range 10_000 {
 		now = now.Add(time.Millisecond)
-		b.Call(now)
+		b.RecordCall(now)
 	}
-	is.True(b.Allow(now, 0))
+	is.True(b.TryTake(now, 0))
 }
 
 // Guards against repeated calls that are free: a charged attempt is never rejected but
@@ -291,13 +291,13 @@
 		b.Charge(now)
 	}
 	for range 55 { // the budget ends at half a token
-		is.True(!b.Allow(now, 1<<15))
-		b.Call(now)
+		is.True(!b.TryTake(now, 1<<15))
+		b.RecordCall(now)
 	}
 	for range 10 {
-		b.Call(now)
+		b.RecordCall(now)
 	}
-	is.True(b.Allow(now, 1<<15))
+	is.True(b.TryTake(now, 1<<15))
 }
 
 // Guards against a second allowance for a resent request, and against unbounded memory.
@@ -307,11 +307,11 @@
 	cfg.MaxRequests = 2
 	r := NewRequests(cfg)
 	now := time.Unix(0, 0)
-	is.Equal(r.Allowance(now, "a", 3).Left(), uint32(3))
-	is.Equal(r.Allowance(now, "a", 3).Left(), uint32(0))
+	is.Equal(r.Allowance(now, "a", 3).Available(), uint32(3))
+	is.Equal(r.Allowance(now, "a", 3).Available(), uint32(0))
 	r.Allowance(now, "b", 3)
 	r.Allowance(now, "c", 3)
 	is.Equal(r.Len(), 2)
-	is.Equal(r.Allowance(now.Add(cfg.RequestMemory), "c", 3).Left(), uint32(3))
+	is.Equal(r.Allowance(now.Add(cfg.RequestMemory), "c", 3).Available(), uint32(3))
 	is.Equal(r.Len(), 1)
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -32,10 +32,10 @@
 			fails := rapid.IntRange(0, 4).Draw(r, "attempts")
 			for range rapid.IntRange(0, 60).Draw(r, "calls") {
 				now = now.Add(step)
-				b.Call(now)
+				b.RecordCall(now)
 				calls = append(calls, now)
 				for range fails {
-					if b.Allow(now, 1<<16-1) {
+					if b.TryTake(now, 1<<16-1) {
 						extra = append(extra, now)
 					}
 				}
@@ -71,10 +71,10 @@
 	now := start
 	for range 2000 {
 		now = now.Add(10 * time.Millisecond)
-		b.Call(now)
+		b.RecordCall(now)
 	}
 	spend := func(priority uint16) (n int) {
-		for b.Allow(now, priority) {
+		for b.TryTake(now, priority) {
 			n++
 		}
 		return n
@@ -83,18 +83,18 @@
 	critical := spend(1<<16 - 1)
 	is.True(normal > 40 && normal < 60) // a quarter of the 200 that 1,000 calls earn
 	is.True(normal+critical > 190 && normal+critical <= 202)
-	is.Equal(b.Allow(now.Add(5*time.Second), 1<<16-1), false)
-	is.Equal(b.Allow(now.Add(time.Minute), 1<<16-1), true)
+	is.Equal(b.TryTake(now.Add(5*time.Second), 1<<16-1), false)
+	is.Equal(b.TryTake(now.Add(time.Minute), 1<<16-1), true)
 }
 
 // Guards against a burst that grows with the number of nodes.
 func TestBurstIsSharedByAllNodes(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
-	cfg.Window, cfg.Ratio, cfg.MinPerSecond, cfg.Burst, cfg.Nodes = 10*time.Second, 0.2, 0, 4, 16
+	cfg.Window, cfg.Ratio, cfg.MinPerSecond, cfg.Burst, cfg.FullBurstNodes = 10*time.Second, 0.2, 0, 4, 16
 	b := NewBudgets(cfg)
 	spend := func(service string) (n int) {
-		for b.Of(start, service).Allow(start, 1<<16-1) {
+		for b.ForService(start, service).TryTake(start, 1<<16-1) {
 			n++
 		}
 		return n
--- a/serve/server.go
+++ b/serve/server.go
@@ -199,10 +199,10 @@
 	item := queue.Item[*Task]{ID: t.ID, Deadline: t.Deadline, Value: t}
 	if s.cfg.Policy == PolicyFull {
 		item.Priority = t.priority
-		item.UnderWay = t.Request.Root != ""
-		item.Need = s.expectedRunTime(t)
+		item.WorkSpent = t.Request.Root != ""
+		item.ExpectedRunTime = s.expectedRunTime(t)
 	}
-	if s.queue.Late(now, &item) {
+	if s.queue.WouldExpire(now, &item) {
 		s.counts.Expired++
 		s.observe(now, admission.Shed)
 		s.finishUnstarted(t, s.expiryRefusal(), e)
@@ -224,7 +224,7 @@
 	if s.cfg.TellOnly && s.queue.Len() == 0 && s.hasFreeSlot() {
 		return 0
 	}
-	return s.limit.Expect(t.class)
+	return s.limit.ExpectedRunTime(t.class)
 }
 
 // expiryRefusal returns the refusal of a task that would expire in the queue. Where
@@ -248,7 +248,7 @@
 	case s.guard.Check(now, t.Request.Fingerprint) == poison.Refuse:
 		s.counts.Poison++
 		return s.guard.Refusal(now, t.Request.Fingerprint)
-	case !s.gate.Admit(now, t.priority, t.Request.Bar(s.cfg.Service)) && !s.cfg.TellOnly:
+	case !s.gate.Admit(now, t.priority, t.Request.AdmittedLevel(s.cfg.Service)) && !s.cfg.TellOnly:
 		s.counts.Shed++
 		return s.shedError(now)
 	}
@@ -302,7 +302,7 @@
 func (s *Server) Tick(now time.Time) Effects {
 	var e Effects
 	if s.cfg.Policy == PolicyFull && !s.cfg.TellOnly {
-		for _, item := range s.queue.Shed(s.gate.Own(now)) {
+		for _, item := range s.queue.Shed(s.gate.OwnLevel(now)) {
 			s.shed(now, item.Value, &e)
 		}
 	}
--- a/transport/stall.go
+++ b/transport/stall.go
@@ -70,9 +70,9 @@
 	return now.Sub(r.first)
 }
 
-// Answered notes an answer to a call that was sent at a moment: all that was written
+// MarkAnswered notes an answer to a call that was sent at a moment: all that was written
 // before it has come through as well.
-func (c *Conn) Answered(sent time.Time) { c.receipts.shown(sent) }
+func (c *Conn) MarkAnswered(sent time.Time) { c.receipts.shown(sent) }
 
 // askDoubtful asks the connections in doubt.
 func (t *Transport) askDoubtful(now time.Time) {
