--- a/admission/route_health_test.go
+++ b/admission/route_health_test.go
@@ -13,7 +13,7 @@
 	now time.Time
 }
 
-func newTestOutlook() *testRouteHealth {
+func newTestRouteHealth() *testRouteHealth {
 	return &testRouteHealth{RouteHealth: NewRouteHealth(DefaultRouteHealthConfig(), 1), now: time.Unix(1000, 0)}
 }
 
@@ -34,7 +34,7 @@
 // without a deadline are tried, and other routes are not affected.
 func TestRequestsAreDeferredWhileTheyFail(t *testing.T) {
 	is := is.New(t)
-	o := newTestOutlook()
+	o := newTestRouteHealth()
 	is.True(!o.deferred("r", 6*time.Second)) // no outcomes yet
 	o.complete("r", 40, false)
 	for range 100 {
@@ -50,9 +50,9 @@
 
 // Guards against deferring requests after the failures have ended, or without recent
 // outcomes.
-func TestOutlookRecovers(t *testing.T) {
+func TestRouteHealthRecovers(t *testing.T) {
 	is := is.New(t)
-	o := newTestOutlook()
+	o := newTestRouteHealth()
 	o.complete("r", 40, false)
 	is.True(o.deferred("r", 6*time.Second))
 	o.complete("r", 25, true)
@@ -67,7 +67,7 @@
 // Guards against deferring requests of a route of which half succeed.
 func TestHalfSuccessfulRouteIsNotDeferred(t *testing.T) {
 	is := is.New(t)
-	o := newTestOutlook()
+	o := newTestRouteHealth()
 	for range 50 {
 		o.complete("r", 1, true)
 		o.complete("r", 1, false)
@@ -79,7 +79,7 @@
 // had longer deadlines.
 func TestEarlierDeadlinesAreForgotten(t *testing.T) {
 	is := is.New(t)
-	o := newTestOutlook()
+	o := newTestRouteHealth()
 	o.deferred("r", time.Minute)
 	o.now = o.now.Add(remainingTTL + time.Second)
 	o.complete("r", 40, false)
@@ -87,7 +87,7 @@
 }
 
 // Guards against unbounded memory for routes; requests of untracked routes are tried.
-func TestOutlookIsBounded(t *testing.T) {
+func TestRouteHealthIsBounded(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultRouteHealthConfig()
 	cfg.Routes = 1
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -61,9 +61,9 @@
 	Header     []call.Field
 	Body       []byte
 	Latency    time.Duration
-	// Offered says that a request which did not run had reached the backend
+	// ReachedBackend says that a request which did not run had reached the backend
 	// server all the same.
-	Offered bool
+	ReachedBackend bool
 	// Broken says that the connection broke while the request was in flight
 	// and nobody had cancelled it.
 	Broken bool
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -165,7 +165,7 @@
 	case Declined, Elsewhere:
 		return x.refusal(resp, claim, after)
 	case Spoiled:
-		return failed(verdict.Doubt(verdict.Incomplete, "the answer (status %d) is not the backend server's own", resp.StatusCode)), false
+		return failed(verdict.MayHaveRunError(verdict.Incomplete, "the answer (status %d) is not the backend server's own", resp.StatusCode)), false
 	}
 	res = Result{Verdict: verdict.Ran}
 	if !framed && (!x.client.dialect.Unframed() || resp.StatusCode == http.StatusSwitchingProtocols) {
@@ -190,7 +190,7 @@
 		e = verdict.Refuse(verdict.NoBackend, "another backend server has the address").After(after)
 	}
 	res := failed(e)
-	res.Offered = true
+	res.ReachedBackend = true
 	if _, err := x.body(resp); err != nil || unbounded(resp) {
 		return res, false // what the refusal says stands without its body
 	}
@@ -244,12 +244,12 @@
 // withoutAnswer is for a request that left and has no usable head of an answer.
 func (x *exchange) withoutAnswer(ctx context.Context, err error) Result {
 	if reason := ended(ctx); reason != verdict.None {
-		return failed(verdict.Doubt(reason, "no answer in time"))
+		return failed(verdict.MayHaveRunError(reason, "no answer in time"))
 	}
 	if now := time.Now(); x.reused && x.conn.broken && now.Sub(x.sentAt) < forgottenWithin {
 		x.client.pool.distrust(now, x.sentAt.Sub(x.conn.idleSince))
 	}
-	res := failed(verdict.Doubt(verdict.Lost, "no answer: %v", err))
+	res := failed(verdict.MayHaveRunError(verdict.Lost, "no answer: %v", err))
 	x.client.notice(ctx, x.run.address, x.conn, &res)
 	return res
 }
--- a/call/message.go
+++ b/call/message.go
@@ -111,8 +111,8 @@
 	Status int     `cbor:"8,keyasint,omitempty"`
 	Header []Field `cbor:"9,keyasint,omitempty"`
 	Body   []byte  `cbor:"10,keyasint,omitempty"`
-	// Unused is what is left of the grant.
-	Unused uint32 `cbor:"11,keyasint,omitempty"`
+	// UnusedGrant is what is left of the grant.
+	UnusedGrant uint32 `cbor:"11,keyasint,omitempty"`
 	// Levels are the admission levels above zero of this node's service and
 	// of those that it calls.
 	Levels []Level `cbor:"12,keyasint,omitempty"`
@@ -127,14 +127,14 @@
 	// BoundTo names the incarnation that a key is bound to, when it is
 	// another than From.
 	BoundTo wire.NodeID `cbor:"16,keyasint,omitempty"`
-	// KeyHeld is how long a resend with the same key stays safe.
-	KeyHeld time.Duration `cbor:"17,keyasint,omitempty"`
-	// Offered says that a request which did not run had reached the backend
+	// KeySafeFor is how long a resend with the same key stays safe.
+	KeySafeFor time.Duration `cbor:"17,keyasint,omitempty"`
+	// ReachedBackend says that a request which did not run had reached the backend
 	// server: it counts as an attempt there.
-	Offered bool `cbor:"18,keyasint,omitempty"`
-	// Used is the slot time that the calls of the run took at each service that
+	ReachedBackend bool `cbor:"18,keyasint,omitempty"`
+	// SlotTimeUsed is the slot time that the calls of the run took at each service that
 	// they reached.
-	Used []Use `cbor:"22,keyasint,omitempty"`
+	SlotTimeUsed []Use `cbor:"22,keyasint,omitempty"`
 	// RanFor is the time that the backend server took.
 	RanFor time.Duration `cbor:"21,keyasint,omitempty"`
 	// RequestID is for the notes of the replying node.
--- a/call/message_test.go
+++ b/call/message_test.go
@@ -26,10 +26,10 @@
 // A call's own slot time counts with that of the calls below it, which stay as they are.
 func TestUsesOfACall(t *testing.T) {
 	is := is.New(t)
-	out := Outcome{RanFor: 7 * time.Millisecond, Used: []Use{{Service: "b", Micros: 2000}, {Service: "a", Micros: 1000}}}
+	out := Outcome{RanFor: 7 * time.Millisecond, SlotTimeUsed: []Use{{Service: "b", Micros: 2000}, {Service: "a", Micros: 1000}}}
 	list := out.AddUses([]Use{{Service: "b", Micros: 500}}, "a")
 	is.Equal(list, []Use{{Service: "b", Micros: 2500}, {Service: "a", Micros: 8000}})
-	is.Equal(out.Used[1].Micros, uint32(1000))
+	is.Equal(out.SlotTimeUsed[1].Micros, uint32(1000))
 }
 
 // A request that passed two levels of one service was let in by the higher one.
--- a/call/outcome.go
+++ b/call/outcome.go
@@ -17,11 +17,11 @@
 	Status     int
 	Header     []Field
 	Body       []byte
-	// KeyHeld is how long a resend with the same key stays safe.
-	KeyHeld time.Duration
-	// Used is the slot time that the request's calls took at each service that
+	// KeySafeFor is how long a resend with the same key stays safe.
+	KeySafeFor time.Duration
+	// SlotTimeUsed is the slot time that the request's calls took at each service that
 	// they reached.
-	Used []Use
+	SlotTimeUsed []Use
 	// RanFor is the time that the backend server took for the answer.
 	RanFor time.Duration
 }
@@ -44,7 +44,7 @@
 // all services below it.
 func (o *Outcome) AddUses(list []Use, service string) []Use {
 	list = AddUse(list, service, o.RanFor)
-	for _, u := range o.Used {
+	for _, u := range o.SlotTimeUsed {
 		list = AddUse(list, u.Service, time.Duration(u.Micros)*time.Microsecond)
 	}
 	return list
--- a/daemon/config.go
+++ b/daemon/config.go
@@ -46,7 +46,7 @@
 	cfg.Serve.Limit.Max = s.MaxLimit
 	cfg.Serve.Queue.MaxItems = s.Queue
 	cfg.Serve.Once.KeyTTL = s.KeyHeldFor
-	cfg.Serve.Once.HeldFor = s.KeyHeldFor
+	cfg.Serve.Once.BindingTTL = s.KeyHeldFor
 	if err := cfg.Serve.Once.Check(); err != nil {
 		return node.Config{}, fmt.Errorf("keys: %w", err)
 	}
--- a/daemon/platform_config.go
+++ b/daemon/platform_config.go
@@ -161,7 +161,7 @@
 // LoadPolicy sets the overload control of a node on the platform: admission, queueing,
 // load balancing and the retry budget.
 func LoadPolicy(cfg *node.Config, b platform.Bounds) {
-	cfg.Serve.TellOnly = true
+	cfg.Serve.PublishLevelOnly = true
 	cfg.Serve.Queue.YieldShare = soonerShare
 	cfg.Serve.Gate.Queue = levelQueue
 	cfg.Serve.Gate.SettleIntervals = levelSettle
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -50,7 +50,7 @@
 // Only requests that made calls count: deferring doesn't help when the backend server of
 // the route itself fails.
 func (d *Dispatcher) recordOutcome(p Params, out call.Outcome) {
-	if !p.FromCaller || out.Verdict == verdict.NotRun || len(out.Used) == 0 {
+	if !p.FromCaller || out.Verdict == verdict.NotRun || len(out.SlotTimeUsed) == 0 {
 		return
 	}
 	d.mu.Lock()
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -43,11 +43,11 @@
 }
 
 // declined reports whether the backend server itself refused the call, not its node.
-func declined(r call.Reply) bool { return r.Verdict == verdict.NotRun && r.Offered }
+func declined(r call.Reply) bool { return r.Verdict == verdict.NotRun && r.ReachedBackend }
 
 // takeReroute reports whether another attempt after r is free, and counts it.
 func (a *attempts) takeReroute(r call.Reply) bool {
-	if r.Verdict != verdict.NotRun || r.Offered || a.reroutesLeft == 0 {
+	if r.Verdict != verdict.NotRun || r.ReachedBackend || a.reroutesLeft == 0 {
 		return false
 	}
 	a.reroutesLeft--
@@ -127,15 +127,15 @@
 // attempts: a refusal after a lost attempt is not "not run".
 func (a *attempts) conclude(r call.Reply) call.Outcome {
 	return call.Outcome{
-		Verdict:    a.worst,
-		Reason:     r.Reason,
-		Detail:     r.Detail,
-		RetryAfter: r.RetryAfter,
-		Status:     r.Status,
-		Header:     r.Header,
-		Body:       r.Body,
-		KeyHeld:    r.KeyHeld,
-		Used:       r.Used,
-		RanFor:     r.RanFor,
+		Verdict:      a.worst,
+		Reason:       r.Reason,
+		Detail:       r.Detail,
+		RetryAfter:   r.RetryAfter,
+		Status:       r.Status,
+		Header:       r.Header,
+		Body:         r.Body,
+		KeySafeFor:   r.KeySafeFor,
+		SlotTimeUsed: r.SlotTimeUsed,
+		RanFor:       r.RanFor,
 	}
 }
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -29,7 +29,7 @@
 func TestRefusalAfterLostAttemptMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	a := attempts{idempotent: true}
-	lost := errorReply(verdict.Doubt(verdict.Lost, ""))
+	lost := errorReply(verdict.MayHaveRunError(verdict.Lost, ""))
 	shed := errorReply(verdict.Refuse(verdict.Shed, ""))
 
 	is.Equal(a.next(lost, func() bool { return true }), tryAgain)
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -265,7 +265,7 @@
 		}
 	}
 	if !p.KeyHolder.IsZero() && !d.members.Known(p.KeyHolder) {
-		err := verdict.Doubt(verdict.KeyHolderGone, "the node %s that the key names is not there", p.KeyHolder.Short())
+		err := verdict.MayHaveRunError(verdict.KeyHolderGone, "the node %s that the key names is not there", p.KeyHolder.Short())
 		d.noteRefused(p, err)
 		return call.Failed(err)
 	}
@@ -318,7 +318,7 @@
 	if !a.keyed {
 		return a.conclude(r)
 	}
-	err := verdict.Doubt(verdict.KeyHolderGone, "the node %s that the key is bound to is not there", r.BoundTo.Short())
+	err := verdict.MayHaveRunError(verdict.KeyHolderGone, "the node %s that the key is bound to is not there", r.BoundTo.Short())
 	d.noteRefused(p, err)
 	return call.Failed(err)
 }
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -78,7 +78,7 @@
 	for _, f := range l.n.forge(req) {
 		l.n.d.Reply(f.by, f.reply)
 	}
-	reply := call.Reply{From: l.to, To: req.From, Seq: req.Seq, Verdict: verdict.Ran, Unused: req.Grant}
+	reply := call.Reply{From: l.to, To: req.From, Seq: req.Seq, Verdict: verdict.Ran, UnusedGrant: req.Grant}
 	switch l.event {
 	case notQueued:
 		return nil, errors.New("busy")
--- a/dispatch/reroute_test.go
+++ b/dispatch/reroute_test.go
@@ -37,7 +37,7 @@
 	r := s.a.script[min(len(s.a.asked), len(s.a.script)-1)]
 	s.a.asked = append(s.a.asked, s.to)
 	s.a.sent = append(s.a.sent, req)
-	r.From, r.To, r.Seq, r.Unused = s.to, req.From, req.Seq, req.Grant
+	r.From, r.To, r.Seq, r.UnusedGrant = s.to, req.From, req.Seq, req.Grant
 	s.a.d.Reply(s.to, r)
 	return func() bool { return true }, nil
 }
@@ -58,7 +58,7 @@
 
 var (
 	notOfferedReply = call.Reply{Verdict: verdict.NotRun, Reason: verdict.NoBackend}
-	declinedReply   = call.Reply{Verdict: verdict.NotRun, Reason: verdict.Shed, Offered: true}
+	declinedReply   = call.Reply{Verdict: verdict.NotRun, Reason: verdict.Shed, ReachedBackend: true}
 	servedReply     = call.Reply{Verdict: verdict.Ran, Status: 200}
 	lostReply       = call.Reply{Verdict: verdict.MayHaveRun, Reason: verdict.Lost}
 )
@@ -133,7 +133,7 @@
 // requests that fail at their own backend server are not deferred.
 func TestRequestsAreDeferredWhileTheirRouteFails(t *testing.T) {
 	is := is.New(t)
-	failing := call.Reply{Verdict: verdict.Ran, Status: 500, Used: []call.Use{{Service: "below"}}}
+	failing := call.Reply{Verdict: verdict.Ran, Status: 500, SlotTimeUsed: []call.Use{{Service: "below"}}}
 	enter := func(a *scriptedNetwork) call.Outcome {
 		p := params(t, "once", 0)
 		p.FromCaller, p.CallerDeadline = true, 6*time.Second
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -40,7 +40,7 @@
 	}
 	reply, settled := d.awaitReply(ctx, link, w, req, written, to)
 	if settled {
-		d.returnGrant(p, grant, reply.Unused)
+		d.returnGrant(p, grant, reply.UnusedGrant)
 	} else {
 		d.forfeitGrant(p, grant)
 	}
@@ -51,7 +51,7 @@
 // a key's holder: the key may have run there before.
 func notSent(ctx context.Context, to target, err error) *verdict.Error {
 	if to.keyHolder {
-		return verdict.Doubt(verdict.KeyHolderGone, "the node %s that the key is bound to does not answer: %v", to.id.Short(), err)
+		return verdict.MayHaveRunError(verdict.KeyHolderGone, "the node %s that the key is bound to does not answer: %v", to.id.Short(), err)
 	}
 	if ctx.Err() != nil {
 		return contextError(ctx, verdict.NotRun)
@@ -80,10 +80,10 @@
 	d.count(func(c *Counts) { c.Lost++ })
 	if !written() {
 		r := errorReply(notSent(ctx, to, errConnectionEnded))
-		r.Unused = req.Grant
+		r.UnusedGrant = req.Grant
 		return r, true
 	}
-	return errorReply(verdict.Doubt(verdict.Lost, "connection to %s ended before the answer", req.To.Short())), false
+	return errorReply(verdict.MayHaveRunError(verdict.Lost, "connection to %s ended before the answer", req.To.Short())), false
 }
 
 var errConnectionEnded = errors.New("the connection ended")
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -106,7 +106,7 @@
 func TestCallIsPassedOnWhole(t *testing.T) {
 	is := is.New(t)
 	d := &fakeDoer{out: call.Outcome{
-		Verdict: verdict.Ran, Status: 201, Body: []byte("filed"), KeyHeld: 1500 * time.Microsecond,
+		Verdict: verdict.Ran, Status: 201, Body: []byte("filed"), KeySafeFor: 1500 * time.Microsecond,
 		Header: []call.Field{{Name: "X-Own", Value: "1"}, {Name: "Content-Length", Value: "99"}, {Name: "cassialoom-verdict", Value: "not run"}},
 	}}
 	resp, body := ask(t, d, "PUT /call/fieldlog/file?a=1&b=%20 HTTP/1.1\r\nHost: x\r\n"+
@@ -314,7 +314,7 @@
 	resp, body := ask(t, d, "POST /key/s/o HTTP/1.1\r\nHost: x\r\n\r\n")
 	is.Equal(resp.StatusCode, 200)
 	is.Equal(body, `{"key":"key-of-s-o","held_ms":90000}`+"\n")
-	d.err = fmt.Errorf("mint: %w", verdict.Doubt(verdict.NoBackend, "none"))
+	d.err = fmt.Errorf("mint: %w", verdict.MayHaveRunError(verdict.NoBackend, "none"))
 	resp, _ = ask(t, d, "POST /key/s/o HTTP/1.1\r\nHost: x\r\n\r\n")
 	is.Equal(resp.StatusCode, 503)
 	is.Equal(resp.Header.Get(headers.Verdict), "not run") // a key runs nothing
--- a/entry/write.go
+++ b/entry/write.go
@@ -22,8 +22,8 @@
 
 // write sends the outcome as one whole answer.
 func write(cfg Config, w http.ResponseWriter, requestID string, out call.Outcome) {
-	if out.KeyHeld > 0 {
-		setMs(w.Header(), headers.KeyHeldMs, out.KeyHeld)
+	if out.KeySafeFor > 0 {
+		setMs(w.Header(), headers.KeyHeldMs, out.KeySafeFor)
 	}
 	switch {
 	case out.Reason != verdict.None:
--- a/internal/bench/connections.go
+++ b/internal/bench/connections.go
@@ -77,4 +77,4 @@
 func (silent) Up(*transport.Conn)                 {}
 func (silent) Stalled(*transport.Conn)            {}
 func (silent) Down(*transport.Conn)               {}
-func (silent) Busy(wire.NodeID) bool              { return true }
+func (silent) OwesReply(wire.NodeID) bool         { return true }
--- a/internal/capacity/memory.go
+++ b/internal/capacity/memory.go
@@ -148,7 +148,7 @@
 func (idleHandler) Up(*transport.Conn)                 {}
 func (idleHandler) Stalled(*transport.Conn)            {}
 func (idleHandler) Down(*transport.Conn)               {}
-func (idleHandler) Busy(wire.NodeID) bool              { return false }
+func (idleHandler) OwesReply(wire.NodeID) bool         { return false }
 
 // MeasureConnections opens count connections to one node, each from a node of
 // its own, over loopback.
--- a/internal/capacity/network.go
+++ b/internal/capacity/network.go
@@ -89,9 +89,9 @@
 	peer.conns[from] = s.at
 	trip := 2 * delay(from, peer)
 	s.deliver(from, 2*trip, func() {
-		from.M.Answered(s.clock(from), l.addr, peer.ID)
+		from.M.PeerAnswered(s.clock(from), l.addr, peer.ID)
 		if !l.to.IsZero() && l.to != peer.ID {
-			from.M.Failed(s.clock(from), l.to)
+			from.M.PeerUnreachable(s.clock(from), l.to)
 		}
 	})
 	if l.to.IsZero() || l.to == peer.ID {
@@ -102,10 +102,10 @@
 func (s *Sim) dialFailed(from *Node, l letter) {
 	s.deliver(from, s.cfg.DialTimeout, func() {
 		if l.to.IsZero() {
-			from.M.FailedAddr(s.clock(from), l.addr)
+			from.M.AddrUnreachable(s.clock(from), l.addr)
 			return
 		}
-		from.M.Failed(s.clock(from), l.to)
+		from.M.PeerUnreachable(s.clock(from), l.to)
 	})
 }
 
@@ -153,13 +153,13 @@
 
 func (s *Sim) useLog(n *Node) {
 	ctx := context.Background()
-	if from, limit, ok := n.M.WantLog(s.clock(n)); ok {
+	if from, limit, ok := n.M.NextLogRead(s.clock(n)); ok {
 		n.Stats.Reads++
 		if page, err := s.Log.Read(ctx, membership.Stream, from, limit); err == nil {
-			n.M.LogPage(s.clock(n), page)
+			n.M.ReceiveLogPage(s.clock(n), page)
 		}
 	}
-	data, ok := n.M.WantAnnounce(s.clock(n))
+	data, ok := n.M.NextAnnouncement(s.clock(n))
 	if !ok {
 		return
 	}
--- a/internal/capacity/sim.go
+++ b/internal/capacity/sim.go
@@ -231,7 +231,7 @@
 		return
 	}
 	delete(peer.conns, n)
-	s.deliver(peer, delay(n, peer), func() { peer.M.Failed(s.clock(peer), n.ID) })
+	s.deliver(peer, delay(n, peer), func() { peer.M.PeerUnreachable(s.clock(peer), n.ID) })
 }
 
 // sortedConns yields the peers in a fixed order: the schedule must not depend
--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -140,7 +140,7 @@
 	}
 	out := n.dispatch.Call(ctx, p)
 	if out.Verdict == verdict.Ran {
-		n.learn(c, call.Names(out.Used))
+		n.learn(c, call.Names(out.SlotTimeUsed))
 	}
 	return out
 }
@@ -243,7 +243,7 @@
 	result.Latency = time.Since(started)
 	n.mu.Lock()
 	delete(n.running, r.task.ID)
-	result.Used = r.used
+	result.SlotTimeUsed = r.used
 	result.CallsFailed = r.callsFailed
 	n.mu.Unlock()
 	n.do(func(now time.Time, s *serve.Server) serve.Effects { return s.Done(now, r.task.ID, result) })
@@ -251,7 +251,7 @@
 
 func (n *node) work(r *run) serve.Result {
 	if !n.backend.take(r.ctx) {
-		return serve.Result{Verdict: verdict.NotRun, Reason: verdict.Shed, Offered: true}
+		return serve.Result{Verdict: verdict.NotRun, Reason: verdict.Shed, ReachedBackend: true}
 	}
 	held := time.Now()
 	ok := pause.For(r.ctx, n.backend.work(r.class)) && n.callAll(r)
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -105,7 +105,7 @@
 func TestCallsUnderWayAreNotShed(t *testing.T) {
 	both(t, func(t *testing.T, d Deployment) {
 		is := is.New(t)
-		everywhere := variant("levels at every node", func(p *Policy) { p.Serve.TellOnly = false })
+		everywhere := variant("levels at every node", func(p *Policy) { p.Serve.PublishLevelOnly = false })
 		var shed, ours struct{ critical, normal, broken float64 }
 		const days = 3
 		for k := range uint64(days) {
--- a/internal/testnode/cluster.go
+++ b/internal/testnode/cluster.go
@@ -95,8 +95,8 @@
 	cfg.Transport.Cluster = c.name
 	cfg.Membership.JoinInterval = often
 	cfg.Membership.GossipInterval = often
-	cfg.Membership.RepairAgain = often
-	cfg.Membership.AnnounceWithin = often
+	cfg.Membership.RepairRetryInterval = often
+	cfg.Membership.MaxAnnounceWait = often
 	cfg.Spread.PollEvery = often
 	cfg.Spread.RepairEvery = often
 	cfg.Spread.PullRetry = often
--- a/internal/testnode/peer.go
+++ b/internal/testnode/peer.go
@@ -123,6 +123,6 @@
 // beside this peer.
 func (p *Peer) Join(service string) error {
 	r := membership.Record{ID: p.ID, Service: service, DataCentre: "dc", Region: "region",
-		PeerAddr: Nowhere, Ready: true, Incarnation: 1, Content: 1}
+		PeerAddr: Nowhere, Ready: true, Incarnation: 1, ContentIncarnation: 1}
 	return p.Send(wire.KindMembership, membership.Message{Records: []membership.Record{r}})
 }
--- a/membership/address.go
+++ b/membership/address.go
@@ -62,9 +62,9 @@
 	m.send(wire.NodeID{}, m.self.PeerAddr, Message{Ping: m.seq})
 }
 
-// Answered reports which process answered at an address. The shell calls it
+// PeerAnswered reports which process answered at an address. The shell calls it
 // after each handshake on a connection that this node opened.
-func (m *Members) Answered(now time.Time, addr string, id wire.NodeID) {
+func (m *Members) PeerAnswered(now time.Time, addr string, id wire.NodeID) {
 	m.advance(now)
 	m.markSuperseded(addr, id)
 	if addr == m.self.PeerAddr {
@@ -72,7 +72,7 @@
 		return
 	}
 	if m.table[id] == nil && id != m.self.ID {
-		m.send(id, addr, Message{Want: []wire.NodeID{id}})
+		m.send(id, addr, Message{RecordRequests: []wire.NodeID{id}})
 	}
 }
 
@@ -107,8 +107,8 @@
 	m.address.claimed = 0
 }
 
-// FailedAddr reports that no process could be reached at an address.
-func (m *Members) FailedAddr(now time.Time, addr string) {
+// AddrUnreachable reports that no process could be reached at an address.
+func (m *Members) AddrUnreachable(now time.Time, addr string) {
 	m.advance(now)
 	a := &m.address
 	if addr != m.self.PeerAddr || !a.pending {
--- a/membership/apply.go
+++ b/membership/apply.go
@@ -14,7 +14,7 @@
 	for i := range msg.Records {
 		r := &msg.Records[i]
 		if !r.valid() {
-			m.counters.Refused++
+			m.counters.Rejected++
 			continue
 		}
 		m.applyRecord(r, msg.Repair && r.ID != from, reply)
@@ -25,7 +25,7 @@
 // that it fetched in a repair, because its peers have them already.
 func (m *Members) applyRecord(r *Record, repair bool, reply *Message) {
 	if r.ID == m.self.ID {
-		m.handleClaimAboutSelf(r.change(), r.Content != m.self.Content, reply)
+		m.handleClaimAboutSelf(r.change(), r.ContentIncarnation != m.self.ContentIncarnation, reply)
 		return
 	}
 	mem := m.table[r.ID]
@@ -36,8 +36,8 @@
 		}
 	} else if !mem.newer(r.Incarnation, r.State) {
 		return
-	} else if r.Content < mem.Content {
-		m.counters.Refused++
+	} else if r.ContentIncarnation < mem.ContentIncarnation {
+		m.counters.Rejected++
 		return
 	}
 	old := mem.Record
@@ -54,7 +54,7 @@
 func (m *Members) handleChanges(msg *Message, reply *Message) {
 	for _, c := range msg.Changes {
 		if !c.valid() {
-			m.counters.Refused++
+			m.counters.Rejected++
 			continue
 		}
 		m.applyChange(c, msg.Repair, reply)
@@ -77,7 +77,7 @@
 		m.counters.Repeated++
 		return
 	}
-	if !c.State.Gone() && (c.Content != mem.Content || mem.PeerAddr == "") {
+	if !c.State.Gone() && (c.ContentIncarnation != mem.ContentIncarnation || mem.PeerAddr == "") {
 		m.requestRecord(c.ID, reply)
 		return
 	}
@@ -113,7 +113,7 @@
 	}
 	mem.State = c.State
 	mem.Incarnation = c.Incarnation
-	mem.Content = c.Content
+	mem.ContentIncarnation = c.ContentIncarnation
 	m.updateLists(mem, Record{ID: c.ID, State: Left})
 	if !m.joining {
 		m.enqueueRumor(mem)
@@ -121,8 +121,8 @@
 }
 
 func (m *Members) requestRecord(id wire.NodeID, reply *Message) {
-	if len(reply.Want) < maxRequestedRecords {
-		reply.Want = append(reply.Want, id)
+	if len(reply.RecordRequests) < maxRequestedRecords {
+		reply.RecordRequests = append(reply.RecordRequests, id)
 	}
 }
 
@@ -137,7 +137,7 @@
 		return
 	}
 	if c.Incarnation >= maxIncarnation {
-		m.counters.Unrefutable++
+		m.counters.ForgedClaims++
 		return
 	}
 	if c.State == Dead && c.Flags&flagSuperseded != 0 {
@@ -159,7 +159,7 @@
 	m.changeSelf(func(r *Record) {
 		r.Incarnation = max(r.Incarnation, claimed+1)
 		if newContent {
-			r.Content = r.Incarnation
+			r.ContentIncarnation = r.Incarnation
 		}
 	})
 }
@@ -168,7 +168,7 @@
 // if the table is full and has no tombstone to drop.
 func (m *Members) insert(id wire.NodeID) *member {
 	if len(m.table) >= m.cfg.MaxMembers && !m.expireOldestTombstone() {
-		m.counters.Refused++
+		m.counters.Rejected++
 		return nil
 	}
 	mem := &member{Record: Record{ID: id, State: Left}, roster: -1, gone: -1}
@@ -259,7 +259,7 @@
 	}
 	m.due.expireTombstone = m.clock + tombstoneScanInterval
 	for i := len(m.gone) - 1; i >= 0; i-- {
-		if mem := m.gone[i]; m.clock-mem.stateTime > m.cfg.TombstoneFor {
+		if mem := m.gone[i]; m.clock-mem.stateTime > m.cfg.TombstoneTTL {
 			m.expireTombstone(mem)
 		}
 	}
--- a/membership/config.go
+++ b/membership/config.go
@@ -35,15 +35,15 @@
 	// one rumor. Repair reaches the few members that miss it.
 	RetransmitFactor int
 	// Gossip and indirect probes prefer up to MaxRecent peers that sent a
-	// message within RecentFor. The shell must keep idle connections open a
-	// little longer than RecentFor.
-	RecentFor time.Duration
-	MaxRecent int
+	// message within RecentPeerTTL. The shell must keep idle connections open a
+	// little longer than RecentPeerTTL.
+	RecentPeerTTL time.Duration
+	MaxRecent     int
 
 	// RepairInterval is the time between two repairs with a random peer.
-	// RepairAgain is the time to the next one after a truncated answer.
-	RepairInterval time.Duration
-	RepairAgain    time.Duration
+	// RepairRetryInterval is the time to the next one after a truncated answer.
+	RepairInterval      time.Duration
+	RepairRetryInterval time.Duration
 	// RepairEntries and RepairRecords bound the entries and records in one
 	// answer.
 	RepairEntries int
@@ -55,24 +55,24 @@
 	RepairBurst          int
 
 	// ReconnectInterval is the time between two probes of failed members,
-	// which may only have been cut off. ReconnectFor is how long after its
+	// which may only have been cut off. ReconnectWindow is how long after its
 	// failure a member is probed.
 	ReconnectInterval time.Duration
-	ReconnectFor      time.Duration
-	// TombstoneFor is how long the tombstone of a gone member is kept, so that
+	ReconnectWindow   time.Duration
+	// TombstoneTTL is how long the tombstone of a gone member is kept, so that
 	// late gossip does not add the member again.
-	TombstoneFor time.Duration
+	TombstoneTTL time.Duration
 	// MaxMembers bounds the table, tombstones included.
 	MaxMembers int
 
 	// VerifyPerSecond bounds the extra probes of members that a peer marked
 	// failed or that the shell could not reach.
 	VerifyPerSecond int
-	// MaxStep bounds how far one call moves the clock. Otherwise, after a
+	// MaxClockStep bounds how far one call moves the clock. Otherwise, after a
 	// pause or a clock jump, all timeouts would expire at once and the node
 	// would suspect everybody. It is about half the time of a probe, so that
 	// waiting acks are read before the probe fails.
-	MaxStep time.Duration
+	MaxClockStep time.Duration
 
 	// JoinInterval is the time between two attempts to reach a first peer.
 	// Each attempt dials JoinAddrs addresses.
@@ -80,19 +80,19 @@
 	JoinAddrs    int
 	// MaxSeeds bounds the addresses of possible first peers that are kept.
 	MaxSeeds int
-	// AnnounceWithin is the longest wait of a node without peers before it
+	// MaxAnnounceWait is the longest wait of a node without peers before it
 	// first announces itself in the log. Most nodes wait nearly that long, so
 	// that at a start of all nodes a few announce and the others find those.
-	AnnounceWithin time.Duration
+	MaxAnnounceWait time.Duration
 	// Retention is how long the log keeps records. Seeds announce several
 	// times within it.
 	Retention time.Duration
 	// SeedsPerDataCentre is the number of nodes of each data centre that act
 	// as seeds.
 	SeedsPerDataCentre int
-	// SeedsReadInterval is the time between a seed's reads of the log. Seeds
+	// SeedReadInterval is the time between a seed's reads of the log. Seeds
 	// look for unknown nodes, to merge clusters that formed apart.
-	SeedsReadInterval time.Duration
+	SeedReadInterval time.Duration
 	// AnnounceRecords is the number of addresses in one announcement.
 	AnnounceRecords int
 }
@@ -112,32 +112,32 @@
 		GossipBytes:      1000,
 		PiggybackBytes:   300,
 		RetransmitFactor: 3,
-		RecentFor:        15 * time.Second,
+		RecentPeerTTL:    15 * time.Second,
 		MaxRecent:        48,
 
-		RepairInterval: 30 * time.Second,
-		RepairAgain:    500 * time.Millisecond,
-		RepairEntries:  256,
-		RepairRecords:  180,
+		RepairInterval:      30 * time.Second,
+		RepairRetryInterval: 500 * time.Millisecond,
+		RepairEntries:       256,
+		RepairRecords:       180,
 
 		RepairBytesPerSecond: 4000,
 		RepairBurst:          20000,
 
 		ReconnectInterval: 5 * time.Second,
-		ReconnectFor:      30 * time.Minute,
-		TombstoneFor:      6 * time.Hour,
+		ReconnectWindow:   30 * time.Minute,
+		TombstoneTTL:      6 * time.Hour,
 		MaxMembers:        20000,
 
 		VerifyPerSecond: 4,
-		MaxStep:         time.Second,
+		MaxClockStep:    time.Second,
 
 		JoinInterval:       time.Second,
 		JoinAddrs:          3,
 		MaxSeeds:           64,
-		AnnounceWithin:     4 * time.Second,
+		MaxAnnounceWait:    4 * time.Second,
 		Retention:          time.Hour,
 		SeedsPerDataCentre: 3,
-		SeedsReadInterval:  time.Minute,
+		SeedReadInterval:   time.Minute,
 		AnnounceRecords:    8,
 	}
 }
--- a/membership/dump.go
+++ b/membership/dump.go
@@ -16,25 +16,25 @@
 	Deaths uint64 `json:"deaths"`
 	// Refuted counts the claims about this node that it refuted.
 	Refuted uint64 `json:"refuted"`
-	// Unrefutable counts the claims about this node with the highest valid
+	// ForgedClaims counts the claims about this node with the highest valid
 	// incarnation. They are forged, and only a restart of the node ends them.
-	Unrefutable uint64 `json:"unrefutable"`
+	ForgedClaims uint64 `json:"unrefutable"`
 	// Superseded counts the members marked failed because another process
 	// answered at their address.
 	Superseded uint64 `json:"superseded"`
-	// Refused counts malformed or oversized parts of messages and of the log,
+	// Rejected counts malformed or oversized parts of messages and of the log,
 	// and members beyond MaxMembers.
-	Refused uint64 `json:"refused"`
+	Rejected uint64 `json:"refused"`
 	// Repeated counts the changes that were not newer than the table.
 	Repeated uint64 `json:"repeated"`
-	// Repairs, Reconnects, Contacts and Announcements count what this node
+	// Repairs, Reconnects, SeedDials and Announcements count what this node
 	// started: digest exchanges, probes of failed members, dials of seeds and
 	// appends to the log.
 	Repairs       uint64 `json:"repairs"`
 	Reconnects    uint64 `json:"reconnects"`
-	Contacts      uint64 `json:"contacts"`
+	SeedDials     uint64 `json:"contacts"`
 	Announcements uint64 `json:"announcements"`
-	// Pauses counts the ticks that came later than MaxStep.
+	// Pauses counts the ticks that came later than MaxClockStep.
 	Pauses uint64 `json:"pauses"`
 }
 
@@ -56,13 +56,13 @@
 	States   []StateCount  `json:"states"`
 	Suspects []wire.NodeID `json:"suspects,omitempty"`
 	Draining []wire.NodeID `json:"draining,omitempty"`
-	// Recent is the number of recent peers, News the number of queued rumors,
+	// RecentPeers is the number of recent peers, QueuedRumors the number of queued rumors,
 	// and Clock the sum of the times between calls.
-	Recent   int           `json:"recentPeers"`
-	News     int           `json:"newsQueued"`
-	Penalty  int           `json:"healthPenalty"`
-	Clock    time.Duration `json:"clockNs"`
-	Counters Counters      `json:"counters"`
+	RecentPeers  int           `json:"recentPeers"`
+	QueuedRumors int           `json:"newsQueued"`
+	Penalty      int           `json:"healthPenalty"`
+	Clock        time.Duration `json:"clockNs"`
+	Counters     Counters      `json:"counters"`
 }
 
 // Stats returns the counters.
@@ -72,7 +72,7 @@
 func (m *Members) Dump() Dump {
 	d := Dump{
 		Self: m.self.Record, AddressTaken: m.address.taken, Joining: m.joining,
-		Version: m.version, Recent: len(m.recent), News: m.urgent.count + m.normal.count,
+		Version: m.version, RecentPeers: len(m.recent), QueuedRumors: m.urgent.count + m.normal.count,
 		Penalty: m.penalty, Clock: m.clock, Counters: m.counters,
 	}
 	var counts [stateCount]int
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -34,7 +34,7 @@
 
 // changeSize is an upper bound on the encoded size of the record's Change.
 func changeSize(r *Record) int {
-	return arrayHeaderBytes + idBytes + 2*smallIntBytes + uintSize(r.Incarnation) + uintSize(r.Content)
+	return arrayHeaderBytes + idBytes + 2*smallIntBytes + uintSize(r.Incarnation) + uintSize(r.ContentIncarnation)
 }
 
 // recordSize is an upper bound on the encoded size of the record.
@@ -95,7 +95,7 @@
 	mem.rumor++
 	mem.queued = true
 	r := rumor{subject: mem, seq: mem.rumor}
-	r.full = !mem.State.Gone() && mem.Incarnation == mem.Content
+	r.full = !mem.State.Gone() && mem.Incarnation == mem.ContentIncarnation
 	if mem == m.self || mem.State == Draining || mem.State == Left {
 		m.urgent.push(0, r)
 		return
--- a/membership/join.go
+++ b/membership/join.go
@@ -103,7 +103,7 @@
 
 func (l *logSchedule) init(m *Members) {
 	l.readInterval = firstReadWait
-	l.announceInterval = m.cfg.AnnounceWithin
+	l.announceInterval = m.cfg.MaxAnnounceWait
 	l.nextAnnounce = l.randomAnnounceTime(m)
 	l.nextSeedAnnounce = m.jitter(newSeedWait)
 }
@@ -130,9 +130,9 @@
 // isolated reports whether this node knows no other live member.
 func (m *Members) isolated() bool { return len(m.roster) == 0 }
 
-// WantLog reports whether the shell should read the log now, from which offset
+// NextLogRead reports whether the shell should read the log now, from which offset
 // and how many records.
-func (m *Members) WantLog(now time.Time) (from uint64, limit int, ok bool) {
+func (m *Members) NextLogRead(now time.Time) (from uint64, limit int, ok bool) {
 	m.advance(now)
 	if m.clock < m.log.nextRead {
 		return 0, 0, false
@@ -141,7 +141,7 @@
 	if m.isolated() {
 		m.log.readInterval = min(m.log.readInterval*5/4, maxReadWait)
 	} else {
-		m.log.readInterval = m.cfg.SeedsReadInterval
+		m.log.readInterval = m.cfg.SeedReadInterval
 		if !m.isSeed() {
 			return 0, 0, false
 		}
@@ -152,9 +152,9 @@
 	return m.log.nextOffset, tailRecords, true
 }
 
-// LogPage processes a page that the shell read from the log. The first page
+// ReceiveLogPage processes a page that the shell read from the log. The first page
 // only sets the position to read from.
-func (m *Members) LogPage(now time.Time, page applog.Page) {
+func (m *Members) ReceiveLogPage(now time.Time, page applog.Page) {
 	m.advance(now)
 	l := &m.log
 	if !l.positionKnown {
@@ -179,13 +179,13 @@
 func (m *Members) handleAnnouncement(data []byte) {
 	var a announcement
 	if err := wire.Unmarshal(data, &a); err != nil || len(a.Nodes) > m.cfg.MaxSeeds {
-		m.counters.Refused++
+		m.counters.Rejected++
 		return
 	}
 	before := len(m.seeds.list)
 	for _, h := range a.Nodes {
 		if h.ID.IsZero() || !validAddr(h.Addr) {
-			m.counters.Refused++
+			m.counters.Rejected++
 			continue
 		}
 		if h.ID != m.self.ID && h.Addr != m.self.PeerAddr && m.table[h.ID] == nil {
@@ -245,14 +245,14 @@
 
 // contactAddr sends a repair request to whoever answers at the address.
 func (m *Members) contactAddr(addr string) {
-	m.counters.Contacts++
+	m.counters.SeedDials++
 	m.send(wire.NodeID{}, addr, m.repairRequest())
 }
 
-// WantAnnounce returns the record that the shell should append to the log now,
+// NextAnnouncement returns the record that the shell should append to the log now,
 // if any. An isolated node announces itself; seeds renew their announcements
 // before the log drops them.
-func (m *Members) WantAnnounce(now time.Time) ([]byte, bool) {
+func (m *Members) NextAnnouncement(now time.Time) ([]byte, bool) {
 	m.advance(now)
 	l := &m.log
 	if m.self.State == Left {
--- a/membership/members.go
+++ b/membership/members.go
@@ -61,7 +61,7 @@
 	// gone holds the tombstones.
 	gone []*member
 
-	// clock is the sum of the times between calls, each at most MaxStep.
+	// clock is the sum of the times between calls, each at most MaxClockStep.
 	clock    time.Duration
 	lastTime time.Time
 	started  bool
@@ -129,7 +129,7 @@
 	}
 	self.State = Alive
 	self.Incarnation = max(self.Incarnation, 1)
-	self.Content = self.Incarnation
+	self.ContentIncarnation = self.Incarnation
 	m.self = &member{Record: self, roster: -1, gone: -1}
 	m.table[self.ID] = m.self
 	m.toggleDigest(m.self)
@@ -159,7 +159,7 @@
 	return d*3/4 + m.uniform(d/2)
 }
 
-// advance moves the clock, by at most MaxStep.
+// advance moves the clock, by at most MaxClockStep.
 func (m *Members) advance(now time.Time) {
 	if !m.started {
 		m.started = true
@@ -168,10 +168,10 @@
 	}
 	step := now.Sub(m.lastTime)
 	m.lastTime = now
-	if step > m.cfg.MaxStep {
+	if step > m.cfg.MaxClockStep {
 		m.counters.Pauses++
 		m.handlePause(step)
-		step = m.cfg.MaxStep
+		step = m.cfg.MaxClockStep
 	}
 	if step > 0 {
 		m.clock += step
@@ -182,7 +182,7 @@
 // dropped tombstones that it never received, so it must not report its members
 // as live before it has fetched a peer's table.
 func (m *Members) handlePause(step time.Duration) {
-	if step < m.cfg.TombstoneFor/2 {
+	if step < m.cfg.TombstoneTTL/2 {
 		return
 	}
 	m.startJoin()
@@ -191,14 +191,14 @@
 // startJoin marks the table as incomplete and schedules a repair.
 func (m *Members) startJoin() {
 	m.joining = true
-	m.youngUntil = m.clock + m.cfg.RecentFor
+	m.youngUntil = m.clock + m.cfg.RecentPeerTTL
 	m.repairSoon()
 }
 
 // repairSoon schedules a repair now and further ones at growing intervals.
 func (m *Members) repairSoon() {
-	m.repairWait = m.cfg.RepairAgain
-	m.due.repair = m.clock + m.uniform(m.cfg.RepairAgain)
+	m.repairWait = m.cfg.RepairRetryInterval
+	m.due.repair = m.clock + m.uniform(m.cfg.RepairRetryInterval)
 }
 
 // Tick runs the tasks that are due and returns the messages to send.
@@ -243,7 +243,7 @@
 	mem := m.table[from]
 	if mem == nil {
 		if len(msg.Records) == 0 {
-			reply.Want = append(reply.Want, from)
+			reply.RecordRequests = append(reply.RecordRequests, from)
 		}
 		return
 	}
@@ -284,20 +284,20 @@
 	m.changeSelf(func(r *Record) {
 		if r.Service != service {
 			r.Service = service
-			r.Content = r.Incarnation
+			r.ContentIncarnation = r.Incarnation
 		}
 		r.Ready = backendReady
 	})
 }
 
-// Renew publishes that the local backend server has a new incarnation, so that
+// RenewBackend publishes that the local backend server has a new incarnation, so that
 // other nodes discard what they measured of the previous one.
-func (m *Members) Renew(now time.Time) {
+func (m *Members) RenewBackend(now time.Time) {
 	m.advance(now)
 	if m.self.State != Alive {
 		return
 	}
-	m.changeSelf(func(r *Record) { r.Content = r.Incarnation })
+	m.changeSelf(func(r *Record) { r.ContentIncarnation = r.Incarnation })
 }
 
 // Drain publishes that this node accepts no more work. It returns messages to
--- a/membership/members_test.go
+++ b/membership/members_test.go
@@ -169,7 +169,7 @@
 	r.State = membership.State(rapid.IntRange(0, 6).Draw(f.t, "state"))
 	change := membership.Change{
 		ID: r.ID, State: membership.State(rapid.IntRange(0, 6).Draw(f.t, "claim")),
-		Flags: uint8(rapid.IntRange(0, 3).Draw(f.t, "flags")), Incarnation: r.Incarnation, Content: r.Content,
+		Flags: uint8(rapid.IntRange(0, 3).Draw(f.t, "flags")), Incarnation: r.Incarnation, ContentIncarnation: r.ContentIncarnation,
 	}
 	return membership.Message{
 		Records: []membership.Record{r}, Changes: []membership.Change{change},
--- a/membership/message.go
+++ b/membership/message.go
@@ -11,19 +11,19 @@
 	// Nack answers a ProbeRequest: the relaying node is up but received no ack
 	// from the target.
 	Nack uint64 `cbor:"3,keyasint,omitempty"`
-	// Probe asks for an indirect probe.
-	Probe *ProbeRequest `cbor:"4,keyasint,omitempty"`
+	// IndirectProbe asks for an indirect probe.
+	IndirectProbe *ProbeRequest `cbor:"4,keyasint,omitempty"`
 	// Changes and Records are gossip, or repair if Repair is set.
 	Changes []Change `cbor:"5,keyasint,omitempty"`
 	Records []Record `cbor:"6,keyasint,omitempty"`
-	// Want requests the records of these members.
-	Want []wire.NodeID `cbor:"7,keyasint,omitempty"`
+	// RecordRequests requests the records of these members.
+	RecordRequests []wire.NodeID `cbor:"7,keyasint,omitempty"`
 	// Digest starts a repair: a hash for each bucket of live members.
 	Digest []byte `cbor:"8,keyasint,omitempty"`
 	// Listing answers a Digest.
 	Listing *Listing `cbor:"9,keyasint,omitempty"`
-	// Offer lists members that the receiver lacks or has older records of.
-	Offer []Entry `cbor:"11,keyasint,omitempty"`
+	// Offers lists members that the receiver lacks or has older records of.
+	Offers []Entry `cbor:"11,keyasint,omitempty"`
 	// Repair says that Changes and Records are from the sender's table and may
 	// be old, rather than gossip.
 	Repair bool `cbor:"10,keyasint,omitempty"`
@@ -56,15 +56,15 @@
 }
 
 func (msg *Message) empty() bool {
-	return msg.Ping == 0 && msg.Ack == 0 && msg.Nack == 0 && msg.Probe == nil &&
-		len(msg.Changes) == 0 && len(msg.Records) == 0 && len(msg.Want) == 0 &&
-		len(msg.Digest) == 0 && msg.Listing == nil && len(msg.Offer) == 0
+	return msg.Ping == 0 && msg.Ack == 0 && msg.Nack == 0 && msg.IndirectProbe == nil &&
+		len(msg.Changes) == 0 && len(msg.Records) == 0 && len(msg.RecordRequests) == 0 &&
+		len(msg.Digest) == 0 && msg.Listing == nil && len(msg.Offers) == 0
 }
 
 // Send asks the shell to send Msg to the node To at Addr, over an existing
 // connection or a new one. A zero To means any node that answers at Addr. If a
 // node other than To answers, the shell must not send the message; it calls
-// Answered and Failed.
+// PeerAnswered and PeerUnreachable.
 type Send struct {
 	To   wire.NodeID
 	Addr string
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -175,7 +175,7 @@
 	req := &ProbeRequest{Seq: p.seq, Target: p.target.ID, Addr: p.target.PeerAddr}
 	for _, peer := range m.pickPeers(m.cfg.IndirectProbes, p.target) {
 		p.relaysAsked++
-		m.send(peer.ID, peer.PeerAddr, Message{Probe: req})
+		m.send(peer.ID, peer.PeerAddr, Message{IndirectProbe: req})
 	}
 }
 
@@ -234,12 +234,12 @@
 		reply.Ack = msg.Ping
 		m.piggyback(reply)
 	}
-	req := msg.Probe
+	req := msg.IndirectProbe
 	if req == nil {
 		return
 	}
 	if req.Target.IsZero() || !validAddr(req.Addr) || len(m.relays) >= maxRelays {
-		m.counters.Refused++
+		m.counters.Rejected++
 		return
 	}
 	m.seq++
@@ -324,10 +324,10 @@
 	m.startProbe(d.subject)
 }
 
-// Failed reports that the shell could not reach a member or lost its
+// PeerUnreachable reports that the shell could not reach a member or lost its
 // connection. A direct probe in progress continues with indirect probes at
 // once; otherwise an extra probe is scheduled.
-func (m *Members) Failed(now time.Time, id wire.NodeID) {
+func (m *Members) PeerUnreachable(now time.Time, id wire.NodeID) {
 	m.advance(now)
 	mem := m.table[id]
 	if mem == nil || mem.State.Gone() {
@@ -380,7 +380,7 @@
 			break
 		}
 		c := m.recent[m.rng.IntN(len(m.recent))]
-		if m.clock-c.at <= m.cfg.RecentFor && c.peer.State != Suspect {
+		if m.clock-c.at <= m.cfg.RecentPeerTTL && c.peer.State != Suspect {
 			add(c.peer)
 		}
 	}
@@ -393,11 +393,11 @@
 	return picked
 }
 
-// recentIDs returns the peers that sent a message within RecentFor.
+// recentIDs returns the peers that sent a message within RecentPeerTTL.
 func (m *Members) recentIDs() []wire.NodeID {
 	ids := make([]wire.NodeID, 0, len(m.recent))
 	for _, c := range m.recent {
-		if m.clock-c.at <= m.cfg.RecentFor {
+		if m.clock-c.at <= m.cfg.RecentPeerTTL {
 			ids = append(ids, c.peer.ID)
 		}
 	}
--- a/membership/record.go
+++ b/membership/record.go
@@ -56,20 +56,20 @@
 	// Incarnation orders the records of one member; only the member itself
 	// raises it.
 	Incarnation uint64 `json:"incarnation"`
-	// Content is the incarnation that last changed the service or an address.
+	// ContentIncarnation is the incarnation that last changed the service or an address.
 	// A Change omits those, so it only applies to a record with the same
-	// Content.
-	Content uint64 `json:"content"`
+	// ContentIncarnation.
+	ContentIncarnation uint64 `json:"content"`
 }
 
 // Change is a Record without the fields that seldom change.
 type Change struct {
-	_           struct{} `cbor:",toarray"`
-	ID          wire.NodeID
-	State       State
-	Flags       uint8
-	Incarnation uint64
-	Content     uint64
+	_                  struct{} `cbor:",toarray"`
+	ID                 wire.NodeID
+	State              State
+	Flags              uint8
+	Incarnation        uint64
+	ContentIncarnation uint64
 }
 
 // Bits of Change.Flags.
@@ -89,7 +89,7 @@
 
 // valid reports whether the change is within the limits.
 func (c Change) valid() bool {
-	return !c.ID.IsZero() && c.State < stateCount && c.Content <= c.Incarnation && c.Incarnation <= maxIncarnation
+	return !c.ID.IsZero() && c.State < stateCount && c.ContentIncarnation <= c.Incarnation && c.Incarnation <= maxIncarnation
 }
 
 // valid reports whether a node could have sent the record. Members that are
@@ -98,7 +98,7 @@
 	if r.ID.IsZero() || r.State.Gone() || r.State >= stateCount {
 		return false
 	}
-	if r.Content > r.Incarnation || r.Incarnation > maxIncarnation {
+	if r.ContentIncarnation > r.Incarnation || r.Incarnation > maxIncarnation {
 		return false
 	}
 	if len(r.Service) > maxNameBytes || len(r.DataCentre) > maxNameBytes || len(r.Region) > maxNameBytes {
@@ -128,7 +128,7 @@
 
 // change returns the Change that describes r.
 func (r *Record) change() Change {
-	c := Change{ID: r.ID, State: r.State, Incarnation: r.Incarnation, Content: r.Content}
+	c := Change{ID: r.ID, State: r.State, Incarnation: r.Incarnation, ContentIncarnation: r.ContentIncarnation}
 	if r.Ready {
 		c.Flags |= flagReady
 	}
@@ -143,7 +143,7 @@
 	copy(b[:], r.ID[:])
 	for i := range 8 {
 		b[16+i] = byte(r.Incarnation >> (8 * i))
-		b[24+i] = byte(r.Content >> (8 * i))
+		b[24+i] = byte(r.ContentIncarnation >> (8 * i))
 	}
 	return uint32(xxhash.Sum64(b[:]))
 }
--- a/membership/repair.go
+++ b/membership/repair.go
@@ -100,17 +100,17 @@
 	if msg.Listing != nil {
 		m.handleListing(msg.Listing, reply)
 	}
-	if len(msg.Offer) > 0 {
-		m.handleOffer(msg.Offer, reply)
+	if len(msg.Offers) > 0 {
+		m.handleOffer(msg.Offers, reply)
 	}
-	m.handleRecordRequests(msg.Want, reply)
+	m.handleRecordRequests(msg.RecordRequests, reply)
 }
 
 // handleDigest answers with the buckets that differ. It starts at a random
 // bucket, so that several truncated answers cover the table.
 func (m *Members) handleDigest(digest []byte, reply *Message) {
 	if len(digest) != digestBytes {
-		m.counters.Refused++
+		m.counters.Rejected++
 		return
 	}
 	reply.Repair = true
@@ -185,7 +185,7 @@
 // records that are newer there and offers those that are newer here.
 func (m *Members) handleListing(l *Listing, reply *Message) {
 	if len(l.Buckets) > bucketCount || len(l.Entries) > m.cfg.MaxMembers {
-		m.counters.Refused++
+		m.counters.Rejected++
 		return
 	}
 	listed := make(map[wire.NodeID]bool, len(l.Entries))
@@ -202,7 +202,7 @@
 // requests to the budget.
 func (m *Members) chargeReply(reply *Message) {
 	reply.Repair = true
-	m.budget.spend(entryBytes*(len(reply.Offer)+len(reply.Changes)) + idBytes*len(reply.Want))
+	m.budget.spend(entryBytes*(len(reply.Offers)+len(reply.Changes)) + idBytes*len(reply.RecordRequests))
 }
 
 // compare requests the record if the peer's is newer, sends a change if the
@@ -215,7 +215,7 @@
 	case mem.State.Gone():
 		reply.Changes = append(reply.Changes, mem.change())
 	case e.Incarnation < mem.Incarnation:
-		reply.Offer = append(reply.Offer, mem.entry())
+		reply.Offers = append(reply.Offers, mem.entry())
 	}
 }
 
@@ -228,13 +228,13 @@
 	}
 	for _, rows := range m.byBucket(&chosen) {
 		for _, mem := range rows {
-			if listed[mem.ID] || len(reply.Offer) >= m.cfg.RepairEntries {
+			if listed[mem.ID] || len(reply.Offers) >= m.cfg.RepairEntries {
 				continue
 			}
 			if m.joining && mem != m.self {
 				continue
 			}
-			reply.Offer = append(reply.Offer, mem.entry())
+			reply.Offers = append(reply.Offers, mem.entry())
 		}
 	}
 }
@@ -242,13 +242,13 @@
 // handleOffer requests the offered records that are newer than this node's.
 func (m *Members) handleOffer(offer []Entry, reply *Message) {
 	if len(offer) > m.cfg.MaxMembers {
-		m.counters.Refused++
+		m.counters.Rejected++
 		return
 	}
 	for _, e := range offer {
 		m.compare(e, reply)
 	}
-	reply.Offer = nil
+	reply.Offers = nil
 	m.chargeReply(reply)
 }
 
@@ -256,7 +256,7 @@
 // otherwise ends the join.
 func (m *Members) finishRepair(l *Listing) {
 	if l.More {
-		m.due.repair = m.clock + m.jitter(m.cfg.RepairAgain)
+		m.due.repair = m.clock + m.jitter(m.cfg.RepairRetryInterval)
 		return
 	}
 	m.joining = false
@@ -265,7 +265,7 @@
 // handleRecordRequests sends the requested records, within the budget.
 func (m *Members) handleRecordRequests(ids []wire.NodeID, reply *Message) {
 	if len(ids) > m.cfg.MaxMembers {
-		m.counters.Refused++
+		m.counters.Rejected++
 		return
 	}
 	if len(ids) == 0 || !m.budget.allow(m) {
@@ -313,5 +313,5 @@
 // that no other process uses.
 func (m *Members) shouldReconnect(mem *member) bool {
 	return mem.State == Dead && !mem.superseded && mem.PeerAddr != "" &&
-		m.clock-mem.stateTime < m.cfg.ReconnectFor
+		m.clock-mem.stateTime < m.cfg.ReconnectWindow
 }
--- a/membership/scenario_test.go
+++ b/membership/scenario_test.go
@@ -182,12 +182,12 @@
 	now := time.Unix(0, 0)
 	for i := range 100 {
 		id := wire.NodeID{2, byte(i)}
-		rec := membership.Record{ID: id, PeerAddr: "10.0.0.2:1", Service: "s", Ready: true, Incarnation: 1, Content: 1}
+		rec := membership.Record{ID: id, PeerAddr: "10.0.0.2:1", Service: "s", Ready: true, Incarnation: 1, ContentIncarnation: 1}
 		m.Receive(now, id, membership.Message{Records: []membership.Record{rec}})
 	}
 	is.Equal(len(m.View()), 10)
 	is.Equal(len(m.OfService("s")), 9)
-	is.Equal(m.Stats().Refused, uint64(91))
+	is.Equal(m.Stats().Rejected, uint64(91))
 }
 
 // Guards against messages above the byte limits: the size estimates must be
@@ -197,17 +197,17 @@
 	rec := membership.Record{
 		ID: wire.NewNodeID(), Service: "service-000", DataCentre: "joensuu-hall", Region: "fi-east",
 		PeerAddr: "10.200.200.200:7400", OpsAddr: "10.200.200.200:7401", CallerAddr: "10.200.200.200:7402",
-		Incarnation: 70000, Content: 70000,
+		Incarnation: 70000, ContentIncarnation: 70000,
 	}
 	full, err := wire.Marshal(rec)
 	is.NoErr(err)
 	is.True(len(full) <= membership.RecordSize(&rec))
-	change, err := wire.Marshal(membership.Change{ID: rec.ID, Incarnation: 70000, Content: 70000})
+	change, err := wire.Marshal(membership.Change{ID: rec.ID, Incarnation: 70000, ContentIncarnation: 70000})
 	is.NoErr(err)
 	is.True(len(change) <= membership.ChangeSize(&rec))
 }
 
-// A node that was paused for longer than ReconnectFor must serve callers again
+// A node that was paused for longer than ReconnectWindow must serve callers again
 // within seconds: its first peer reports that it is marked failed.
 func TestPausedNodeRejoinsWithinSeconds(t *testing.T) {
 	is := is.New(t)
@@ -216,7 +216,7 @@
 	s.Run(20 * time.Second)
 	paused := fleet[7]
 	s.Freeze(paused)
-	s.Run(membership.DefaultConfig().ReconnectFor + 5*time.Minute)
+	s.Run(membership.DefaultConfig().ReconnectWindow + 5*time.Minute)
 	is.Equal(routingNodes(s, paused), 0)
 	s.Thaw(paused)
 	took, ok := s.RunUntil(time.Minute, 100*time.Millisecond, s.Converged)
@@ -252,16 +252,16 @@
 	return m, now
 }
 
-var other = membership.Record{ID: wire.NodeID{2}, Service: "old", PeerAddr: "10.0.0.2:1", Ready: true, Incarnation: 1, Content: 1}
+var other = membership.Record{ID: wire.NodeID{2}, Service: "old", PeerAddr: "10.0.0.2:1", Ready: true, Incarnation: 1, ContentIncarnation: 1}
 
 // A change that refers to unknown content must make the node request the
 // record; otherwise it would keep routing calls for the member's old service.
 func TestChangeOfUnknownContentRequestsRecord(t *testing.T) {
 	is := is.New(t)
 	m, now := newKnowing(other)
-	change := membership.Change{ID: other.ID, Incarnation: 3, Content: 2}
+	change := membership.Change{ID: other.ID, Incarnation: 3, ContentIncarnation: 2}
 	sends := m.Receive(now, other.ID, membership.Message{Changes: []membership.Change{change}})
-	is.Equal(sends[0].Msg.Want, []wire.NodeID{other.ID})
+	is.Equal(sends[0].Msg.RecordRequests, []wire.NodeID{other.ID})
 	r, _ := m.Lookup(other.ID)
 	is.Equal(r.Incarnation, uint64(1))
 }
@@ -274,11 +274,11 @@
 	listing := membership.Message{Listing: &membership.Listing{Buckets: []byte{other.ID[0]}}}
 	m.Receive(now, other.ID, listing) // ends the join
 	sends := m.Receive(now, other.ID, listing)
-	is.Equal(sends[0].Msg.Offer[0].ID, other.ID)
+	is.Equal(sends[0].Msg.Offers[0].ID, other.ID)
 	now = now.Add(4 * time.Hour)
 	listing.Listing.More = true
 	for _, send := range m.Receive(now, other.ID, listing) {
-		is.Equal(len(send.Msg.Offer), 0)
+		is.Equal(len(send.Msg.Offers), 0)
 	}
 }
 
@@ -307,7 +307,7 @@
 func TestSenderMarkedFailedReceivesClaim(t *testing.T) {
 	is := is.New(t)
 	m, now := newKnowing(other)
-	dead := membership.Change{ID: other.ID, State: membership.Dead, Incarnation: 1, Content: 1}
+	dead := membership.Change{ID: other.ID, State: membership.Dead, Incarnation: 1, ContentIncarnation: 1}
 	m.Receive(now, wire.NodeID{3}, membership.Message{Changes: []membership.Change{dead}})
 	var reply membership.Message
 	for ping := range uint64(20) { // until the rumor of its failure is no longer sent
--- a/node/forward.go
+++ b/node/forward.go
@@ -127,7 +127,7 @@
 	p.Reach = n.routing.servicesReached(p.Operation)
 	out := n.dispatch.Call(ctx, p)
 	if out.Verdict == verdict.Ran {
-		n.routing.recordReach(time.Now(), p.Operation, call.Names(out.Used))
+		n.routing.recordReach(time.Now(), p.Operation, call.Names(out.SlotTimeUsed))
 	}
 	return out
 }
@@ -151,7 +151,7 @@
 		p.Deadline = parent.task.Deadline
 	}
 	out := n.callForRun(ctx, parent, p)
-	if n.routing.recordCallReach(time.Now(), p.Operation.Service, call.Names(out.Used)) {
+	if n.routing.recordCallReach(time.Now(), p.Operation.Service, call.Names(out.SlotTimeUsed)) {
 		n.dispatch.SetForwarded(n.routing.servicesCalled(n.cfg.Service))
 	}
 	return out
--- a/node/fuzz_test.go
+++ b/node/fuzz_test.go
@@ -93,22 +93,22 @@
 			Budget: time.Second, Grant: 2, Key: key, Body: []byte("x"), Header: []call.Field{{Name: "A", Value: "b"}}}}
 	}
 	gone := membership.Change{ID: asNode, State: membership.Dead, Incarnation: 9}
-	listed := membership.Record{ID: wire.NodeID{7}, Service: "fieldlog", PeerAddr: testnode.Nowhere, Ready: true, Incarnation: 1, Content: 1}
+	listed := membership.Record{ID: wire.NodeID{7}, Service: "fieldlog", PeerAddr: testnode.Nowhere, Ready: true, Incarnation: 1, ContentIncarnation: 1}
 	return [][]message{
 		{c(1, ""), {wire.KindCancel, call.Cancel{From: asPeer, Seq: 1}}, c(1, "")},
 		{{wire.KindCancel, call.Cancel{From: asPeer, Seq: 2}}, c(2, ""), c(3, "own"), c(4, "own"), c(5, key), c(6, key)},
 		{{wire.KindReply, call.Reply{From: asPeer, Seq: 1, Verdict: verdict.Ran, Status: 200, ConfigVersion: 1 << 40}}},
 		{{wire.KindMembership, membership.Message{Ping: 1, Records: []membership.Record{listed}, Changes: []membership.Change{gone}}}},
-		{{wire.KindMembership, membership.Message{Digest: make([]byte, 1024), Want: []wire.NodeID{asNode, asPeer}}},
-			{wire.KindMembership, membership.Message{Listing: &membership.Listing{Buckets: []byte{0}}, Offer: []membership.Entry{{ID: asPeer}},
-				Probe: &membership.ProbeRequest{Seq: 1, Target: wire.NodeID{7}, Addr: testnode.Nowhere}}}},
+		{{wire.KindMembership, membership.Message{Digest: make([]byte, 1024), RecordRequests: []wire.NodeID{asNode, asPeer}}},
+			{wire.KindMembership, membership.Message{Listing: &membership.Listing{Buckets: []byte{0}}, Offers: []membership.Entry{{ID: asPeer}},
+				IndirectProbe: &membership.ProbeRequest{Seq: 1, Target: wire.NodeID{7}, Addr: testnode.Nowhere}}}},
 		{{wire.KindConfig, config.Message{}}, {wire.KindConfig, config.Message{AsOf: 9, Sum: 1,
 			Update: &config.Update{To: 9, Version: 9, Sections: []config.Section{{Service: "fieldlog"}}}, Push: &config.Push{}}}},
 		{{wire.KindQuotaAsk, map[int]any{1: 1, 2: [][]any{{"w", 0, uint32(1 << 31), 5}}, 3: true}}},
 		{{wire.KindQuotaAnswer, map[int]any{1: 1, 2: [][]any{{"w", 1, 0, false}}, 4: [][]any{{asPeer, 9, []int{-1, 1 << 40}}}, 5: 1 << 40, 6: 1, 7: true}}},
 		{{wire.KindQuotaClaim, []any{asPeer, 9, []int{-1, 1 << 40}}}},
 		{{wire.KindPoison, poison.Notice{State: poison.Suspect, Fingerprints: []uint64{1, 2}, TTL: time.Second}},
-			{wire.KindPoison, poison.Notice{State: poison.Convicted, Fingerprints: []uint64{1}, TTL: time.Second}}, c(7, "")},
+			{wire.KindPoison, poison.Notice{State: poison.Quarantined, Fingerprints: []uint64{1}, TTL: time.Second}}, c(7, "")},
 		{{wire.KindLevels, levelsMessage{LevelGossip: []call.LevelNews{{Service: "fieldlog", Priority: 65535}, {Service: "other", Priority: 1, AgeMillis: 65535}}}}, c(8, "")},
 		{{wire.KindMint, struct{}{}}, {wire.KindMinted, struct{}{}}, {wire.KindHello, 1}, {99, 1}},
 	}
@@ -207,11 +207,11 @@
 	for i := range m.Changes {
 		h.replaceIDs(&m.Changes[i].ID)
 	}
-	for i := range m.Want {
-		h.replaceIDs(&m.Want[i])
+	for i := range m.RecordRequests {
+		h.replaceIDs(&m.RecordRequests[i])
 	}
-	if m.Probe != nil && m.Probe.Addr != "" {
-		m.Probe.Addr = testnode.Nowhere
+	if m.IndirectProbe != nil && m.IndirectProbe.Addr != "" {
+		m.IndirectProbe.Addr = testnode.Nowhere
 	}
 }
 
@@ -240,10 +240,10 @@
 	i := startFuzzedNode(f)
 	for _, r := range []call.Reply{
 		{Verdict: verdict.Ran, Status: 200, Body: []byte("x"), Header: []call.Field{{Name: "A", Value: "b"}, {Name: "Content-Length", Value: "9"}}},
-		{Verdict: verdict.Ran, Status: 204, Body: []byte("x"), Unused: 1 << 31, Levels: []call.Level{{Service: "stationlog", Priority: 1}}},
+		{Verdict: verdict.Ran, Status: 204, Body: []byte("x"), UnusedGrant: 1 << 31, Levels: []call.Level{{Service: "stationlog", Priority: 1}}},
 		{Verdict: verdict.Ran, Status: 101, Header: []call.Field{{Name: "A\r\nB", Value: "c\r\nD: e"}}},
 		{Verdict: verdict.NotRun, Reason: verdict.KeyNotBound, BoundTo: asPeer, RetryAfter: -1},
-		{Verdict: verdict.NotRun, Reason: verdict.Shed, RetryAfter: 1<<63 - 1, KeyHeld: 1<<63 - 1},
+		{Verdict: verdict.NotRun, Reason: verdict.Shed, RetryAfter: 1<<63 - 1, KeySafeFor: 1<<63 - 1},
 		{Verdict: verdict.MayHaveRun, Reason: "a\r\nb", Detail: "\xff"},
 	} {
 		body, err := wire.Marshal(r)
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -49,9 +49,9 @@
 	n.log.Warn().Str("instance", start.ID).Int64("born", start.Born).
 		Str("before", before.ID).Int64("before_born", before.Born).Msg("backend server was restarted")
 	n.backend.CloseIdle()
-	n.serve(func(now time.Time, s *serve.Server) serve.Effects { return s.Restarted(now) })
+	n.serve(func(now time.Time, s *serve.Server) serve.Effects { return s.BackendRestarted(now) })
 	now := time.Now()
-	n.members.with(func(m *membership.Members) { m.Renew(now) })
+	n.members.with(func(m *membership.Members) { m.RenewBackend(now) })
 }
 
 // stateName returns the announced state that an instance is in.
--- a/node/hostile_test.go
+++ b/node/hostile_test.go
@@ -173,8 +173,8 @@
 		var table membership.Message
 		for range 3 * bound {
 			table.Records = append(table.Records, membership.Record{ID: wire.NewNodeID(), Service: wire.NewNodeID().Short(),
-				PeerAddr: testnode.Nowhere, Incarnation: 1, Content: 1})
-			table.Want = append(table.Want, wire.NewNodeID())
+				PeerAddr: testnode.Nowhere, Incarnation: 1, ContentIncarnation: 1})
+			table.RecordRequests = append(table.RecordRequests, wire.NewNodeID())
 		}
 		is.NoErr(p.Send(wire.KindMembership, table))
 		is.NoErr(p.Sync())
--- a/node/links.go
+++ b/node/links.go
@@ -39,7 +39,7 @@
 	c, err := n.peers.Connect(ctx, id, rec.PeerAddr)
 	if err != nil {
 		now := time.Now()
-		n.members.with(func(m *membership.Members) { m.Failed(now, id) })
+		n.members.with(func(m *membership.Members) { m.PeerUnreachable(now, id) })
 	}
 	return c, err
 }
--- a/node/loops.go
+++ b/node/loops.go
@@ -75,8 +75,8 @@
 	})
 }
 
-// Meet adds addresses at which other nodes may be reached.
-func (n *Node) Meet(addrs []string) { n.members.addSeeds(addrs) }
+// AddSeeds adds addresses at which other nodes may be reached.
+func (n *Node) AddSeeds(addrs []string) { n.members.addSeeds(addrs) }
 
 // Listed sets the addresses of the fleet by data centre, as a node finds them when it
 // restarts at one of them. The node then asks the first of each data centre for quota
@@ -99,10 +99,10 @@
 // when either is due.
 func (n *Node) tickMemberLog(now time.Time) {
 	n.members.with(func(m *membership.Members) {
-		if from, limit, ok := m.WantLog(now); ok {
+		if from, limit, ok := m.NextLogRead(now); ok {
 			n.background(func() { n.readMembers(from, limit) })
 		}
-		if data, ok := m.WantAnnounce(now); ok {
+		if data, ok := m.NextAnnouncement(now); ok {
 			n.background(func() { n.announce(data) })
 		}
 	})
@@ -118,7 +118,7 @@
 		return
 	}
 	now := time.Now()
-	n.members.with(func(m *membership.Members) { m.LogPage(now, page) })
+	n.members.with(func(m *membership.Members) { m.ReceiveLogPage(now, page) })
 }
 
 // announce appends this node's record to the membership stream.
@@ -224,8 +224,8 @@
 // tickBindings writes and reads bindings in the log, when either is due.
 func (n *Node) tickBindings(now time.Time) {
 	n.server.mu.Lock()
-	data, write := n.server.serve.WantBindings(now)
-	from, read := n.server.serve.WantPage(now)
+	data, write := n.server.serve.NextBindingRecord(now)
+	from, read := n.server.serve.NextBindingOffset(now)
 	n.server.mu.Unlock()
 	if write {
 		n.background(func() { n.appendBindings(data) })
@@ -258,7 +258,7 @@
 	n.serve(func(now time.Time, s *serve.Server) serve.Effects {
 		if err != nil {
 			n.counts.LogFailures.Add(1)
-			s.PageFailed(now)
+			s.BindingReadFailed(now)
 			return serve.Effects{}
 		}
 		return s.Page(now, from, page)
@@ -277,7 +277,7 @@
 // handleNotice receives another node's notice about suspects.
 func (n *Node) handleNotice(notice poison.Notice) {
 	n.server.mu.Lock()
-	toForward := n.server.serve.Hear(time.Now(), notice)
+	toForward := n.server.serve.ReceiveNotice(time.Now(), notice)
 	n.server.mu.Unlock()
 	for _, next := range toForward {
 		n.forwardNotice(next)
@@ -302,7 +302,7 @@
 		return
 	}
 	n.server.mu.Lock()
-	notices := n.server.serve.Gossip(now, maxGossipNotices)
+	notices := n.server.serve.NoticesToGossip(now, maxGossipNotices)
 	n.server.mu.Unlock()
 	for _, notice := range notices {
 		n.outbox.sendToMember(id, wire.KindPoison, notice)
--- a/node/node.go
+++ b/node/node.go
@@ -79,7 +79,7 @@
 	Backend    backend.Config
 	Entry      entry.Config
 	Explain    explain.Config
-	// Directory is set if the addresses of peers come through Meet. Otherwise
+	// Directory is set if the addresses of peers come through AddSeeds. Otherwise
 	// the node reads them from a stream of the log.
 	Directory bool
 	// Quota limits the requests of workspaces; without parts there is no limit.
--- a/node/peers.go
+++ b/node/peers.go
@@ -31,7 +31,7 @@
 	}
 	now := time.Now()
 	if c.Dialed() != "" {
-		n.members.with(func(m *membership.Members) { m.Answered(now, c.Dialed(), c.Peer().ID) })
+		n.members.with(func(m *membership.Members) { m.PeerAnswered(now, c.Dialed(), c.Peer().ID) })
 		return
 	}
 	// A node that dials is up, even if the log does not list it yet.
@@ -52,11 +52,11 @@
 	n.counts.PeerStalls.Add(1)
 	n.dispatch.Unreachable(c.Peer().ID)
 	now := time.Now()
-	n.members.with(func(m *membership.Members) { m.Failed(now, c.Peer().ID) })
+	n.members.with(func(m *membership.Members) { m.PeerUnreachable(now, c.Peer().ID) })
 }
 
-// Busy implements transport.Handler.
-func (h *peerHandler) Busy(id wire.NodeID) bool {
+// OwesReply implements transport.Handler.
+func (h *peerHandler) OwesReply(id wire.NodeID) bool {
 	return (*Node)(h).server.owesReply(id)
 }
 
--- a/node/post.go
+++ b/node/post.go
@@ -129,9 +129,9 @@
 	now := time.Now()
 	o.n.members.with(func(ms *membership.Members) {
 		if m.to.IsZero() {
-			ms.FailedAddr(now, m.addr)
+			ms.AddrUnreachable(now, m.addr)
 			return
 		}
-		ms.Failed(now, m.to)
+		ms.PeerUnreachable(now, m.to)
 	})
 }
--- a/node/roster.go
+++ b/node/roster.go
@@ -22,7 +22,7 @@
 	version    uint64 // of the membership that the view was made from
 	changes    uint64 // increases with each new view of the service
 	candidates []balancer.Candidate
-	// contents holds the Content of each candidate's record, in the order of candidates.
+	// contents holds the ContentIncarnation of each candidate's record, in the order of candidates.
 	contents []uint64
 }
 
@@ -66,7 +66,7 @@
 	now := time.Now()
 	for _, rec := range r.members.OfService(service) {
 		v.candidates = append(v.candidates, newCandidate(rec, old, now))
-		v.contents = append(v.contents, rec.Content)
+		v.contents = append(v.contents, rec.ContentIncarnation)
 	}
 	if old != nil {
 		v.changes = old.changes + 1
@@ -83,7 +83,7 @@
 		return c
 	}
 	for i, known := range old.candidates {
-		if known.ID == rec.ID && old.contents[i] == rec.Content {
+		if known.ID == rec.ID && old.contents[i] == rec.ContentIncarnation {
 			return known
 		}
 	}
--- a/node/run.go
+++ b/node/run.go
@@ -23,7 +23,7 @@
 	for _, notice := range e.Notices {
 		n.broadcastNotice(notice)
 	}
-	for _, tell := range e.Tell {
+	for _, tell := range e.DirectNotices {
 		for _, notice := range tell.Notices {
 			n.outbox.sendToMember(tell.To, wire.KindPoison, notice)
 		}
@@ -89,19 +89,19 @@
 func (n *Node) result(r *run, res backend.Result, callMayHaveRun bool) serve.Result {
 	callUse, callsFailed := n.server.callUse(r)
 	result := serve.Result{
-		Verdict:     res.Verdict,
-		Reason:      res.Reason,
-		Detail:      res.Detail,
-		RetryAfter:  res.RetryAfter,
-		Status:      res.Status,
-		Header:      res.Header,
-		Body:        res.Body,
-		Latency:     res.Latency,
-		Crashed:     res.Crashed,
-		Offered:     res.Offered,
-		Used:        callUse,
-		CallsFailed: callsFailed,
-		Unused:      n.dispatch.CloseLedger(r.ledger),
+		Verdict:        res.Verdict,
+		Reason:         res.Reason,
+		Detail:         res.Detail,
+		RetryAfter:     res.RetryAfter,
+		Status:         res.Status,
+		Header:         res.Header,
+		Body:           res.Body,
+		Latency:        res.Latency,
+		Crashed:        res.Crashed,
+		ReachedBackend: res.ReachedBackend,
+		SlotTimeUsed:   callUse,
+		CallsFailed:    callsFailed,
+		UnusedGrant:    n.dispatch.CloseLedger(r.ledger),
 	}
 	// If a call made for the task may have run, the request as a whole may have
 	// run, even if the backend server declined the task itself.
--- a/node/server.go
+++ b/node/server.go
@@ -67,9 +67,9 @@
 func (s *server) do(f func(*serve.Server) serve.Effects) (serve.Effects, []*run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	hadWaiting := s.serve.Waiting()
+	hadWaiting := s.serve.HasWaiting()
 	e := f(s.serve)
-	if !hadWaiting && s.serve.Waiting() {
+	if !hadWaiting && s.serve.HasWaiting() {
 		select {
 		case s.taskWaiting <- struct{}{}:
 		default: // already signalled
@@ -134,7 +134,7 @@
 func (s *server) waiting() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.serve.Waiting()
+	return s.serve.HasWaiting()
 }
 
 // addCallUse adds the slot time that a call made by a run took, at its service and at the
@@ -167,7 +167,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.calls += change
-	s.serve.Calling(now, r.task.ID, change)
+	s.serve.OutgoingCallsChanged(now, r.task.ID, change)
 }
 
 // noteCallMayHaveRun records that a call made by a run may have run.
@@ -181,7 +181,7 @@
 func (s *server) owesReply(id wire.NodeID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.serve.Owes(id)
+	return s.serve.OwesReply(id)
 }
 
 // level returns the admission level of the service, zero if all is admitted.
@@ -202,7 +202,7 @@
 func (s *server) tasks() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.serve.Tasks()
+	return s.serve.TaskCount()
 }
 
 func (s *server) dump(now time.Time) serve.Dump {
--- a/once/binder.go
+++ b/once/binder.go
@@ -11,7 +11,7 @@
 	// failuresUntilDown is the number of consecutive append failures after which new
 	// keys are refused at once until the next attempt.
 	failuresUntilDown = 2
-	// ownMarginDivisor is the divisor of HeldFor for the margin by which a binding ends
+	// ownMarginDivisor is the divisor of BindingTTL for the margin by which a binding ends
 	// earlier at its own node. With different clock rates it must not end later
 	// there than at other nodes.
 	ownMarginDivisor = 8
@@ -40,10 +40,10 @@
 	Key    string
 	State  BindState
 	Holder wire.NodeID
-	// Held is how long a resend is safe, for BoundHere. A request that has not
+	// SafeFor is how long a resend is safe, for BoundHere. A request that has not
 	// started by then must be abandoned, because another node may bind the key.
-	Held time.Duration
-	Err  *verdict.Error
+	SafeFor time.Duration
+	Err     *verdict.Error
 }
 
 // Binder binds caller-made keys to incarnations by the order of records in the log
@@ -53,13 +53,13 @@
 // the key, if no earlier record names another holder. Two nodes never both run it:
 // the node of the later record has read the earlier one first.
 //
-// At every other node a record is valid for HeldFor from the time it is read. At its
+// At every other node a record is valid for BindingTTL from the time it is read. At its
 // own node it is valid for a shorter time, counted from the start of the append. The
-// log keeps records for at least HeldFor. A node that has forgotten a record, or
+// log keeps records for at least BindingTTL. A node that has forgotten a record, or
 // that started after the log dropped it, can therefore bind the key again only after
 // the first holder has stopped running it. For the same reason a node that lags by
 // more than the retention may continue at the oldest record. This requires that the
-// rates of clocks agree within 5% and that HeldFor is shorter than the retention on
+// rates of clocks agree within 5% and that BindingTTL is shorter than the retention on
 // each clock.
 //
 // An append whose answer is lost may take effect, even later. It is repeated with
@@ -182,7 +182,7 @@
 		return r, true
 	}
 	r.State = BoundHere
-	r.Held = c.validUntil - age
+	r.SafeFor = c.validUntil - age
 	return r, true
 }
 
--- a/once/bindlog.go
+++ b/once/bindlog.go
@@ -142,9 +142,9 @@
 // validUntil returns the age of this incarnation at which the record ends.
 func (b *Binder) validUntil(age time.Duration, r bindRecord) time.Duration {
 	if r.Node == b.self {
-		return r.Age + b.cfg.HeldFor - b.cfg.HeldFor/ownMarginDivisor
+		return r.Age + b.cfg.BindingTTL - b.cfg.BindingTTL/ownMarginDivisor
 	}
-	return age + b.cfg.HeldFor
+	return age + b.cfg.BindingTTL
 }
 
 // resolve appends the Resolution of a waiting key to out if it has a claim now.
--- a/once/keys.go
+++ b/once/keys.go
@@ -35,9 +35,9 @@
 	Answer A
 	// Err is set for Refuse.
 	Err *verdict.Error
-	// Held is how long a resend with a minted key is safe. For a caller-made
-	// key see Resolution.Held.
-	Held time.Duration
+	// SafeFor is how long a resend with a minted key is safe. For a caller-made
+	// key see Resolution.SafeFor.
+	SafeFor time.Duration
 }
 
 // Keys tracks the used keys of one incarnation. A is the type of a stored answer, W
@@ -121,7 +121,7 @@
 	if err != nil {
 		return refuse[A](verdict.Refuse(verdict.KeyInvalid, "%v", err))
 	}
-	expires := age + k.cfg.HeldFor
+	expires := age + k.cfg.BindingTTL
 	if info.Minted {
 		expires = info.Expires
 	}
@@ -134,7 +134,7 @@
 	}
 	u := &usedKey[A, W]{key: key, minted: info.Minted, fingerprint: fingerprint, running: true, expires: expires}
 	k.used[key] = u
-	return Decision[A]{Action: Run, Held: u.safeFor(age)}
+	return Decision[A]{Action: Run, SafeFor: u.safeFor(age)}
 }
 
 // resend decides about a resend with a used key. Different content with the same key
@@ -150,13 +150,13 @@
 			return u.refuse(verdict.Duplicate, "too many resends wait for the running request")
 		}
 		u.waiters = append(u.waiters, waiter)
-		return Decision[A]{Action: Join, Held: u.safeFor(age)}
+		return Decision[A]{Action: Join, SafeFor: u.safeFor(age)}
 	}
 	if u.stored == nil {
 		return u.refuse(verdict.AnswerDropped, "the answer is no longer stored")
 	}
 	answer := u.stored.Value.(stored[A, W]).answer
-	return Decision[A]{Action: Replay, Answer: answer, Held: u.safeFor(age)}
+	return Decision[A]{Action: Replay, Answer: answer, SafeFor: u.safeFor(age)}
 }
 
 // Finish ends a run that was handed to the backend server and returns the requests
@@ -216,7 +216,7 @@
 	if u.minted {
 		return
 	}
-	u.expires = max(u.expires, age+k.cfg.HeldFor)
+	u.expires = max(u.expires, age+k.cfg.BindingTTL)
 	if !u.running {
 		heap.Fix(&k.ended, u.index)
 	}
--- a/once/keys_test.go
+++ b/once/keys_test.go
@@ -130,11 +130,11 @@
 		return b.Page(now, offset-1, applog.Page{Records: []applog.Record{{Offset: offset - 1, Data: data}}, Next: offset})
 	}
 	fold(epoch, wire.NodeID{1}, "1", "2", "3", "4", "5", "6", "7", "8")
-	now := epoch.Add(cfg.HeldFor - cfg.PendingFor/2)
+	now := epoch.Add(cfg.BindingTTL - cfg.PendingFor/2)
 	is.Equal(b.Bind(now, "key").State, Pending)
 	is.Equal(b.Bind(now, "1").State, BoundTo)
 	is.Equal(len(fold(now, wire.NodeID{2}, "9", "10", "key")), 0)
-	now = epoch.Add(cfg.HeldFor)
+	now = epoch.Add(cfg.BindingTTL)
 	got := fold(now, self, "key")
 	is.Equal(len(got), 1)
 	is.Equal(got[0].State, Refused)
--- a/once/mint.go
+++ b/once/mint.go
@@ -133,7 +133,7 @@
 		return verdict.Refuse(verdict.KeyInvalid, "%v", err)
 	}
 	if !info.Minted || info.Holder != m.self {
-		return verdict.Doubt(verdict.KeyHolderGone, "key is not held by node %s", m.self.Short())
+		return verdict.MayHaveRunError(verdict.KeyHolderGone, "key is not held by node %s", m.self.Short())
 	}
 	raw, err := decodeKey(key)
 	if err != nil {
@@ -161,5 +161,5 @@
 }
 
 func expiredError() *verdict.Error {
-	return verdict.Doubt(verdict.KeyExpired, "key has expired; it may have been used")
+	return verdict.MayHaveRunError(verdict.KeyExpired, "key has expired; it may have been used")
 }
--- a/once/naive_test.go
+++ b/once/naive_test.go
@@ -48,7 +48,7 @@
 type localCache struct{ *Binder }
 
 func (l localCache) Bind(_ time.Time, key string) Resolution {
-	return Resolution{Key: key, State: BoundHere, Held: l.cfg.HeldFor}
+	return Resolution{Key: key, State: BoundHere, SafeFor: l.cfg.BindingTTL}
 }
 
 // lastWins binds a key to the node of its latest record instead of the first.
@@ -86,7 +86,7 @@
 	}
 	r.State, r.Holder = BoundTo, last.holder
 	if last.holder == l.self {
-		r.State, r.Held = BoundHere, last.validUntil-l.clock.latest
+		r.State, r.SafeFor = BoundHere, last.validUntil-l.clock.latest
 	}
 }
 
@@ -116,7 +116,7 @@
 		return Resolution{Key: key, State: BoundTo, Holder: held.holder}
 	}
 	held.until = now.Add(leaseTTL)
-	return Resolution{Key: key, State: BoundHere, Held: l.cfg.HeldFor}
+	return Resolution{Key: key, State: BoundHere, SafeFor: l.cfg.BindingTTL}
 }
 
 func naiveVersions() []naiveVersion {
--- a/once/once.go
+++ b/once/once.go
@@ -20,7 +20,7 @@
 //
 // The guarantee is limited in time. For a minted key it holds until the expiry set
 // by its holder, for a caller-made key until its binding ends; the holder's answer
-// states how long that is (7/8 of HeldFor at most). After that the same key is new.
+// states how long that is (7/8 of BindingTTL at most). After that the same key is new.
 // Without a key every resend is a new request.
 //
 // NotRun applies to the answered attempt only. An earlier attempt with the same key
@@ -45,10 +45,10 @@
 	// KeyTTL is the lifetime of a minted key. It should cover a caller that
 	// fetches keys ahead and resends during an outage.
 	KeyTTL time.Duration
-	// HeldFor is how long the binding of a caller-made key is kept. It must be
+	// BindingTTL is how long the binding of a caller-made key is kept. It must be
 	// at most 95% of the retention of the log: a node that starts can't read a
 	// record that the log has dropped.
-	HeldFor time.Duration
+	BindingTTL time.Duration
 	// MaxKeys is the maximum number of used keys of this incarnation. New keys
 	// are refused while that many are unexpired.
 	MaxKeys int
@@ -86,7 +86,7 @@
 func DefaultConfig() Config {
 	return Config{
 		MaxSenders: 4096, MaxFloors: 32768,
-		KeyTTL: 10 * time.Minute, HeldFor: 30 * time.Minute,
+		KeyTTL: 10 * time.Minute, BindingTTL: 30 * time.Minute,
 		MaxKeys: 50_000, MaxAnswerBytes: 4 << 20, MaxJoined: 16,
 		MaxBindings: 50_000, MaxPending: 4096,
 		BatchEvery: 20 * time.Millisecond, MaxBatch: 256,
@@ -114,7 +114,7 @@
 		name  string
 		value time.Duration
 	}{
-		{"key lifetime", c.KeyTTL}, {"binding lifetime", c.HeldFor}, {"batch interval", c.BatchEvery},
+		{"key lifetime", c.KeyTTL}, {"binding lifetime", c.BindingTTL}, {"batch interval", c.BatchEvery},
 		{"pending limit", c.PendingFor}, {"retry interval", c.RetryEvery},
 		{"read interval", c.ReadEvery},
 	}
--- a/once/world_test.go
+++ b/once/world_test.go
@@ -129,7 +129,7 @@
 func newWorld(naive naiveVersion, choose func(n int) int) *world {
 	w := &world{choose: choose, naive: naive, now: epoch, fewKeys: choose(2) == 1}
 	w.cfg = Config{
-		MaxSenders: 1 + choose(4), MaxFloors: 1000, KeyTTL: 8 * time.Second, HeldFor: 10 * time.Second,
+		MaxSenders: 1 + choose(4), MaxFloors: 1000, KeyTTL: 8 * time.Second, BindingTTL: 10 * time.Second,
 		MaxKeys: 20 - choose(18), MaxAnswerBytes: 10 - choose(10), MaxJoined: 2,
 		MaxBindings: 40 - choose(38), MaxPending: 10, BatchEvery: 20 * time.Millisecond, MaxBatch: 2,
 		PendingFor: 2 * time.Second, RetryEvery: 250 * time.Millisecond, ReadEvery: 2 * time.Second,
@@ -242,7 +242,7 @@
 	case Pending:
 		n.parked[r.Key] = append(n.parked[r.Key], a)
 	case BoundHere:
-		a.heldUntil = n.w.now.Add(time.Duration(float64(r.Held) / n.rate))
+		a.heldUntil = n.w.now.Add(time.Duration(float64(r.SafeFor) / n.rate))
 		n.begin(a)
 	case BoundTo:
 		n.reply(a, result{verdict: verdict.NotRun, redirect: r.Holder})
--- a/poison/cluster_test.go
+++ b/poison/cluster_test.go
@@ -18,7 +18,7 @@
 	Crashed(now time.Time, inFlight []uint64, isolated bool) []Notice
 	Receive(now time.Time, n Notice) []Notice
 	NoticeFor(now time.Time, fp uint64) []Notice
-	Gossip(now time.Time, limit int) []Notice
+	NoticesToGossip(now time.Time, limit int) []Notice
 }
 
 // member is a node with its backend server, which restarts at once after a crash.
@@ -200,7 +200,7 @@
 func (c *cluster) gossipToAll() {
 	for range 2 {
 		for _, m := range c.nodes {
-			c.broadcast(m, m.Gossip(c.now, 1000))
+			c.broadcast(m, m.NoticesToGossip(c.now, 1000))
 		}
 		c.deliverAll()
 	}
--- a/poison/gossip.go
+++ b/poison/gossip.go
@@ -70,7 +70,7 @@
 // bound the damage of forged notices. Forged clearings count as suspects do: each
 // can cause at most one more crash.
 func (g *Guard) allowFromPeer(now time.Time, s State) bool {
-	if s != Convicted {
+	if s != Quarantined {
 		return g.suspectRate.allow(now)
 	}
 	return g.table.quarantined < g.cfg.MaxQuarantined && g.quarantineRate.allow(now)
@@ -88,16 +88,16 @@
 }
 
 func (g *Guard) maxTTL(s State) time.Duration {
-	if s == Convicted {
+	if s == Quarantined {
 		return g.cfg.QuarantineFor
 	}
 	return g.cfg.SuspectFor
 }
 
-// Gossip returns notices with up to limit fingerprints for one peer, the least
+// NoticesToGossip returns notices with up to limit fingerprints for one peer, the least
 // recently sent ones first. Sent periodically to a random peer, they replace lost
 // notices and update nodes that started later. Receivers don't forward them.
-func (g *Guard) Gossip(now time.Time, limit int) []Notice {
+func (g *Guard) NoticesToGossip(now time.Time, limit int) []Notice {
 	var notices []Notice
 	for range min(limit, g.table.order.Len()) {
 		el := g.table.order.Front()
--- a/poison/guard.go
+++ b/poison/guard.go
@@ -83,7 +83,7 @@
 	switch e.state {
 	case Suspect:
 		return Isolated
-	case Convicted:
+	case Quarantined:
 		g.counters.Refused++
 		return Refuse
 	default:
@@ -190,8 +190,8 @@
 func (g *Guard) quarantine(now time.Time, e *entry) Notice {
 	e.addCrashed(g.self)
 	e.origin = g.self
-	g.table.set(e, Convicted, e.generation, now.Add(g.cfg.QuarantineFor))
-	g.counters.Convicted++
+	g.table.set(e, Quarantined, e.generation, now.Add(g.cfg.QuarantineFor))
+	g.counters.Quarantined++
 	return g.notice(now, e)
 }
 
@@ -202,7 +202,7 @@
 	if e == nil {
 		e = g.insert(now, fp)
 	}
-	if e == nil || e.state == Convicted {
+	if e == nil || e.state == Quarantined {
 		return nil
 	}
 	generation := e.generation
@@ -236,7 +236,7 @@
 	Suspected    uint64 `json:"suspected"`
 	IsolatedRuns uint64 `json:"ran_alone"`
 	Cleared      uint64 `json:"cleared"`
-	Convicted    uint64 `json:"convicted"`
+	Quarantined  uint64 `json:"convicted"`
 	Refused      uint64 `json:"refused"`
 	// FromPeers counts states of fingerprints accepted from peers.
 	FromPeers uint64 `json:"learned"`
@@ -262,11 +262,11 @@
 
 // Dump is a snapshot of a Guard for operators.
 type Dump struct {
-	Entries   int      `json:"entries"`
-	Convicted int      `json:"convicted"`
-	Occupied  bool     `json:"occupied"`
-	Latest    []Entry  `json:"latest"`
-	Counters  Counters `json:"counters"`
+	Entries     int      `json:"entries"`
+	Quarantined int      `json:"convicted"`
+	Occupied    bool     `json:"occupied"`
+	Latest      []Entry  `json:"latest"`
+	Counters    Counters `json:"counters"`
 }
 
 // maxDumped is the maximum number of entries in a Dump.
@@ -275,10 +275,10 @@
 // Dump returns a snapshot of the state, with the latest entries.
 func (g *Guard) Dump(now time.Time) Dump {
 	d := Dump{
-		Entries:   len(g.table.entries),
-		Convicted: g.table.quarantined,
-		Occupied:  g.occupied,
-		Counters:  g.counters,
+		Entries:     len(g.table.entries),
+		Quarantined: g.table.quarantined,
+		Occupied:    g.occupied,
+		Counters:    g.counters,
 	}
 	for el := g.table.order.Back(); el != nil && len(d.Latest) < maxDumped; el = el.Prev() {
 		e := el.Value.(*entry)
--- a/poison/guard_test.go
+++ b/poison/guard_test.go
@@ -188,7 +188,7 @@
 	err := g.Refusal(c.now, 1)
 	is.Equal(err.Verdict, verdict.NotRun)
 	is.Equal(err.RetryAfter, DefaultConfig().QuarantineFor)
-	old := c.nodes[0].Gossip(c.now, 10)
+	old := c.nodes[0].NoticesToGossip(c.now, 10)
 	c.now = c.now.Add(time.Minute)
 	is.Equal(len(g.Receive(c.now, old[0])), 0)
 	is.Equal(g.Refusal(c.now, 1).RetryAfter, DefaultConfig().QuarantineFor-time.Minute)
@@ -211,7 +211,7 @@
 	}
 	d := g.Dump(now)
 	is.True(d.Entries <= cfg.MaxEntries)
-	is.True(d.Convicted <= int(cfg.QuarantineBurst+now.Sub(start).Seconds()*cfg.QuarantineRate))
+	is.True(d.Quarantined <= int(cfg.QuarantineBurst+now.Sub(start).Seconds()*cfg.QuarantineRate))
 	is.True(d.Counters.Invalid > 0 && d.Counters.Limited > 0)
 	for i := range uint64(cfg.MaxEntries) {
 		g.Crashed(now, []uint64{1 << 40, 1<<41 + i}, false)
--- a/poison/notice.go
+++ b/poison/notice.go
@@ -17,9 +17,9 @@
 	Suspect
 	// Cleared is the state of a former suspect that has finished.
 	Cleared
-	// Convicted is the state of a quarantined fingerprint: it crashed another
+	// Quarantined is the state of a quarantined fingerprint: it crashed another
 	// backend server in its isolated run.
-	Convicted
+	Quarantined
 )
 
 var stateNames = [...]string{"unknown", "suspect", "cleared", "convicted"}
@@ -65,7 +65,7 @@
 
 // valid reports whether all values are within the ranges that a Guard sends.
 func (n *Notice) valid(cfg *Config) bool {
-	return n.State >= Suspect && n.State <= Convicted &&
+	return n.State >= Suspect && n.State <= Quarantined &&
 		n.Generation <= maxGeneration &&
 		len(n.Crashed) <= maxCrashed &&
 		len(n.Fingerprints) <= cfg.MaxPerCrash &&
--- a/poison/table.go
+++ b/poison/table.go
@@ -23,8 +23,8 @@
 // entry. Nothing overrides a quarantine before it expires, because it follows from
 // a crash with nothing else in flight.
 func (e *entry) overriddenBy(state State, generation uint8) bool {
-	if e.state == Convicted || state == Convicted {
-		return e.state != Convicted
+	if e.state == Quarantined || state == Quarantined {
+		return e.state != Quarantined
 	}
 	if generation != e.generation {
 		return generation > e.generation
@@ -88,10 +88,10 @@
 }
 
 func (t *table) set(e *entry, state State, generation uint8, until time.Time) {
-	if e.state == Convicted {
+	if e.state == Quarantined {
 		t.quarantined--
 	}
-	if state == Convicted {
+	if state == Quarantined {
 		t.quarantined++
 	}
 	e.state, e.generation, e.until = state, generation, until
@@ -99,7 +99,7 @@
 }
 
 func (t *table) remove(e *entry) {
-	if e.state == Convicted {
+	if e.state == Quarantined {
 		t.quarantined--
 	}
 	t.order.Remove(e.element)
@@ -125,7 +125,7 @@
 // was one.
 func (t *table) evict() bool {
 	for el := t.order.Front(); el != nil; el = el.Next() {
-		if e := el.Value.(*entry); e.state != Convicted {
+		if e := el.Value.(*entry); e.state != Quarantined {
 			t.remove(e)
 			return true
 		}
--- a/serve/config.go
+++ b/serve/config.go
@@ -42,11 +42,11 @@
 	// the node fills. Some backend servers slow down when nearly all slots
 	// are in use.
 	SlotShare float64
-	// TellOnly publishes the admission level without enforcing it here: only
+	// PublishLevelOnly publishes the admission level without enforcing it here: only
 	// the nodes at which requests enter shed by it. Attempts that arrive here
 	// belong to requests already under way, whose finished work a refusal
 	// would waste. The limits of the queue still apply.
-	TellOnly bool
+	PublishLevelOnly bool
 	// Seed seeds the jitter of Retry-After.
 	Seed uint64
 	// Policy disables parts of the overload control in experiments.
--- a/serve/faults_test.go
+++ b/serve/faults_test.go
@@ -17,7 +17,7 @@
 	failedCall = Result{Verdict: verdict.Ran, Status: 500, CallsFailed: true}
 	noAnswer   = Result{Verdict: verdict.MayHaveRun, Reason: verdict.Deadline}
 	reset      = Result{Verdict: verdict.MayHaveRun, Reason: verdict.Lost}
-	full       = Result{Verdict: verdict.NotRun, Reason: verdict.Shed, Offered: true}
+	full       = Result{Verdict: verdict.NotRun, Reason: verdict.Shed, ReachedBackend: true}
 	gaveUp     = Result{Verdict: verdict.MayHaveRun, Reason: verdict.Canceled}
 )
 
--- a/serve/key.go
+++ b/serve/key.go
@@ -63,7 +63,7 @@
 	case once.Pending:
 		s.parkPending(t, e)
 	case once.BoundHere:
-		t.heldUntil = now.Add(r.Held)
+		t.heldUntil = now.Add(r.SafeFor)
 		// When the binding ends, the key may be bound to another node, which
 		// would run the action again. The task must not start after that.
 		if t.heldUntil.Before(t.Deadline) {
@@ -89,9 +89,9 @@
 	size := len(t.Request.Body)
 	switch {
 	case len(waiting) > s.cfg.Once.MaxJoined:
-		s.reply(e, s.refusal(t.Request, verdict.Doubt(verdict.Duplicate, "too many copies wait for the key's binding")))
+		s.reply(e, s.refusal(t.Request, verdict.MayHaveRunError(verdict.Duplicate, "too many copies wait for the key's binding")))
 	case s.parkedBytes+size > maxParkedBytes && len(waiting) > 0:
-		s.reply(e, s.refusal(t.Request, verdict.Doubt(verdict.Shed, "too many bytes wait for key bindings").After(s.cfg.RefuseRetryAfter)))
+		s.reply(e, s.refusal(t.Request, verdict.MayHaveRunError(verdict.Shed, "too many bytes wait for key bindings").After(s.cfg.RefuseRetryAfter)))
 	case s.parkedBytes+size > maxParkedBytes:
 		s.reply(e, s.refusal(t.Request, verdict.Refuse(verdict.Shed, "too many bytes wait for key bindings").After(s.cfg.RefuseRetryAfter)))
 	default:
@@ -104,8 +104,8 @@
 // replays the stored answer, or refuses it.
 func (s *Server) beginKeyed(now time.Time, t *Task, e *Effects) {
 	d := s.keys.Begin(now, t.Request.Key, t.Request.Fingerprint, recipientOf(&t.Request))
-	if d.Held > 0 && t.heldUntil.IsZero() {
-		t.heldUntil = now.Add(d.Held)
+	if d.SafeFor > 0 && t.heldUntil.IsZero() {
+		t.heldUntil = now.Add(d.SafeFor)
 	}
 	switch d.Action {
 	case once.Run:
@@ -115,7 +115,7 @@
 	case once.Replay:
 		s.counts.Replayed++
 		reply := s.resultReply(now, recipientOf(&t.Request), d.Answer)
-		reply.Unused = t.Request.Grant
+		reply.UnusedGrant = t.Request.Grant
 		s.reply(e, reply)
 	default:
 		s.reply(e, s.refusal(t.Request, d.Err))
@@ -150,9 +150,9 @@
 	return s.mint.Mint(now, s.cfg.Service, operation), s.cfg.Once.KeyTTL, nil
 }
 
-// WantBindings returns the next record to append to the log of bindings, if there
+// NextBindingRecord returns the next record to append to the log of bindings, if there
 // is one. The node must report the outcome by BindingsAppended or BindingsFailed.
-func (s *Server) WantBindings(now time.Time) ([]byte, bool) { return s.binder.NextAppend(now) }
+func (s *Server) NextBindingRecord(now time.Time) ([]byte, bool) { return s.binder.NextAppend(now) }
 
 // BindingsAppended handles a successful append.
 func (s *Server) BindingsAppended(now time.Time) { s.binder.Appended(now) }
@@ -160,12 +160,12 @@
 // BindingsFailed handles an append that failed or whose outcome is unknown.
 func (s *Server) BindingsFailed(now time.Time) { s.binder.AppendFailed(now) }
 
-// WantPage returns the offset to read the log of bindings from, if a read is due.
-// The node must report the outcome by Page or PageFailed.
-func (s *Server) WantPage(now time.Time) (uint64, bool) { return s.binder.NextRead(now) }
+// NextBindingOffset returns the offset to read the log of bindings from, if a read is due.
+// The node must report the outcome by Page or BindingReadFailed.
+func (s *Server) NextBindingOffset(now time.Time) (uint64, bool) { return s.binder.NextRead(now) }
 
-// PageFailed handles a failed read.
-func (s *Server) PageFailed(now time.Time) { s.binder.ReadFailed(now) }
+// BindingReadFailed handles a failed read.
+func (s *Server) BindingReadFailed(now time.Time) { s.binder.ReadFailed(now) }
 
 // Page applies the result of a read of the log from the given offset.
 func (s *Server) Page(now time.Time, from uint64, page applog.Page) Effects {
--- a/serve/machine_test.go
+++ b/serve/machine_test.go
@@ -165,7 +165,7 @@
 	for _, notice := range e.Notices {
 		for i, s := range m.servers {
 			if i != n {
-				s.Hear(m.now, notice)
+				s.ReceiveNotice(m.now, notice)
 			}
 		}
 	}
@@ -223,7 +223,7 @@
 // outage both fail; with lost the append succeeds and its answer is lost.
 func (m *machine) bind(n int, outage, lost bool) error {
 	s := m.servers[n]
-	if data, ok := s.WantBindings(m.now); ok {
+	if data, ok := s.NextBindingRecord(m.now); ok {
 		if !outage {
 			m.log = append(m.log, applog.Record{Offset: uint64(len(m.log)), Data: data})
 		}
@@ -233,12 +233,12 @@
 			s.BindingsAppended(m.now)
 		}
 	}
-	from, ok := s.WantPage(m.now)
+	from, ok := s.NextBindingOffset(m.now)
 	if !ok {
 		return nil
 	}
 	if outage {
-		s.PageFailed(m.now)
+		s.BindingReadFailed(m.now)
 		return nil
 	}
 	page := applog.Page{Next: uint64(len(m.log))}
--- a/serve/prove_test.go
+++ b/serve/prove_test.go
@@ -249,13 +249,13 @@
 	m.send(m.newAction(), 0, "", importance.Normal)
 	is.NoErr(m.deliver(0))
 	a := m.send(m.newAction(), 0, "own", importance.Normal)
-	m.inTransit[1].Budget = 2 * once.DefaultConfig().HeldFor
+	m.inTransit[1].Budget = 2 * once.DefaultConfig().BindingTTL
 	is.NoErr(m.deliver(1))
 	is.NoErr(m.bind(0, false, false))
 	is.NoErr(m.bind(0, false, false))
 	is.Equal(m.servers[0].queue.Len(), 1)
 
-	is.NoErr(m.tick(once.DefaultConfig().HeldFor + time.Second))
+	is.NoErr(m.tick(once.DefaultConfig().BindingTTL + time.Second))
 
 	is.Equal(a.verdict, verdict.NotRun)
 	is.Equal(m.oracle.runs[a.action], 0)
--- a/serve/reply.go
+++ b/serve/reply.go
@@ -28,7 +28,7 @@
 		s.reply(e, s.resultReply(now, w, a))
 	}
 	own := s.resultReply(now, recipientOf(&t.Request), a)
-	own.Unused = r.Unused
+	own.UnusedGrant = r.UnusedGrant
 	s.reply(e, own)
 }
 
@@ -70,10 +70,10 @@
 	reply.Status = a.result.Status
 	reply.Header = a.result.Header
 	reply.Body = a.result.Body
-	reply.Offered = a.result.Offered
-	reply.Used = a.result.Used
+	reply.ReachedBackend = a.result.ReachedBackend
+	reply.SlotTimeUsed = a.result.SlotTimeUsed
 	reply.RanFor = a.result.Latency
-	reply.KeyHeld = a.safeFor(now)
+	reply.KeySafeFor = a.safeFor(now)
 	return reply
 }
 
@@ -89,7 +89,7 @@
 	reply.Reason = err.Reason
 	reply.Detail = err.Detail
 	reply.RetryAfter = err.RetryAfter
-	reply.Unused = unused
+	reply.UnusedGrant = unused
 	return reply
 }
 
@@ -105,8 +105,8 @@
 	}
 }
 
-// Owes reports whether an attempt from the node id waits for its answer here.
-func (s *Server) Owes(id wire.NodeID) bool {
+// OwesReply reports whether an attempt from the node id waits for its answer here.
+func (s *Server) OwesReply(id wire.NodeID) bool {
 	return s.pendingReplies[id] > 0
 }
 
--- a/serve/run.go
+++ b/serve/run.go
@@ -76,7 +76,7 @@
 			return false
 		}
 		s.removeTask(t)
-		e.Tell = append(e.Tell, Tell{To: node, Notices: s.guard.NoticeFor(now, fp)})
+		e.DirectNotices = append(e.DirectNotices, DirectNotices{To: node, Notices: s.guard.NoticeFor(now, fp)})
 		s.redirect(t, verdict.Refuse(verdict.Poison, "isolated run at another node"), node, e)
 		return true
 	default:
@@ -143,10 +143,10 @@
 	e.Start = append(e.Start, t)
 }
 
-// Calling records that a running task began (change 1) or ended (change -1) an
+// OutgoingCallsChanged records that a running task began (change 1) or ended (change -1) an
 // outgoing call. The time in which it waits for outgoing calls does not count as
 // latency of the backend server.
-func (s *Server) Calling(now time.Time, id uint64, change int) {
+func (s *Server) OutgoingCallsChanged(now time.Time, id uint64, change int) {
 	t, ok := s.running[id]
 	if !ok {
 		return
@@ -171,7 +171,7 @@
 		return e
 	}
 	if t.openCalls > 0 {
-		s.Calling(now, id, -t.openCalls)
+		s.OutgoingCallsChanged(now, id, -t.openCalls)
 	}
 	if r.Crashed {
 		s.crash(now, &e)
@@ -218,9 +218,9 @@
 	}
 }
 
-// Restarted handles the announcement of a new process of the backend server.
+// BackendRestarted handles the announcement of a new process of the backend server.
 // Tasks that still ran at the old process are treated as lost in a crash.
-func (s *Server) Restarted(now time.Time) Effects {
+func (s *Server) BackendRestarted(now time.Time) Effects {
 	var e Effects
 	s.faults = faults{}
 	if len(s.running) > 0 {
@@ -248,14 +248,14 @@
 	s.refuseWaiting(now, verdict.NoBackend, e)
 }
 
-// Hear applies a notice about suspects from another node and returns the notices
+// ReceiveNotice applies a notice about suspects from another node and returns the notices
 // to forward.
-func (s *Server) Hear(now time.Time, n poison.Notice) []poison.Notice {
+func (s *Server) ReceiveNotice(now time.Time, n poison.Notice) []poison.Notice {
 	return s.guard.Receive(now, n)
 }
 
-// Gossip returns at most limit fingerfingerprints, as notices to repeat to one other
+// NoticesToGossip returns at most limit fingerprints, as notices to repeat to one other
 // node of the service.
-func (s *Server) Gossip(now time.Time, limit int) []poison.Notice {
-	return s.guard.Gossip(now, limit)
+func (s *Server) NoticesToGossip(now time.Time, limit int) []poison.Notice {
+	return s.guard.NoticesToGossip(now, limit)
 }
--- a/serve/server.go
+++ b/serve/server.go
@@ -109,13 +109,13 @@
 	return e
 }
 
-// Tasks returns the number of tasks that wait or run, plus the number of keys
+// TaskCount returns the number of tasks that wait or run, plus the number of keys
 // whose requests wait for a binding.
-func (s *Server) Tasks() int { return len(s.tasks) + len(s.parked) }
+func (s *Server) TaskCount() int { return len(s.tasks) + len(s.parked) }
 
-// Waiting reports whether a task waits in the queue, for the binding of its key
+// HasWaiting reports whether a task waits in the queue, for the binding of its key
 // or for an isolated run, so that Tick must be called.
-func (s *Server) Waiting() bool {
+func (s *Server) HasWaiting() bool {
 	return s.queue.Len() > 0 || len(s.parked) > 0 || s.isolated != nil && s.running[s.isolated.ID] == nil
 }
 
@@ -221,7 +221,7 @@
 // the estimate may be wrong, and refusing the task would waste the work done for
 // the request.
 func (s *Server) expectedRunTime(t *Task) time.Duration {
-	if s.cfg.TellOnly && s.queue.Len() == 0 && s.hasFreeSlot() {
+	if s.cfg.PublishLevelOnly && s.queue.Len() == 0 && s.hasFreeSlot() {
 		return 0
 	}
 	return s.limit.ExpectedRunTime(t.class)
@@ -231,7 +231,7 @@
 // only entry nodes shed, the reason is Shed: another node may have a free slot.
 func (s *Server) expiryRefusal() *verdict.Error {
 	const detail = "would expire in the queue"
-	if s.cfg.TellOnly {
+	if s.cfg.PublishLevelOnly {
 		return verdict.Refuse(verdict.Shed, detail)
 	}
 	return verdict.Refuse(verdict.Deadline, detail)
@@ -248,7 +248,7 @@
 	case s.guard.Check(now, t.Request.Fingerprint) == poison.Refuse:
 		s.counts.Poison++
 		return s.guard.Refusal(now, t.Request.Fingerprint)
-	case !s.gate.Admit(now, t.priority, t.Request.AdmittedLevel(s.cfg.Service)) && !s.cfg.TellOnly:
+	case !s.gate.Admit(now, t.priority, t.Request.AdmittedLevel(s.cfg.Service)) && !s.cfg.PublishLevelOnly:
 		s.counts.Shed++
 		return s.shedError(now)
 	}
@@ -298,10 +298,10 @@
 }
 
 // Tick refuses waiting tasks that have expired or are below the admission level.
-// The node calls it every few milliseconds while Waiting holds.
+// The node calls it every few milliseconds while HasWaiting holds.
 func (s *Server) Tick(now time.Time) Effects {
 	var e Effects
-	if s.cfg.Policy == PolicyFull && !s.cfg.TellOnly {
+	if s.cfg.Policy == PolicyFull && !s.cfg.PublishLevelOnly {
 		for _, item := range s.queue.Shed(s.gate.OwnLevel(now)) {
 			s.shed(now, item.Value, &e)
 		}
--- a/serve/slots_test.go
+++ b/serve/slots_test.go
@@ -16,7 +16,7 @@
 )
 
 // callee is a Server whose backend server states its slots and which only publishes the
-// admission level (Config.TellOnly).
+// admission level (Config.PublishLevelOnly).
 type callee struct {
 	*Server
 	now time.Time
@@ -28,7 +28,7 @@
 	cfg := DefaultConfig()
 	cfg.Self = wire.NodeID{1}
 	cfg.Service = "s"
-	cfg.TellOnly = true
+	cfg.PublishLevelOnly = true
 	cfg.Queue.MinItems, cfg.Queue.MaxWait = 64, time.Second
 	start := time.Unix(1000, 0)
 	c := &callee{Server: New(cfg, [once.SecretLen]byte{}, start), now: start, op: graph.Standalone(graph.Operation{Service: "s", Name: "o"})}
@@ -77,9 +77,9 @@
 	is.Equal(c.Dump(c.now).Concurrency, 1) // at least one
 }
 
-// With TellOnly an overloaded node must publish its admission level without enforcing it.
+// With PublishLevelOnly an overloaded node must publish its admission level without enforcing it.
 // A request that would expire in the queue is refused at once for another node to serve.
-func TestTellOnlyPublishesLevelWithoutEnforcing(t *testing.T) {
+func TestPublishLevelOnlyPublishesLevelWithoutEnforcing(t *testing.T) {
 	is := is.New(t)
 	c := newCallee(2)
 	var running []*Task
@@ -98,7 +98,7 @@
 			if r.Reason == verdict.Shed {
 				refused++
 				is.Equal(r.Verdict, verdict.NotRun)
-				is.True(!r.Offered)
+				is.True(!r.ReachedBackend)
 			}
 		}
 	}
--- a/serve/task.go
+++ b/serve/task.go
@@ -75,22 +75,22 @@
 	// Crashed reports that the backend server's process ended while it ran
 	// the task.
 	Crashed bool
-	// Offered reports, for a request that did not run, that it had reached
+	// ReachedBackend reports, for a request that did not run, that it had reached
 	// the backend server.
-	Offered bool
+	ReachedBackend bool
 	// CallsFailed reports that an outgoing call of the task failed, which may
 	// have caused a failure answered by the backend server.
 	CallsFailed bool
-	// Used is the slot time that the calls made for the task used at each
+	// SlotTimeUsed is the slot time that the calls made for the task used at each
 	// service that they reached.
-	Used []call.Use
-	// Unused is the unused part of the request's grant of extra attempts.
-	Unused uint32
+	SlotTimeUsed []call.Use
+	// UnusedGrant is the unused part of the request's grant of extra attempts.
+	UnusedGrant uint32
 }
 
-// Tell lists notices that one other node of the service must receive before a
+// DirectNotices lists notices that one other node of the service must receive before a
 // redirected request arrives there.
-type Tell struct {
+type DirectNotices struct {
 	To      wire.NodeID
 	Notices []poison.Notice
 }
@@ -99,8 +99,8 @@
 // the fields.
 type Effects struct {
 	// Notices go to all nodes of the service.
-	Notices []poison.Notice
-	Tell    []Tell
+	Notices       []poison.Notice
+	DirectNotices []DirectNotices
 	// Stop lists the IDs of running tasks to cancel.
 	Stop []uint64
 	// Start lists the tasks to hand to the backend server now.
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -31,9 +31,9 @@
 	// Stalled is called when nothing new goes out by a connection because its
 	// peer gives no sign that calls come through.
 	Stalled(c *Conn)
-	// Busy reports whether the peer waits for something: its connection is
+	// OwesReply reports whether the peer waits for something: its connection is
 	// not closed as idle.
-	Busy(id wire.NodeID) bool
+	OwesReply(id wire.NodeID) bool
 }
 
 // Transport keeps the connections of one node.
@@ -400,7 +400,7 @@
 
 func (t *Transport) closeIdle(now time.Time) {
 	for _, c := range t.idle(now) {
-		if !t.handler.Busy(c.peer.ID) {
+		if !t.handler.OwesReply(c.peer.ID) {
 			c.Close()
 		}
 	}
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -36,10 +36,10 @@
 	f.Body = slices.Clone(f.Body)
 	r.frames <- f
 }
-func (r *recorder) Up(c *Conn)            { r.up <- c.Peer().ID }
-func (r *recorder) Busy(wire.NodeID) bool { return false }
-func (r *recorder) Stalled(*Conn)         {}
-func (r *recorder) Down(c *Conn)          { r.down <- c.Peer().ID }
+func (r *recorder) Up(c *Conn)                 { r.up <- c.Peer().ID }
+func (r *recorder) OwesReply(wire.NodeID) bool { return false }
+func (r *recorder) Stalled(*Conn)              {}
+func (r *recorder) Down(c *Conn)               { r.down <- c.Peer().ID }
 
 type peer struct {
 	*Transport
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -74,8 +74,8 @@
 	return &Error{Verdict: NotRun, Reason: reason, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Doubt returns an error that claims nothing about the request.
-func Doubt(reason Reason, format string, args ...any) *Error {
+// MayHaveRunError returns an error that claims nothing about the request.
+func MayHaveRunError(reason Reason, format string, args ...any) *Error {
 	return &Error{Verdict: MayHaveRun, Reason: reason, Detail: fmt.Sprintf(format, args...)}
 }
 
