--- a/config/fold.go
+++ b/config/apply.go
@@ -83,7 +83,7 @@
 // readers with and without one agree, and it serves as a base like a
 // checkpoint.
 func (f replayer) replacement(offset uint64, p *Publication) *State {
-	if p.ReadTo != offset {
+	if p.ReadOffset != offset {
 		return nil
 	}
 	next := &State{asOf: offset + 1, version: offset + 1, floor: offset + 1, checkpoint: offset}
@@ -125,26 +125,26 @@
 }
 
 func (s *State) newSection(p *Publication, c SectionChange) Section {
-	return Section{Service: c.Service, Text: c.Text, Version: s.asOf, By: p.ID, Operator: p.Operator}
+	return Section{Service: c.Service, Text: c.Text, Version: s.asOf, PublicationID: p.ID, Operator: p.Operator}
 }
 
 // conflict returns why the publication conflicts with s, the state at its
 // record, or an empty string. It compares the offset and the section versions
 // that the writer had read.
 func (s *State) conflict(p *Publication) string {
-	if p.ReadTo > s.asOf || p.ReadTo < s.floor || s.asOf-p.ReadTo > retainedRecords {
-		return fmt.Sprintf("the writer had read to offset %d, too far from the record at %d", p.ReadTo, s.asOf)
+	if p.ReadOffset > s.asOf || p.ReadOffset < s.floor || s.asOf-p.ReadOffset > retainedRecords {
+		return fmt.Sprintf("the writer had read to offset %d, too far from the record at %d", p.ReadOffset, s.asOf)
 	}
 	for _, c := range p.Sections {
 		current, ok := s.Section(c.Service)
-		if current.Version == c.Base {
+		if current.Version == c.BaseVersion {
 			continue
 		}
 		if !ok {
-			return fmt.Sprintf("section %s does not exist (any more); the change was made on version %d", c.Service, c.Base)
+			return fmt.Sprintf("section %s does not exist (any more); the change was made on version %d", c.Service, c.BaseVersion)
 		}
 		return fmt.Sprintf("section %s is at version %d, published by %q as %s; the change was made on version %d",
-			c.Service, current.Version, current.Operator, current.By, c.Base)
+			c.Service, current.Version, current.Operator, current.PublicationID, c.BaseVersion)
 	}
 	return ""
 }
--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -11,7 +11,7 @@
 // state.
 func BenchmarkNode(b *testing.B) {
 	w := designWorld()
-	s, peer := w.nodes[0].member.(*Spread), w.nodes[1].id
+	s, peer := w.nodes[0].member.(*Distributor), w.nodes[1].id
 	before := s.State()
 	w.timeToApply(0, allNodes)
 	update := s.offer()
@@ -31,7 +31,7 @@
 	}
 	run("members", func() { s.SetMembers(members) })
 	run("tick", func() { w.now = w.now.Add(tickMillis * 1e6); s.Tick(w.now) })
-	run("seen", func() { s.SawVersion(w.now, peer, 1) })
+	run("seen", func() { s.ReceiveOffset(w.now, peer, 1) })
 	run("update", func() { s.follower.install(before); s.Receive(w.now, peer, update) })
 	run("whole", func() { _, _ = wire.Marshal(whole) })
 	data, _ := wire.Marshal(whole)
--- a/config/checkpoint.go
+++ b/config/checkpoint.go
@@ -17,7 +17,7 @@
 // the stream call it; concurrent appends by two readers are harmless. Without
 // checkpoints the log would trim accepted sections, and a starting node that
 // finds no peer could not judge any publication.
-func (s *Spread) checkpoint(a *Actions) {
+func (s *Distributor) checkpoint(a *Actions) {
 	st, now := s.State(), s.clock.elapsed
 	if st.version == 0 {
 		return
@@ -31,12 +31,12 @@
 		return
 	}
 	if r.due == never {
-		r.due = now + s.jitter(s.cfg.CheckpointSpread)
+		r.due = now + s.jitter(s.cfg.CheckpointJitter)
 	}
 	if now < r.due {
 		return
 	}
-	r.due = now + s.cfg.CheckpointSpread + s.jitter(s.cfg.CheckpointSpread)
+	r.due = now + s.cfg.CheckpointJitter + s.jitter(s.cfg.CheckpointJitter)
 	data, err := wire.Marshal(record{Checkpoint: st.updateSince(0)})
 	if err != nil {
 		return // unreachable: the types can be encoded
@@ -45,7 +45,7 @@
 	s.counters.Checkpoints++
 }
 
-func (s *Spread) checkpointDue() bool {
+func (s *Distributor) checkpointDue() bool {
 	st := s.State()
 	unusable := st.checkpoint < s.follower.oldest
 	return unusable || st.asOf-st.checkpoint >= s.cfg.CheckpointRecords || s.clock.elapsed >= s.checkpointPlan.renewAt
--- a/config/config.go
+++ b/config/config.go
@@ -6,7 +6,7 @@
 // records alone, so all readers accept and reject the same publications
 // without coordination. A few nodes of each data centre read the stream and
 // push changes to the others; every node pulls what it missed from any peer
-// (see Spread). The as-of offset of a state is the number of records that it
+// (see Distributor). The as-of offset of a state is the number of records that it
 // includes: two states with the same offset are equal, and the one with the
 // higher offset supersedes the other. A late copy therefore never reverts a
 // node.
@@ -26,7 +26,7 @@
 const Stream = "config"
 
 // retainedRecords is the number of records for which a state retains verdicts
-// and deletions. A publication whose ReadTo is further behind its record is
+// and deletions. A publication whose ReadOffset is further behind its record is
 // rejected, so that no copy is accepted after the first verdict is dropped.
 // All readers must use the same value, so it is not a setting.
 const retainedRecords = 512
@@ -39,9 +39,9 @@
 	// PollEvery is the mean interval between two reads at the end of the
 	// stream.
 	PollEvery time.Duration
-	// PollBackoff is the longest interval between two reads while the log
+	// MaxPollBackoff is the longest interval between two reads while the log
 	// fails. It bounds the delay until the log's recovery is noticed.
-	PollBackoff time.Duration
+	MaxPollBackoff time.Duration
 	// ReadTimeout is the time after which an unanswered read is repeated. It
 	// must exceed the timeout of the log's client.
 	ReadTimeout time.Duration
@@ -52,9 +52,9 @@
 	// RepairEvery is the mean interval between two offers to a random peer. An
 	// offer carries the as-of offset of the node's state.
 	RepairEvery time.Duration
-	// RemoteRepairs is the percentage of offers that go to a peer in any data
+	// RemoteRepairPercent is the percentage of offers that go to a peer in any data
 	// centre. The others stay in the own data centre, where traffic is cheap.
-	RemoteRepairs int
+	RemoteRepairPercent int
 	// PullRetry is the time after which an unanswered pull may be repeated.
 	PullRetry time.Duration
 	// CheckpointEvery is the maximum age of a checkpoint before it is renewed.
@@ -63,9 +63,9 @@
 	// CheckpointRecords is the number of records after the newest checkpoint
 	// at which it is renewed early, so that a starting node reads little.
 	CheckpointRecords uint64
-	// CheckpointSpread is the random delay before a due checkpoint is
+	// CheckpointJitter is the random delay before a due checkpoint is
 	// appended, so that usually one reader appends it.
-	CheckpointSpread time.Duration
+	CheckpointJitter time.Duration
 }
 
 // DefaultConfig returns the values for 3,500 nodes in six data centres and
@@ -74,15 +74,15 @@
 	return Config{
 		ReadersPerDataCentre: 3,
 		PollEvery:            500 * time.Millisecond,
-		PollBackoff:          2 * time.Second,
+		MaxPollBackoff:       2 * time.Second,
 		ReadTimeout:          15 * time.Second,
 		PageRecords:          128,
 		FanOut:               8,
 		RepairEvery:          time.Second,
-		RemoteRepairs:        25,
+		RemoteRepairPercent:  25,
 		PullRetry:            500 * time.Millisecond,
 		CheckpointEvery:      10 * time.Minute,
 		CheckpointRecords:    128,
-		CheckpointSpread:     20 * time.Second,
+		CheckpointJitter:     20 * time.Second,
 	}
 }
--- a/config/spread.go
+++ b/config/distributor.go
@@ -8,7 +8,7 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// Spread distributes the accepted configuration on behalf of one node. It is a
+// Distributor distributes the accepted configuration on behalf of one node. It is a
 // state machine without I/O: it receives time, log pages and messages, and
 // returns Actions. It is not safe for concurrent use, but the states that it
 // returns are.
@@ -19,7 +19,7 @@
 // data centre. Nodes that the push misses (below a frozen node, after a lost
 // message, in a data centre without access to the log) recover through offers
 // to random peers.
-type Spread struct {
+type Distributor struct {
 	cfg      Config
 	follower follower
 	ring     ring
@@ -45,10 +45,10 @@
 	counters       Counters
 }
 
-// NewSpread returns the state machine of the node self. The seed determines
+// NewDistributor returns the state machine of the node self. The seed determines
 // jitter and the choice of peers.
-func NewSpread(cfg Config, self wire.NodeID, dataCentre string, seed uint64) *Spread {
-	s := &Spread{
+func NewDistributor(cfg Config, self wire.NodeID, dataCentre string, seed uint64) *Distributor {
+	s := &Distributor{
 		cfg: cfg,
 		follower: follower{
 			replayer:    newReplayer(),
@@ -65,15 +65,15 @@
 
 // SetMembers sets the nodes that are believed alive, with or without self. It
 // must be called when the view changes.
-func (s *Spread) SetMembers(members []Peer) {
+func (s *Distributor) SetMembers(members []Peer) {
 	s.ring = newRing(s.ring.self, s.ring.dataCentre, members, s.cfg.ReadersPerDataCentre)
 }
 
 // State returns the state in force, nil while the node has none.
-func (s *Spread) State() *State { return s.follower.state }
+func (s *Distributor) State() *State { return s.follower.state }
 
 // Tick performs what is due. It must be called about every 100 ms.
-func (s *Spread) Tick(now time.Time) Actions {
+func (s *Distributor) Tick(now time.Time) Actions {
 	s.clock.advance(now)
 	var a Actions
 	s.pollIfDue(&a)
@@ -81,7 +81,7 @@
 	return a
 }
 
-func (s *Spread) pollIfDue(a *Actions) {
+func (s *Distributor) pollIfDue(a *Actions) {
 	if !s.ring.isReader() {
 		return
 	}
@@ -93,7 +93,7 @@
 	}
 }
 
-func (s *Spread) startRead(a *Actions) {
+func (s *Distributor) startRead(a *Actions) {
 	nextRead := s.follower.nextRead()
 	a.Read = &Read{From: nextRead.from, Max: nextRead.max}
 	s.readPending = true
@@ -102,17 +102,17 @@
 }
 
 // LogFailed reports that a read failed.
-func (s *Spread) LogFailed(now time.Time) {
+func (s *Distributor) LogFailed(now time.Time) {
 	s.clock.advance(now)
 	s.readPending = false
 	s.failures++
 	s.counters.LogFailures++
 	backoff := s.cfg.PollEvery << min(s.failures, maxBackoffShift)
-	s.schedulePoll(min(backoff, s.cfg.PollBackoff))
+	s.schedulePoll(min(backoff, s.cfg.MaxPollBackoff))
 }
 
 // LogPage processes the answer to a read, however late it arrives.
-func (s *Spread) LogPage(now time.Time, logPage applog.Page) Actions {
+func (s *Distributor) LogPage(now time.Time, logPage applog.Page) Actions {
 	s.clock.advance(now)
 	var a Actions
 	s.readPending = false
@@ -136,14 +136,14 @@
 
 // schedulePoll sets the time of the next poll, with jitter so that readers do
 // not all poll at the same time.
-func (s *Spread) schedulePoll(mean time.Duration) {
+func (s *Distributor) schedulePoll(mean time.Duration) {
 	s.nextPoll = s.clock.elapsed + mean/2 + s.jitter(mean)
 }
 
 // atTail pushes and checkpoints a state that is the newest. A node that
 // started without a state does not push what it read to catch up, because its
 // peers already have it.
-func (s *Spread) atTail(a *Actions) {
+func (s *Distributor) atTail(a *Actions) {
 	if s.catchingUp {
 		s.catchingUp = false
 		s.pushed = s.State().AsOf()
@@ -153,7 +153,7 @@
 }
 
 // Receive processes a message from a peer.
-func (s *Spread) Receive(now time.Time, from wire.NodeID, m Message) Actions {
+func (s *Distributor) Receive(now time.Time, from wire.NodeID, m Message) Actions {
 	s.clock.advance(now)
 	var a Actions
 	if m.Update == nil {
@@ -167,9 +167,9 @@
 	return a
 }
 
-// SawVersion reports the as-of offset that another message of a peer carried,
+// ReceiveOffset reports the as-of offset that another message of a peer carried,
 // and pulls if it is newer.
-func (s *Spread) SawVersion(now time.Time, peer wire.NodeID, asOf uint64) Actions {
+func (s *Distributor) ReceiveOffset(now time.Time, peer wire.NodeID, asOf uint64) Actions {
 	if asOf <= s.State().AsOf() {
 		return Actions{}
 	}
@@ -179,19 +179,19 @@
 	return a
 }
 
-func (s *Spread) jitter(d time.Duration) time.Duration {
+func (s *Distributor) jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
 	}
 	return time.Duration(s.rng.Int64N(int64(d)))
 }
 
-func (s *Spread) send(a *Actions, to wire.NodeID, m Message) {
+func (s *Distributor) send(a *Actions, to wire.NodeID, m Message) {
 	a.Send = append(a.Send, Send{To: to, Msg: m})
 }
 
 // Dump returns a summary of the state for operators.
-func (s *Spread) Dump() Dump {
+func (s *Distributor) Dump() Dump {
 	st := s.State()
 	d := Dump{
 		AsOf:      st.AsOf(),
--- a/config/spread_test.go
+++ b/config/distributor_test.go
@@ -55,7 +55,7 @@
 	}
 	p := rapid.SampledFrom(m.published).Draw(m.rt, "copy")
 	if m.draw("read on", 0, 1) == 1 {
-		p.ReadTo = m.anyState().AsOf()
+		p.ReadOffset = m.anyState().AsOf()
 	}
 	m.append(p)
 }
@@ -138,7 +138,7 @@
 func (m *machine) checkAll() {
 	for _, n := range m.nodes {
 		m.check(n)
-		if d := n.member.(*Spread).Dump(); d.Counters.Diverged+d.Counters.BadUpdates > 0 {
+		if d := n.member.(*Distributor).Dump(); d.Counters.Diverged+d.Counters.BadUpdates > 0 {
 			m.rt.Fatalf("states as of one offset differ: %+v", d)
 		}
 	}
--- a/config/fixed_test.go
+++ b/config/fixed_test.go
@@ -45,7 +45,7 @@
 }
 
 // Guards against accepting a delayed creation after the deletion of the
-// section, when its verdict has been dropped. Only ReadTo contradicts it.
+// section, when its verdict has been dropped. Only ReadOffset contradicts it.
 func TestCopyOlderThanRetainedVerdictsIsRejected(t *testing.T) {
 	is := is.New(t)
 	for gap := retainedRecords - 5; gap <= retainedRecords+5; gap++ {
@@ -76,8 +76,8 @@
 	for i := range 2 * retainedRecords {
 		currentOracle := w.currentOracle()
 		change := setSection(testServices[i%3], fmt.Sprint(i), currentOracle.sections[testServices[i%3]].version)
-		if change.Base > 0 && i%5 == 0 {
-			change = deleteSection(change.Service, change.Base)
+		if change.BaseVersion > 0 && i%5 == 0 {
+			change = deleteSection(change.Service, change.BaseVersion)
 		}
 		w.append(publication(fmt.Sprint(i), currentOracle.end(), change))
 	}
@@ -114,7 +114,7 @@
 	w.run(3 * time.Second)
 	is.NoErr(w.violation)
 	is.Equal(w.outdated(), 0)
-	d := newcomer.member.(*Spread).Dump()
+	d := newcomer.member.(*Distributor).Dump()
 	is.True(d.LogNext > 3000)
 	is.True(d.Counters.LogReads <= 14) // four pages to find a base, one or two to apply, then polls
 }
@@ -169,7 +169,7 @@
 	is.True(n.state() == nil)
 	p := publication("all", 0, setSection("a", "z", 0))
 	_, err := o.run(p, 9)
-	is.True(errors.Is(err, ErrNothingWritten) && errors.Is(err, ErrNoBase))
+	is.True(errors.Is(err, ErrNotAppended) && errors.Is(err, ErrNoBase))
 	p.Whole = true
 	outcome, err := o.run(p, 9)
 	is.NoErr(err)
@@ -179,7 +179,7 @@
 	is.Equal(w.outdated(), 0)
 	is.Equal(n.sections()[0].Text, "z")
 	w.run(5 * time.Minute) // the retention is shorter than CheckpointEvery
-	is.True(n.member.(*Spread).Dump().Counters.Checkpoints >= 3)
+	is.True(n.member.(*Distributor).Dump().Counters.Checkpoints >= 3)
 }
 
 // Guards against a published graph text that is not applied on a node that
@@ -192,7 +192,7 @@
 	is.NoErr(err)
 	is.Equal(outcome.Status, Accepted)
 	for range 2 {
-		w.start("north").member.(*Spread).follower.replayer = newReplayer()
+		w.start("north").member.(*Distributor).follower.replayer = newReplayer()
 	}
 	w.shareMembers()
 	w.run(5 * time.Second)
@@ -203,5 +203,5 @@
 	newcomer := w.restart(0)
 	w.shareMembers()
 	w.run(5 * time.Second)
-	is.Equal(newcomer.member.(*Spread).Dump().Counters.Pushes, uint64(0)) // a starting node does not push what it reads
+	is.Equal(newcomer.member.(*Distributor).Dump().Counters.Pushes, uint64(0)) // a starting node does not push what it reads
 }
--- a/config/message.go
+++ b/config/message.go
@@ -31,14 +31,14 @@
 	Msg Message
 }
 
-// Read asks the caller of Spread to read at most Max records from the offset
+// Read asks the caller of Distributor to read at most Max records from the offset
 // From and to call LogPage or LogFailed with the result.
 type Read struct {
 	From uint64
 	Max  int
 }
 
-// Actions lists what the caller of Spread has to do after an event.
+// Actions lists what the caller of Distributor has to do after an event.
 type Actions struct {
 	Read *Read
 	// Append holds records to append to the stream. The results of the appends
--- a/config/oracle_test.go
+++ b/config/oracle_test.go
@@ -68,13 +68,13 @@
 		return
 	}
 	next := maps.Clone(o.sections)
-	accepted := offset >= p.ReadTo && offset-p.ReadTo <= retainedRecords && p.ReadTo >= o.floor
+	accepted := offset >= p.ReadOffset && offset-p.ReadOffset <= retainedRecords && p.ReadOffset >= o.floor
 	if p.Whole {
 		clear(next)
-		accepted = offset == p.ReadTo
+		accepted = offset == p.ReadOffset
 	}
 	for _, c := range p.Sections {
-		accepted = accepted && (p.Whole || next[c.Service].version == c.Base)
+		accepted = accepted && (p.Whole || next[c.Service].version == c.BaseVersion)
 		next[c.Service] = oracleSection{c.Text, offset + 1}
 		if c.Delete {
 			delete(next, c.Service)
--- a/config/publication.go
+++ b/config/publication.go
@@ -19,14 +19,14 @@
 	Service string
 	// Text is the new text. It is empty for a deletion.
 	Text string
-	// Base is the version of the section that the writer changed. Zero means
+	// BaseVersion is the version of the section that the writer changed. Zero means
 	// that the section must not exist.
-	Base   uint64
-	Delete bool
+	BaseVersion uint64
+	Delete      bool
 }
 
 // Publication is one operator's change. It is accepted as a whole if every
-// Base equals the section's version at the publication's record and the
+// BaseVersion equals the section's version at the publication's record and the
 // resulting graph is valid. Otherwise it is rejected as a whole.
 type Publication struct {
 	// ID identifies the publication across repeated appends: only the first
@@ -36,13 +36,13 @@
 	// Operator is the name shown to another operator whose change conflicts.
 	Operator string          `cbor:"2,keyasint,omitempty"`
 	Sections []SectionChange `cbor:"3,keyasint"`
-	// ReadTo is the as-of offset up to which the writer had read. Publish sets
+	// ReadOffset is the as-of offset up to which the writer had read. Publish sets
 	// it.
-	ReadTo uint64 `cbor:"4,keyasint"`
+	ReadOffset uint64 `cbor:"4,keyasint"`
 	// Whole makes the publication a replacement of all sections; bases are
 	// ignored. It is needed when the log has trimmed the records required to
 	// judge a change, so it is judged by its own record alone: it is accepted
-	// if its graph is valid and its offset equals ReadTo. It therefore
+	// if its graph is valid and its offset equals ReadOffset. It therefore
 	// overwrites no change that its writer could not read, and no second copy
 	// is accepted.
 	Whole bool `cbor:"5,keyasint,omitempty"`
@@ -96,7 +96,7 @@
 	if len(c.Text) > graph.MaxSectionBytes {
 		return fmt.Errorf("section %s has %d bytes, the limit is %d", c.Service, len(c.Text), graph.MaxSectionBytes)
 	}
-	if c.Delete && (whole || c.Base == 0 || c.Text != "") {
+	if c.Delete && (whole || c.BaseVersion == 0 || c.Text != "") {
 		return fmt.Errorf("deletion of section %s: want a base, no text, and no replacement of everything", c.Service)
 	}
 	return nil
--- a/config/publish.go
+++ b/config/publish.go
@@ -11,13 +11,13 @@
 )
 
 var (
-	// ErrUnsettled means that the publication may be in the log or may still
+	// ErrOutcomeUnknown means that the publication may be in the log or may still
 	// reach it. Publishing again with the same ID resolves the outcome and
 	// cannot apply the change twice.
-	ErrUnsettled = errors.New("outcome unknown: publish again with the same id")
-	// ErrNothingWritten means that this call wrote nothing. An earlier call
+	ErrOutcomeUnknown = errors.New("outcome unknown: publish again with the same id")
+	// ErrNotAppended means that this call wrote nothing. An earlier call
 	// with the same ID may have.
-	ErrNothingWritten = errors.New("this call wrote nothing")
+	ErrNotAppended = errors.New("this call wrote nothing")
 	// ErrNoBase means that the log has trimmed the records needed to judge a
 	// publication and contains no usable checkpoint. Nodes that have a state
 	// append one soon. If no node has a state, an operator has to publish a
@@ -28,9 +28,9 @@
 // Status is the state of a publication.
 type Status uint8
 
-// Values of Status. Unsettled means that the outcome is not known.
+// Values of Status. OutcomeUnknown means that the outcome is not known.
 const (
-	Unsettled Status = iota
+	OutcomeUnknown Status = iota
 	Accepted
 	Rejected
 )
@@ -55,9 +55,9 @@
 	// Cause is the reason of a rejection. For a conflict it names the earlier
 	// publication.
 	Cause string
-	// Repeated says that the outcome was determined by an earlier call with
+	// FromEarlierCall says that the outcome was determined by an earlier call with
 	// the same ID.
-	Repeated bool
+	FromEarlierCall bool
 }
 
 const (
@@ -72,13 +72,13 @@
 // Publish appends the publication and waits for its verdict until the context
 // ends. If an append is not confirmed, Publish reads the log for the record by
 // its ID and appends it again only if it is missing. If both copies arrive,
-// only the first counts. Errors wrap ErrUnsettled or ErrNothingWritten.
+// only the first counts. Errors wrap ErrOutcomeUnknown or ErrNotAppended.
 func Publish(ctx context.Context, log applog.Log, p Publication) (Outcome, error) {
 	return newPublisher(log, sleep).publish(ctx, p)
 }
 
 // ReadState reads the whole stream and returns the resulting state. It is for
-// operators' tools; nodes use Spread.
+// operators' tools; nodes use Distributor.
 func ReadState(ctx context.Context, log applog.Log) (*State, error) {
 	p := newPublisher(log, sleep)
 	if err := p.readToTail(ctx, true); err != nil {
@@ -115,7 +115,7 @@
 
 func (p *publisher) publish(ctx context.Context, pub Publication) (Outcome, error) {
 	if err := pub.check(); err != nil {
-		return Outcome{}, fmt.Errorf("%w: %w", ErrNothingWritten, err)
+		return Outcome{}, fmt.Errorf("%w: %w", ErrNotAppended, err)
 	}
 	outcome, err := p.appendUntilVerdict(ctx, pub)
 	if err != nil {
@@ -126,9 +126,9 @@
 
 func (p *publisher) writeError() error {
 	if p.mayHaveWritten {
-		return ErrUnsettled
+		return ErrOutcomeUnknown
 	}
-	return ErrNothingWritten
+	return ErrNotAppended
 }
 
 func (p *publisher) appendUntilVerdict(ctx context.Context, pub Publication) (Outcome, error) {
@@ -136,7 +136,7 @@
 		return Outcome{}, err
 	}
 	if outcome, ok := p.outcome(pub); ok && !(pub.Whole && outcome.Status == Rejected) {
-		outcome.Repeated = true
+		outcome.FromEarlierCall = true
 		return outcome, nil
 	}
 	if cause := p.invalidReplacement(pub); cause != "" {
@@ -144,7 +144,7 @@
 	}
 	version := p.state.Version()
 	for {
-		pub.ReadTo = p.readOffset()
+		pub.ReadOffset = p.readOffset()
 		if err := p.append(ctx, pub); err != nil {
 			return Outcome{}, err
 		}
@@ -235,11 +235,11 @@
 		}
 		return Outcome{Status: Rejected, Version: v.Version, Cause: v.Cause}, true
 	}
-	if p.hasNoBase() && pub.Whole && p.readOffset() > pub.ReadTo && p.mayHaveWritten {
+	if p.hasNoBase() && pub.Whole && p.readOffset() > pub.ReadOffset && p.mayHaveWritten {
 		return Outcome{Status: Rejected, Cause: "something was appended after the writer had read"}, true
 	}
 	for _, c := range pub.Sections {
-		if current, ok := p.state.Section(c.Service); ok && current.By == pub.ID {
+		if current, ok := p.state.Section(c.Service); ok && current.PublicationID == pub.ID {
 			return Outcome{Status: Accepted, Version: current.Version}, true
 		}
 	}
--- a/config/publish_test.go
+++ b/config/publish_test.go
@@ -104,7 +104,7 @@
 		p.ID = "mine"
 		p.Whole = rapid.IntRange(0, 2).Draw(rt, "whole") == 0
 		var reported Outcome
-		for i := 0; i < 4 && reported.Status == Unsettled; i++ {
+		for i := 0; i < 4 && reported.Status == OutcomeUnknown; i++ {
 			reported, _ = o.run(p, rapid.IntRange(0, 15).Draw(rt, "patience"))
 		}
 		outcomes[reported.Status]++
@@ -142,21 +142,21 @@
 	p := publication("one", 0, setSection("a", "x", 0))
 	o.log.DelayAppends(1, time.Minute)
 	_, err := o.run(p, 2)
-	is.True(errors.Is(err, ErrUnsettled))
+	is.True(errors.Is(err, ErrOutcomeUnknown))
 	o.log.Outage(o.now.Add(30 * time.Second))
 	_, err = o.run(p, 2)
-	is.True(errors.Is(err, ErrNothingWritten)) // by this call
+	is.True(errors.Is(err, ErrNotAppended)) // by this call
 	o.now = o.now.Add(2 * time.Minute)
 	outcome, err := o.run(p, 2)
 	is.NoErr(err)
-	is.Equal(outcome, Outcome{Status: Accepted, Version: 1, Repeated: true})
+	is.Equal(outcome, Outcome{Status: Accepted, Version: 1, FromEarlierCall: true})
 	is.Equal(o.currentOracle().end(), uint64(1))
 	for i := range retainedRecords + 1 { // the verdict is dropped, the section remains
 		o.append(publication(fmt.Sprint(i), uint64(i), setSection("b", "bad", 0)))
 	}
 	outcome, err = o.run(p, 2)
 	is.NoErr(err)
-	is.Equal(outcome, Outcome{Status: Accepted, Version: 1, Repeated: true})
+	is.Equal(outcome, Outcome{Status: Accepted, Version: 1, FromEarlierCall: true})
 }
 
 // Guards against a rejection that does not name the publication that changed
--- a/config/push.go
+++ b/config/push.go
@@ -25,7 +25,7 @@
 }
 
 // startPush sends the changes since the last push to the push tree.
-func (s *Spread) startPush(a *Actions) {
+func (s *Distributor) startPush(a *Actions) {
 	st := s.State()
 	if st.AsOf() <= s.pushed {
 		return
@@ -37,7 +37,7 @@
 	s.sendToChildren(a, m, Push{Source: s.ring.self, Until: s.ring.self})
 }
 
-func (s *Spread) sendToChildren(a *Actions, m Message, p Push) {
+func (s *Distributor) sendToChildren(a *Actions, m Message, p Push) {
 	for _, child := range s.ring.children(p.Until, s.cfg.FanOut) {
 		m.Push = &Push{Source: p.Source, Until: child.until}
 		s.send(a, child.id, m)
@@ -47,7 +47,7 @@
 // forwardPush forwards a push to this node's children, once. Dropping repeated
 // copies keeps the traffic at one message per node and push. A node that
 // already has the state forwards too, because its children may not.
-func (s *Spread) forwardPush(a *Actions, m Message) {
+func (s *Distributor) forwardPush(a *Actions, m Message) {
 	s.pushed = max(s.pushed, m.Update.To)
 	key := pushKey{to: m.Update.To, source: m.Push.Source}
 	for _, k := range s.seen {
@@ -62,7 +62,7 @@
 }
 
 // receiveUpdate applies the update of a message.
-func (s *Spread) receiveUpdate(a *Actions, from wire.NodeID, m Message) {
+func (s *Distributor) receiveUpdate(a *Actions, from wire.NodeID, m Message) {
 	before := s.State()
 	after, err := s.follower.applyUpdate(before, m.Update)
 	switch {
@@ -77,7 +77,7 @@
 	}
 }
 
-func (s *Spread) install(a *Actions, st *State) {
+func (s *Distributor) install(a *Actions, st *State) {
 	if s.State() == nil {
 		s.pushed = max(s.pushed, st.AsOf())
 		s.catchingUp = false
@@ -89,7 +89,7 @@
 
 // relayUpdate spreads a pulled update within the data centre, whose readers
 // may not have it.
-func (s *Spread) relayUpdate(a *Actions, from wire.NodeID) {
+func (s *Distributor) relayUpdate(a *Actions, from wire.NodeID) {
 	if s.ring.isReader() {
 		s.startPush(a)
 		return
@@ -103,7 +103,7 @@
 // handleBadUpdate requests a replacement for an update that could not be
 // applied: the updates since the own state if earlier ones are missing,
 // otherwise the whole state.
-func (s *Spread) handleBadUpdate(a *Actions, from wire.NodeID, m Message, err error) {
+func (s *Distributor) handleBadUpdate(a *Actions, from wire.NodeID, m Message, err error) {
 	if errors.Is(err, errBehind) {
 		s.pullFrom(a, from, m.AsOf)
 		return
--- a/config/repair.go
+++ b/config/repair.go
@@ -3,14 +3,14 @@
 import "github.com/cassialoom/cassialoom/wire"
 
 // offer returns a message that announces this node's state.
-func (s *Spread) offer() Message {
+func (s *Distributor) offer() Message {
 	st := s.State()
 	return Message{AsOf: st.AsOf(), Sum: st.Sum(), AgeMillis: s.ageForMessage()}
 }
 
 // repairIfDue offers the own state to a random peer. A node without a state
 // does so more often. Either side of an offer can receive the newer state.
-func (s *Spread) repairIfDue(a *Actions) {
+func (s *Distributor) repairIfDue(a *Actions) {
 	if s.clock.elapsed < s.nextRepair {
 		return
 	}
@@ -19,14 +19,14 @@
 		mean = s.cfg.PullRetry
 	}
 	s.nextRepair = s.clock.elapsed + mean/2 + s.jitter(mean)
-	if peer, ok := s.ring.randomPeer(s.rng, s.cfg.RemoteRepairs); ok {
+	if peer, ok := s.ring.randomPeer(s.rng, s.cfg.RemoteRepairPercent); ok {
 		s.send(a, peer, s.offer())
 	}
 }
 
 // receiveOffer compares a peer's state with the own one, and pulls or sends an
 // update.
-func (s *Spread) receiveOffer(a *Actions, from wire.NodeID, m Message) {
+func (s *Distributor) receiveOffer(a *Actions, from wire.NodeID, m Message) {
 	st := s.State()
 	switch {
 	case m.AsOf > st.AsOf():
@@ -42,7 +42,7 @@
 }
 
 // pullFrom requests newer state from a peer by offering the own state.
-func (s *Spread) pullFrom(a *Actions, peer wire.NodeID, asOf uint64) {
+func (s *Distributor) pullFrom(a *Actions, peer wire.NodeID, asOf uint64) {
 	if s.startPull(asOf) {
 		s.send(a, peer, s.offer())
 	}
@@ -51,7 +51,7 @@
 // startPull reports whether a pull up to the as-of offset may be sent now, and
 // records it. An unanswered pull may be repeated after PullRetry, from another
 // peer.
-func (s *Spread) startPull(asOf uint64) bool {
+func (s *Distributor) startPull(asOf uint64) bool {
 	if asOf <= s.pull.asOf && s.clock.elapsed < s.pull.until {
 		return false
 	}
--- a/config/scale_test.go
+++ b/config/scale_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-func readsLog(n *node) bool { return n.member.(*Spread).ring.isReader() }
+func readsLog(n *node) bool { return n.member.(*Distributor).ring.isReader() }
 
 // Guards against nodes that keep the old graph because frozen nodes, lost
 // messages or partitions hide the push from them.
@@ -132,7 +132,7 @@
 	}{
 		{"5 of 100 nodes frozen", propagationLimit, func(n *node) { n.frozen = w.rng.IntN(100) < 5 }},
 		{"no log in a data centre", time.Second, func(n *node) { n.noLog = local(n) }},
-		{"first readers frozen", 2 * time.Second, func(n *node) { n.frozen = n.id == n.member.(*Spread).ring.readers[0] }},
+		{"first readers frozen", 2 * time.Second, func(n *node) { n.frozen = n.id == n.member.(*Distributor).ring.readers[0] }},
 		{"all readers of a data centre frozen", propagationLimit, func(n *node) { n.frozen = local(n) && readsLog(n) }},
 		{"a region partitioned", time.Second, func(n *node) {
 			n.noLog = region(n) == region(one)
--- a/config/state.go
+++ b/config/state.go
@@ -18,10 +18,10 @@
 	// Version is the offset after the record that set the text. Zero means
 	// that the section does not exist.
 	Version uint64
-	// By is the ID of the publication that set the text, Operator its
+	// PublicationID is the ID of the publication that set the text, Operator its
 	// operator.
-	By       string
-	Operator string
+	PublicationID string
+	Operator      string
 }
 
 // Deletion records the deletion of a section, for peers that still have it.
@@ -194,7 +194,7 @@
 	d := digest{Digest: xxhash.New()}
 	d.writeNumbers(s.asOf, s.version, s.floor, s.checkpoint, uint64(len(s.sections)))
 	for _, sec := range s.sections {
-		d.writeStrings(sec.Service, sec.Text, sec.By, sec.Operator)
+		d.writeStrings(sec.Service, sec.Text, sec.PublicationID, sec.Operator)
 		d.writeNumbers(sec.Version)
 	}
 	for _, del := range s.deletions {
--- a/config/timing.go
+++ b/config/timing.go
@@ -24,10 +24,10 @@
 }
 
 // confirm records when the state was known to be the newest.
-func (s *Spread) confirm(at time.Duration) { s.confirmed = max(s.confirmed, at) }
+func (s *Distributor) confirm(at time.Duration) { s.confirmed = max(s.confirmed, at) }
 
 // ageForMessage returns the age of the state as encoded in Message.AgeMillis.
-func (s *Spread) ageForMessage() uint64 {
+func (s *Distributor) ageForMessage() uint64 {
 	if s.confirmed == never {
 		return 0
 	}
@@ -35,7 +35,7 @@
 }
 
 // mergeAge applies the age that a peer with the same state reported.
-func (s *Spread) mergeAge(millis uint64) {
+func (s *Distributor) mergeAge(millis uint64) {
 	if millis == 0 {
 		return
 	}
--- a/config/world_test.go
+++ b/config/world_test.go
@@ -16,7 +16,7 @@
 
 var ctx = context.Background()
 
-// member is the implementation under test: a Spread, or the naive version.
+// member is the implementation under test: a Distributor, or the naive version.
 type member interface {
 	SetMembers([]Peer)
 	Tick(time.Time) Actions
@@ -26,7 +26,7 @@
 	sections() []Section
 }
 
-func (s *Spread) sections() []Section { return s.State().Sections() }
+func (s *Distributor) sections() []Section { return s.State().Sections() }
 
 type node struct {
 	member
@@ -39,7 +39,7 @@
 	sent, sentBytes        int
 }
 
-func (n *node) state() *State { return n.member.(*Spread).State() }
+func (n *node) state() *State { return n.member.(*Distributor).State() }
 
 // world simulates nodes, the log and the network between them.
 type world struct {
@@ -64,7 +64,7 @@
 	cfg := DefaultConfig()
 	cfg.CheckpointEvery = 15 * time.Second
 	cfg.CheckpointRecords = 6
-	cfg.CheckpointSpread = 3 * time.Second
+	cfg.CheckpointJitter = 3 * time.Second
 	cfg.PageRecords = 4
 	cfg.ReadTimeout = 3 * time.Second
 	return cfg
@@ -90,7 +90,7 @@
 	for i := range n.id {
 		n.id[i] = byte(w.rng.Uint32())
 	}
-	s := NewSpread(w.cfg, n.id, dataCentre, w.rng.Uint64())
+	s := NewDistributor(w.cfg, n.id, dataCentre, w.rng.Uint64())
 	s.follower.assemble = testAssemble
 	n.member = s
 	if w.naive {
@@ -277,13 +277,13 @@
 }
 
 func publication(id string, readTo uint64, changes ...SectionChange) Publication {
-	return Publication{ID: id, ReadTo: readTo, Sections: changes}
+	return Publication{ID: id, ReadOffset: readTo, Sections: changes}
 }
 
 func setSection(service, text string, base uint64) SectionChange {
-	return SectionChange{Service: service, Text: text, Base: base}
+	return SectionChange{Service: service, Text: text, BaseVersion: base}
 }
 
 func deleteSection(service string, base uint64) SectionChange {
-	return SectionChange{Service: service, Base: base, Delete: true}
+	return SectionChange{Service: service, BaseVersion: base, Delete: true}
 }
--- a/daemon/config.go
+++ b/daemon/config.go
@@ -39,7 +39,7 @@
 	cfg.DrainGrace = s.DrainGrace
 	cfg.Transport.Cluster = s.Cluster
 	cfg.Membership.Retention = s.LogRetention
-	cfg.Spread.CheckpointEvery = min(cfg.Spread.CheckpointEvery, s.LogRetention/checkpointsPerRetention)
+	cfg.Distributor.CheckpointEvery = min(cfg.Distributor.CheckpointEvery, s.LogRetention/checkpointsPerRetention)
 	cfg.Entry.MaxBody = s.MaxBody
 	cfg.Backend.MaxAnswer = s.MaxAnswer
 	cfg.Serve.Limit.Initial = s.InitialLimit
--- a/freshness/eras.go
+++ b/freshness/eras.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Eras tracks since when the store has been in its present era. An era is the
+// EraTracker tracks since when the store has been in its present era. An era is the
 // epoch between two restores of the store from a backup. Writes made after the
 // backup are missing until their writers repeat them.
 //
-// Eras guards against a node that takes routes read after a restore for the
+// EraTracker guards against a node that takes routes read after a restore for the
 // newest, although the removal of a key is missing from them. A node that has
 // just started cannot tell that the era began recently, but its peers can.
 //
-// Eras is not safe for concurrent use. All times are of one bootclock.Clock.
-type Eras struct {
+// EraTracker is not safe for concurrent use. All times are of one bootclock.Clock.
+type EraTracker struct {
 	// observed is the latest era that the store reported to this node,
 	// reported the latest one that a peer reported.
 	observed, reported eraStart
@@ -24,10 +24,10 @@
 	since time.Time
 }
 
-// Seen records the era in an answer of the store received at now. It returns
+// ReportedByStore records the era in an answer of the store received at now. It returns
 // since when that era has been known, zero for era zero, before which nothing
 // was lost.
-func (e *Eras) Seen(now time.Time, era uint64) (since time.Time) {
+func (e *EraTracker) ReportedByStore(now time.Time, era uint64) (since time.Time) {
 	switch {
 	case era == 0:
 		return time.Time{}
@@ -42,9 +42,9 @@
 	return e.observed.since
 }
 
-// Told records a peer's report that an era existed at a time. The report takes
+// ReportedByPeer records a peer's report that an era existed at a time. The report takes
 // effect once the store reports that era to this node.
-func (e *Eras) Told(at time.Time, era uint64) {
+func (e *EraTracker) ReportedByPeer(at time.Time, era uint64) {
 	if era > e.reported.era || era == e.reported.era && at.Before(e.reported.since) {
 		e.reported = eraStart{era: era, since: at}
 	}
@@ -52,4 +52,4 @@
 
 // Present returns the latest era that the store reported, and since when it
 // has been known.
-func (e *Eras) Present() (era uint64, since time.Time) { return e.observed.era, e.observed.since }
+func (e *EraTracker) Present() (era uint64, since time.Time) { return e.observed.era, e.observed.since }
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -1,6 +1,6 @@
 // Package freshness decides whether a node may rely on its configuration.
 //
-// A Keeper guarantees that a configuration that it calls fresh contains every
+// A ProofTracker guarantees that a configuration that it calls fresh contains every
 // version that was published longer ago than a bound. It does not require
 // synchronized clocks.
 //
@@ -19,9 +19,9 @@
 	At      time.Time
 }
 
-// Keeper holds the best freshness proof of a node. It is not safe for
+// ProofTracker holds the best freshness proof of a node. It is not safe for
 // concurrent use. All times are of one bootclock.Clock.
-type Keeper struct {
+type ProofTracker struct {
 	inForce uint64
 	// confirmedAt is when the version in force was last known to be the
 	// newest, zero if it never was.
@@ -30,9 +30,9 @@
 	pending Proof
 }
 
-// Learn adds a proof. A proof of a newer version takes effect when that
+// AddProof adds a proof. A proof of a newer version takes effect when that
 // version is in force.
-func (k *Keeper) Learn(p Proof) {
+func (k *ProofTracker) AddProof(p Proof) {
 	switch {
 	case p.Version <= k.inForce:
 		k.confirm(p.At)
@@ -41,9 +41,9 @@
 	}
 }
 
-// InForce records that a version is in force. Lower versions than before are
+// SetInForce records that a version is in force. Lower versions than before are
 // ignored.
-func (k *Keeper) InForce(version uint64) {
+func (k *ProofTracker) SetInForce(version uint64) {
 	k.inForce = max(k.inForce, version)
 	if !k.pending.At.IsZero() && k.pending.Version <= k.inForce {
 		k.confirm(k.pending.At)
@@ -51,7 +51,7 @@
 	}
 }
 
-func (k *Keeper) confirm(at time.Time) {
+func (k *ProofTracker) confirm(at time.Time) {
 	if at.After(k.confirmedAt) {
 		k.confirmedAt = at
 	}
@@ -59,7 +59,7 @@
 
 // Age returns the time since the version in force was last known to be the
 // newest, and false if it never was.
-func (k *Keeper) Age(now time.Time) (time.Duration, bool) {
+func (k *ProofTracker) Age(now time.Time) (time.Duration, bool) {
 	if k.confirmedAt.IsZero() {
 		return 0, false
 	}
@@ -68,13 +68,13 @@
 
 // Fresh reports whether every version published longer ago than the bound is
 // known to be in force.
-func (k *Keeper) Fresh(now time.Time, bound time.Duration) bool {
+func (k *ProofTracker) Fresh(now time.Time, bound time.Duration) bool {
 	age, known := k.Age(now)
 	return known && age <= bound
 }
 
-// Best returns the proof of the version in force, for peers, and false if
+// CurrentProof returns the proof of the version in force, for peers, and false if
 // there is none.
-func (k *Keeper) Best() (Proof, bool) {
+func (k *ProofTracker) CurrentProof() (Proof, bool) {
 	return Proof{Version: k.inForce, At: k.confirmedAt}, !k.confirmedAt.IsZero()
 }
--- a/freshness/freshness_test.go
+++ b/freshness/freshness_test.go
@@ -14,10 +14,10 @@
 
 func TestConfigurationWithoutProofIsNotFresh(t *testing.T) {
 	is := is.New(t)
-	var k Keeper
-	k.InForce(3)
+	var k ProofTracker
+	k.SetInForce(3)
 	is.True(!k.Fresh(at(0), time.Hour))
-	_, known := k.Best()
+	_, known := k.CurrentProof()
 	is.True(!known)
 }
 
@@ -25,21 +25,21 @@
 // dropping it before version 4 is in force.
 func TestProofOfNewerVersionWaitsForTheVersion(t *testing.T) {
 	is := is.New(t)
-	var k Keeper
-	k.InForce(3)
-	k.Learn(Proof{Version: 3, At: at(0)})
-	k.Learn(Proof{Version: 4, At: at(5)})
+	var k ProofTracker
+	k.SetInForce(3)
+	k.AddProof(Proof{Version: 3, At: at(0)})
+	k.AddProof(Proof{Version: 4, At: at(5)})
 	is.True(!k.Fresh(at(5), 4*time.Second))
-	k.InForce(4)
+	k.SetInForce(4)
 	is.True(k.Fresh(at(5), 4*time.Second))
 }
 
 func TestOlderProofChangesNothing(t *testing.T) {
 	is := is.New(t)
-	var k Keeper
-	k.InForce(3)
-	k.Learn(Proof{Version: 3, At: at(4)})
-	k.Learn(Proof{Version: 2, At: at(1)})
+	var k ProofTracker
+	k.SetInForce(3)
+	k.AddProof(Proof{Version: 3, At: at(4)})
+	k.AddProof(Proof{Version: 2, At: at(1)})
 	age, known := k.Age(at(5))
 	is.True(known)
 	is.Equal(age, time.Second)
@@ -51,7 +51,7 @@
 	const bound = 5 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		var published []time.Time // publication time of version i+1
-		var nodes [3]Keeper
+		var nodes [3]ProofTracker
 		type message struct {
 			proof Proof
 			to    int
@@ -67,16 +67,16 @@
 			case 1: // a read of the store that is answered at once or later
 				inTransit = append(inTransit, message{Proof{uint64(len(published)), now}, i})
 			case 2: // a proof sent to another node
-				if p, ok := nodes[i].Best(); ok {
+				if p, ok := nodes[i].CurrentProof(); ok {
 					inTransit = append(inTransit, message{p, (i + 1) % 3})
 				}
 			case 3:
 				if len(inTransit) > 0 {
 					m := inTransit[rapid.IntRange(0, len(inTransit)-1).Draw(t, "message")]
-					nodes[m.to].Learn(m.proof)
+					nodes[m.to].AddProof(m.proof)
 				}
 			case 4:
-				nodes[i].InForce(uint64(rapid.IntRange(0, len(published)).Draw(t, "version")))
+				nodes[i].SetInForce(uint64(rapid.IntRange(0, len(published)).Draw(t, "version")))
 			}
 			for j := range nodes {
 				if !nodes[j].Fresh(now, bound) {
--- a/internal/capacity/configuration.go
+++ b/internal/capacity/configuration.go
@@ -102,11 +102,11 @@
 // Publish appends changes of the sections first to last in one publication.
 func (s *Sim) Publish(first, last, change int) error {
 	state := s.Live()[0].C.State()
-	p := config.Publication{ID: fmt.Sprintf("change-%d", change), Operator: "capacity", ReadTo: state.AsOf()}
+	p := config.Publication{ID: fmt.Sprintf("change-%d", change), Operator: "capacity", ReadOffset: state.AsOf()}
 	for i := first; i <= last; i++ {
 		base, _ := state.Section(serviceName(i))
 		p.Sections = append(p.Sections, config.SectionChange{
-			Service: serviceName(i), Text: sectionText(i, change), Base: base.Version,
+			Service: serviceName(i), Text: sectionText(i, change), BaseVersion: base.Version,
 		})
 	}
 	data, err := p.Encode()
--- a/internal/capacity/memory.go
+++ b/internal/capacity/memory.go
@@ -83,7 +83,7 @@
 		panic(err)
 	}
 	before := memory()
-	c := config.NewSpread(config.DefaultConfig(), wire.NodeID{1}, "dc-0", 1)
+	c := config.NewDistributor(config.DefaultConfig(), wire.NodeID{1}, "dc-0", 1)
 	now := time.Unix(0, 0)
 	for c.State().Graph() == nil {
 		now = now.Add(time.Second)
--- a/internal/capacity/sim.go
+++ b/internal/capacity/sim.go
@@ -56,7 +56,7 @@
 	Spec Spec
 	M    *membership.Members
 	// C is nil unless Config.Spread is set.
-	C      *config.Spread
+	C      *config.Distributor
 	Up     bool
 	Frozen bool
 	// Skew is what the node's clock is ahead of the true time.
@@ -190,7 +190,7 @@
 	}, s.rng.Uint64())
 	n.M.Seeds(spec.Seeds)
 	if s.cfg.Spread {
-		n.C = config.NewSpread(config.DefaultConfig(), n.ID, spec.DataCentre, s.rng.Uint64())
+		n.C = config.NewDistributor(config.DefaultConfig(), n.ID, spec.DataCentre, s.rng.Uint64())
 	}
 	s.Nodes = append(s.Nodes, n)
 	if !spec.Elsewhere {
--- a/internal/testnode/cluster.go
+++ b/internal/testnode/cluster.go
@@ -74,7 +74,7 @@
 	pub := config.Publication{ID: config.NewPublicationID(), Operator: "test"}
 	for _, s := range sections {
 		old, _ := before.Section(s.Service)
-		pub.Sections = append(pub.Sections, config.SectionChange{Service: s.Service, Text: s.Text, Base: old.Version})
+		pub.Sections = append(pub.Sections, config.SectionChange{Service: s.Service, Text: s.Text, BaseVersion: old.Version})
 	}
 	out, err := config.Publish(ctx, c.Log, pub)
 	if err != nil || out.Status != config.Accepted {
@@ -97,9 +97,9 @@
 	cfg.Membership.GossipInterval = often
 	cfg.Membership.RepairRetryInterval = often
 	cfg.Membership.MaxAnnounceWait = often
-	cfg.Spread.PollEvery = often
-	cfg.Spread.RepairEvery = often
-	cfg.Spread.PullRetry = often
+	cfg.Distributor.PollEvery = often
+	cfg.Distributor.RepairEvery = often
+	cfg.Distributor.PullRetry = often
 	cfg.Serve.Once.BatchEvery = time.Millisecond
 	cfg.Serve.Once.PendingFor = 8 * often
 	cfg.Serve.Once.RetryEvery = often
--- a/node/behind_test.go
+++ b/node/behind_test.go
@@ -46,10 +46,10 @@
 	for range 3 { // the reader gets proofs; the idle node requests them from it
 		clock.advance(applyWithin)
 		reader.Node.Proved(clock.read())
-		testnode.Await(t, "the idle node has the proof", func() bool { return !idle.Node.Situation().Unproved })
+		testnode.Await(t, "the idle node has the proof", func() bool { return !idle.Node.NodeState().NeedsProof })
 	}
 	lastProof := clock.read()
-	for !idle.Node.Situation().Unproved && clock.read().Sub(lastProof) < 2*applyWithin {
+	for !idle.Node.NodeState().NeedsProof && clock.read().Sub(lastProof) < 2*applyWithin {
 		clock.advance(10 * time.Millisecond)
 	}
 	t.Logf("reads the store itself after %v", clock.read().Sub(lastProof))
--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -95,7 +95,7 @@
 		cfg.Transport.IdleTimeout = idle
 		cfg.Membership.ProbeInterval = time.Hour
 		cfg.Membership.RepairInterval = time.Hour
-		cfg.Spread.RepairEvery = time.Hour
+		cfg.Distributor.RepairEvery = time.Hour
 	})
 	release := make(chan struct{})
 	first, second := c.Add("alertdesk", nil), c.Add("alertdesk", nil)
--- a/node/graphs.go
+++ b/node/graphs.go
@@ -13,15 +13,15 @@
 // without the lock, since every call needs it.
 type graphs struct {
 	mu                sync.Mutex
-	spread            *config.Spread
+	spread            *config.Distributor
 	current           atomic.Pointer[config.State]
 	membershipVersion uint64 // version of the membership that spread has received
 }
 
-func newGraphs(s *config.Spread) *graphs { return &graphs{spread: s} }
+func newGraphs(s *config.Distributor) *graphs { return &graphs{spread: s} }
 
 // update calls f under the lock and publishes the resulting state for lock-free reads.
-func (g *graphs) update(f func(*config.Spread) config.Actions) config.Actions {
+func (g *graphs) update(f func(*config.Distributor) config.Actions) config.Actions {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	a := f(g.spread)
--- a/node/loops.go
+++ b/node/loops.go
@@ -165,7 +165,7 @@
 func (n *Node) tickConfig(now time.Time) {
 	version := n.members.version()
 	peers := n.members.configPeers()
-	n.applyConfigActions(n.graph.update(func(s *config.Spread) config.Actions {
+	n.applyConfigActions(n.graph.update(func(s *config.Distributor) config.Actions {
 		if n.graph.membershipVersion != version {
 			n.graph.membershipVersion = version
 			s.SetMembers(peers)
@@ -207,7 +207,7 @@
 	n.counts.LogReads.Add(1)
 	page, err := n.stream.Read(ctx, config.Stream, r.From, r.Max)
 	now := time.Now()
-	n.applyConfigActions(n.graph.update(func(s *config.Spread) config.Actions {
+	n.applyConfigActions(n.graph.update(func(s *config.Distributor) config.Actions {
 		if err != nil {
 			n.counts.LogFailures.Add(1)
 			s.LogFailed(now)
--- a/node/node.go
+++ b/node/node.go
@@ -71,14 +71,14 @@
 	// LogTimeout is the timeout of one operation of the log.
 	LogTimeout time.Duration
 
-	Transport  transport.Config
-	Membership membership.Config
-	Spread     config.Config
-	Serve      serve.Config
-	Dispatch   dispatch.Config
-	Backend    backend.Config
-	Entry      entry.Config
-	Explain    explain.Config
+	Transport   transport.Config
+	Membership  membership.Config
+	Distributor config.Config
+	Serve       serve.Config
+	Dispatch    dispatch.Config
+	Backend     backend.Config
+	Entry       entry.Config
+	Explain     explain.Config
 	// Directory is set if the addresses of peers come through AddSeeds. Otherwise
 	// the node reads them from a stream of the log.
 	Directory bool
@@ -107,7 +107,7 @@
 		LogTimeout:     3 * time.Second,
 		Transport:      transport.DefaultConfig(),
 		Membership:     membership.DefaultConfig(),
-		Spread:         config.DefaultConfig(),
+		Distributor:    config.DefaultConfig(),
 		Serve:          serve.DefaultConfig(),
 		Dispatch:       dispatch.DefaultConfig(),
 		Backend:        backend.DefaultConfig(),
@@ -200,7 +200,7 @@
 		notes:     explain.New(cfg.Explain),
 		backend:   backend.New(cfg.Backend),
 		members:   newRoster(membership.New(cfg.Membership, record(cfg, id), seed)),
-		graph:     newGraphs(config.NewSpread(cfg.Spread, id, cfg.DataCentre, seed)),
+		graph:     newGraphs(config.NewDistributor(cfg.Distributor, id, cfg.DataCentre, seed)),
 		requests:  retry.NewRequests(cfg.Dispatch.Budget),
 		routing:   newRouting(cfg.DecodeRoutes),
 		quotas:    newQuotas(cfg.Quota, cfg.FreshWithin, cfg.ProvenWithin, cfg.Clock),
--- a/node/peers.go
+++ b/node/peers.go
@@ -174,8 +174,8 @@
 		return
 	}
 	if r.ConfigVersion > n.graph.asOf() {
-		n.applyConfigActions(n.graph.update(func(s *config.Spread) config.Actions {
-			return s.SawVersion(time.Now(), from, r.ConfigVersion)
+		n.applyConfigActions(n.graph.update(func(s *config.Distributor) config.Actions {
+			return s.ReceiveOffset(time.Now(), from, r.ConfigVersion)
 		}))
 	}
 }
@@ -189,5 +189,5 @@
 
 func (n *Node) handleConfig(from wire.NodeID, msg config.Message) {
 	now := time.Now()
-	n.applyConfigActions(n.graph.update(func(s *config.Spread) config.Actions { return s.Receive(now, from, msg) }))
+	n.applyConfigActions(n.graph.update(func(s *config.Distributor) config.Actions { return s.Receive(now, from, msg) }))
 }
--- a/node/proofs.go
+++ b/node/proofs.go
@@ -30,7 +30,7 @@
 func (n *Node) Proved(at time.Time) {
 	version := n.routing.version()
 	n.quotas.with(func(time.Time) {
-		n.quotas.proof.Learn(freshness.Proof{Version: version, At: at})
+		n.quotas.proof.AddProof(freshness.Proof{Version: version, At: at})
 		n.quotas.notifyWaiters()
 	})
 }
@@ -38,7 +38,7 @@
 // EraSeen records the era named in an answer of the store. It returns when this node or a
 // peer first saw that era, or zero if the store was never restored from an older copy.
 func (n *Node) EraSeen(era uint64) (since time.Time) {
-	n.quotas.with(func(now time.Time) { since = n.quotas.eras.Seen(now, era) })
+	n.quotas.with(func(now time.Time) { since = n.quotas.eras.ReportedByStore(now, era) })
 	return since
 }
 
@@ -70,7 +70,7 @@
 		return
 	}
 	age := time.Duration(min(report.AgeMillis, uint64(maxEraAge.Milliseconds()))) * time.Millisecond
-	n.quotas.with(func(now time.Time) { n.quotas.eras.Told(now.Add(-age), report.Era) })
+	n.quotas.with(func(now time.Time) { n.quotas.eras.ReportedByPeer(now.Add(-age), report.Era) })
 }
 
 // isolatedAfter is the time without an answer from any peer after which a node considers
--- a/node/quota_asks.go
+++ b/node/quota_asks.go
@@ -233,7 +233,7 @@
 		if answer.NotOwner || m.Claims {
 			answer.Claims = q.owners.Claims()
 		}
-		if p, proved := q.proof.Best(); proved {
+		if p, proved := q.proof.CurrentProof(); proved {
 			answer.Version, answer.Proved = p.Version, true
 			answer.AgeMillis = uint32(now.Sub(p.At).Milliseconds()) + 1 // rounded up
 		}
@@ -262,7 +262,7 @@
 	q.lastAnswerAt = now
 	q.tokenClient.Granted(now, a.sent, a.tokenRequests, m.Grants)
 	if m.Proved {
-		q.proof.Learn(freshness.Proof{Version: m.Version, At: a.sent.Add(-time.Duration(m.AgeMillis) * time.Millisecond)})
+		q.proof.AddProof(freshness.Proof{Version: m.Version, At: a.sent.Add(-time.Duration(m.AgeMillis) * time.Millisecond)})
 	}
 	q.ownersUnknown = q.ownersUnknown || m.NotOwner
 	q.notifyWaiters()
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -27,8 +27,8 @@
 	issuer      *quota.Bank
 	leaseTerm   quota.Tenure
 	owners      *quota.Owners
-	proof       freshness.Keeper
-	eras        freshness.Eras
+	proof       freshness.ProofTracker
+	eras        freshness.EraTracker
 	// requests are those that await an answer, at most one per node.
 	requests map[wire.NodeID]openRequest
 	// number is that of the latest request.
@@ -86,7 +86,7 @@
 // inForce records the version of the routes that is in force.
 func (q *quotas) inForce(version uint64) {
 	q.with(func(time.Time) {
-		q.proof.InForce(version)
+		q.proof.SetInForce(version)
 		q.notifyWaiters()
 	})
 }
--- a/node/quotas_test.go
+++ b/node/quotas_test.go
@@ -203,7 +203,7 @@
 	q.owners.Heard(quota.Claim{Owner: owner, Generation: 1, Parts: []int{0}})
 	q.takeToken(hot, false)
 	clock.advance(keyUseWindow)
-	q.proof.Learn(freshness.Proof{Version: 3, At: clock.now})
+	q.proof.AddProof(freshness.Proof{Version: 3, At: clock.now})
 	requests, missing := q.dueRequests()
 	is.Equal(len(requests), 0)
 	is.Equal(missing, missingNothing)
--- a/node/spread_routes.go
+++ b/node/spread_routes.go
@@ -74,7 +74,7 @@
 func readersPerDataCentre(centres int) int { return (minFleetReaders + centres - 1) / max(1, centres) }
 
 // Reader reports whether this node is a reader of its data centre.
-func (n *Node) Reader() bool { return n.Situation().Reader }
+func (n *Node) Reader() bool { return n.NodeState().Reader }
 
 // Provers poll the store to obtain freshness proofs, which they give to other nodes.
 // minFleetProvers is their least number in all data centres together. Each data centre has
@@ -94,20 +94,20 @@
 	return min(max(least, nodes/nodesPerProver), maxProvers)
 }
 
-// Situation returns what decides how often this node reads the store. The readers of a data
+// NodeState returns what decides how often this node reads the store. The readers of a data
 // centre are its known nodes of lowest rank. The rank depends on the address alone, so after
 // a restart of all nodes the same machines are readers and owners of quotas again and need
 // not wait for the leases of others to expire. Nodes with different views may disagree on
 // the readers for a while, which is harmless.
-func (n *Node) Situation() readers.Situation {
-	s := readers.Situation{Routes: n.routing.table() != nil, Alone: true}
-	s.Unproved, s.Isolated = n.quotas.proofState()
+func (n *Node) NodeState() readers.NodeState {
+	s := readers.NodeState{Routes: n.routing.table() != nil, NoPeers: true}
+	s.NeedsProof, s.Isolated = n.quotas.proofState()
 	ownRank := rank(n.cfg.PeerAddr)
 	ranksBefore := make(map[uint64]struct{}) // a set: two incarnations at one address count once
 	centres := map[string]struct{}{n.cfg.DataCentre: {}}
 	n.members.with(func(m *membership.Members) {
 		for rec := range m.All() {
-			s.Alone = s.Alone && rec.ID == n.id
+			s.NoPeers = s.NoPeers && rec.ID == n.id
 			if rec.DataCentre != n.cfg.DataCentre {
 				centres[rec.DataCentre] = struct{}{}
 				continue
--- a/operator/publish.go
+++ b/operator/publish.go
@@ -136,7 +136,7 @@
 
 // Publish publishes the sections that differ from those in force as one publication,
 // which is accepted or rejected as a whole. The error wraps ErrRefused if it is
-// rejected, and config.ErrUnsettled if the outcome is unknown.
+// rejected, and config.ErrOutcomeUnknown if the outcome is unknown.
 func (o *Operator) Publish(ctx context.Context, p Publication) error {
 	pub, err := o.prepare(ctx, p)
 	if err != nil || len(pub.Sections) == 0 {
@@ -180,7 +180,7 @@
 		o.printf("%s\n", o.describe(plan.state, c))
 		base, _ := plan.state.Section(c.Service) // the zero value for a new service
 		pub.Sections = append(pub.Sections, config.SectionChange{
-			Service: c.Service, Text: c.New, Base: base.Version, Delete: c.Kind == graph.Removed,
+			Service: c.Service, Text: c.New, BaseVersion: base.Version, Delete: c.Kind == graph.Removed,
 		})
 	}
 	return pub, nil
@@ -220,7 +220,7 @@
 	if !ok {
 		return false, nil
 	}
-	outcome := config.Outcome{Status: config.Rejected, Version: v.Version, Cause: v.Cause, Repeated: true}
+	outcome := config.Outcome{Status: config.Rejected, Version: v.Version, Cause: v.Cause, FromEarlierCall: true}
 	if v.Accepted {
 		outcome.Status = config.Accepted
 	}
@@ -231,7 +231,7 @@
 // accepted.
 func (o *Operator) reportOutcome(pub config.Publication, outcome config.Outcome) error {
 	repeatedNote := ""
-	if outcome.Repeated {
+	if outcome.FromEarlierCall {
 		repeatedNote = " (settled by an earlier run)"
 	}
 	switch outcome.Status {
@@ -249,7 +249,7 @@
 // publishFailed prints how to continue after a failed publication and returns err.
 func (o *Operator) publishFailed(pub config.Publication, err error) error {
 	o.adviseNoBase(err)
-	if errors.Is(err, config.ErrUnsettled) {
+	if errors.Is(err, config.ErrOutcomeUnknown) {
 		o.printf("the outcome is not known; publish the same file again with --id %s: it cannot count twice\n", pub.ID)
 	}
 	return err
--- a/operator/publish_test.go
+++ b/operator/publish_test.go
@@ -177,7 +177,7 @@
 	p := Publication{Text: Text{"f.hcl", []byte(stationlog)}, Operator: "aino", ID: "p-1"}
 	err := s.Publish(ctx, p)
 	is.Equal(ExitCode(err), ExitFailed)
-	is.True(errors.Is(err, config.ErrUnsettled))
+	is.True(errors.Is(err, config.ErrOutcomeUnknown))
 	is.True(s.printed("--id p-1"))
 
 	again := newSession(log)
--- a/readers/list.go
+++ b/readers/list.go
@@ -7,33 +7,33 @@
 
 // ListConfig configures List.
 type ListConfig struct {
-	// Every is the mean interval between two reads of the list by a reader.
+	// ReadInterval is the mean interval between two reads of the list by a reader.
 	// Groups of nodes that formed separately discover each other through the
 	// list, since each group has readers.
-	Every time.Duration
-	// AloneEvery is the mean interval for a node that knows no other node.
-	AloneEvery time.Duration
+	ReadInterval time.Duration
+	// LoneReadInterval is the mean interval for a node that knows no other node.
+	LoneReadInterval time.Duration
 	// RetryMin and RetryMax bound the pause after a failure while the node is
 	// alone. Such a node can only serve its own backend server.
 	RetryMin, RetryMax time.Duration
 	// UnlistedRetry is the pause after a failure for a node that knows others
 	// and only lacks its own entry in the list.
 	UnlistedRetry time.Duration
-	// WriteSpread is the time per hundred nodes in the list over which first
+	// WriteSpreadPer100 is the time per hundred nodes in the list over which first
 	// entries are spread. It keeps a fleet that starts at once below the write
 	// limit of the store.
-	WriteSpread time.Duration
+	WriteSpreadPer100 time.Duration
 }
 
 // DefaultListConfig returns the default configuration.
 func DefaultListConfig() ListConfig {
 	return ListConfig{
-		Every:         30 * time.Second,
-		AloneEvery:    2 * time.Second,
-		RetryMin:      200 * time.Millisecond,
-		RetryMax:      2 * time.Second,
-		UnlistedRetry: 5 * time.Second,
-		WriteSpread:   500 * time.Millisecond,
+		ReadInterval:      30 * time.Second,
+		LoneReadInterval:  2 * time.Second,
+		RetryMin:          200 * time.Millisecond,
+		RetryMax:          2 * time.Second,
+		UnlistedRetry:     5 * time.Second,
+		WriteSpreadPer100: 500 * time.Millisecond,
 	}
 }
 
@@ -66,8 +66,8 @@
 // Pause returns how long to wait before reading the list, zero to read now.
 // After a positive pause it must be called again. A listed node that is not
 // alone leaves reading to the readers.
-func (l *List) Pause(now time.Time, s Situation) time.Duration {
-	if l.listed && !s.Reader && !s.Alone {
+func (l *List) Pause(now time.Time, s NodeState) time.Duration {
+	if l.listed && !s.Reader && !s.NoPeers {
 		return idlePause
 	}
 	nextRead := l.retryAt
@@ -83,42 +83,42 @@
 // nextRead returns when to read the list again if the last read succeeded. The
 // interval depends on whether the node is alone now, not on whether it was at
 // the last read.
-func (l *List) nextRead(s Situation) time.Time {
+func (l *List) nextRead(s NodeState) time.Time {
 	if l.lastRead.IsZero() || !l.listed {
 		return time.Time{}
 	}
-	every := l.cfg.Every
-	if s.Alone {
-		every = l.cfg.AloneEvery
+	every := l.cfg.ReadInterval
+	if s.NoPeers {
+		every = l.cfg.LoneReadInterval
 	}
 	return l.lastRead.Add(time.Duration(l.periodFactor * float64(every)))
 }
 
-// Read records that the list was read, its number of entries and whether it
-// contains this node. If the node is not listed, Read returns how long to wait
+// RecordRead records that the list was read, its number of entries and whether it
+// contains this node. If the node is not listed, RecordRead returns how long to wait
 // before adding its entry; otherwise the result is to be ignored.
-func (l *List) Read(now time.Time, entries int, listed bool) time.Duration {
+func (l *List) RecordRead(now time.Time, entries int, listed bool) time.Duration {
 	l.retries.reset()
 	l.listed = listed // a former entry may be lost
 	l.lastRead = now
 	l.periodFactor = l.rng.Float64()/2 + 0.75
-	return time.Duration(l.rng.Float64() * float64(l.cfg.WriteSpread) * float64(entries) / 100)
+	return time.Duration(l.rng.Float64() * float64(l.cfg.WriteSpreadPer100) * float64(entries) / 100)
 }
 
 // Listed reports whether the node is known to be in the list.
 func (l *List) Listed() bool { return l.listed }
 
-// Lost records that entries may have been lost, so that the list is read
+// Invalidate records that entries may have been lost, so that the list is read
 // again.
-func (l *List) Lost() { l.listed = false }
+func (l *List) Invalidate() { l.listed = false }
 
-// Entered records that the store accepted the node's entry.
-func (l *List) Entered() { l.listed = true }
+// RecordEntry records that the store accepted the node's entry.
+func (l *List) RecordEntry() { l.listed = true }
 
-// Failed records that a read or write of the list failed.
-func (l *List) Failed(now time.Time, s Situation) {
+// RecordFailure records that a read or write of the list failed.
+func (l *List) RecordFailure(now time.Time, s NodeState) {
 	pause := l.cfg.UnlistedRetry
-	if s.Alone {
+	if s.NoPeers {
 		pause = l.retries.nextDelay()
 	}
 	l.retryAt = now.Add(jitter(l.rng, pause))
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -16,9 +16,9 @@
 	"time"
 )
 
-// Situation is a node's view of itself and its peers when it plans the next
+// NodeState is a node's view of itself and its peers when it plans the next
 // call.
-type Situation struct {
+type NodeState struct {
 	// Reader says that the node is one of the few that read for their data
 	// centre.
 	Reader bool
@@ -26,14 +26,14 @@
 	// centre with proofs that the routes are the newest. Most provers are
 	// readers; one that is not reads the routes like a reader.
 	Prover bool
-	// Alone says that the node knows no other node.
-	Alone bool
+	// NoPeers says that the node knows no other node.
+	NoPeers bool
 	// Routes says that the node has routes in force, from the store or from a
 	// peer.
 	Routes bool
-	// Unproved says that neither the node nor a reachable peer has a recent
+	// NeedsProof says that neither the node nor a reachable peer has a recent
 	// proof that the routes are the newest.
-	Unproved bool
+	NeedsProof bool
 	// Isolated says that no peer has answered a request recently.
 	Isolated bool
 	// Neighbours is the number of nodes in the data centre, including this
@@ -42,7 +42,7 @@
 }
 
 // followsStore reports whether the node waits at the store for new routes.
-func (s Situation) followsStore() bool { return s.Reader || s.Prover }
+func (s NodeState) followsStore() bool { return s.Reader || s.Prover }
 
 // idlePause is the longest pause before the situation is checked again: the
 // node may have become a reader because another one failed. It adds to the
--- a/readers/readers_test.go
+++ b/readers/readers_test.go
@@ -73,7 +73,7 @@
 		f.receiveRoutes(i)
 		f.nodes[i].Answered(now)
 	}
-	s := Situation{Reader: i < 2, Prover: i < 1, Routes: f.versions[i] > 0, Neighbours: len(f.nodes), Unproved: now.Sub(f.provenAt[i]) > proofMaxAge}
+	s := NodeState{Reader: i < 2, Prover: i < 1, Routes: f.versions[i] > 0, Neighbours: len(f.nodes), NeedsProof: now.Sub(f.provenAt[i]) > proofMaxAge}
 	next := f.nodes[i].Next(now, s)
 	if next.Action == Pause {
 		return
@@ -132,7 +132,7 @@
 	rest400, changes400 := calls(400)
 	t.Log(rest40, rest400, changes40, changes400)
 	cfg := fleetConfig()
-	reads := int(time.Minute/cfg.Wait) + int(time.Minute/cfg.ProverWait) + int(time.Minute/cfg.CheckEach)
+	reads := int(time.Minute/cfg.Wait) + int(time.Minute/cfg.ProverWait) + int(time.Minute/cfg.CheckPerNode)
 	is.True(rest400 < 2*rest40 && rest400 <= reads)
 	is.True(changes400 <= reads/3+2*20) // the reads of 20 s, and two for each change
 }
@@ -152,8 +152,8 @@
 	now = f.run(now, 10*time.Second)
 	byReaders := f.callsByNode[0] + f.callsByNode[1]
 	t.Log(f.calls, byReaders)
-	is.True(byReaders <= 2*int(10*time.Second/(fleetConfig().ProveEvery*3/4))+2)
-	maxPerNode := int(10*time.Second/(fleetConfig().ProveRetryMost*3/4)) + 1
+	is.True(byReaders <= 2*int(10*time.Second/(fleetConfig().ReaderProofInterval*3/4))+2)
+	maxPerNode := int(10*time.Second/(fleetConfig().ProofRetryMax*3/4)) + 1
 	is.True(f.calls-byReaders <= maxPerNode*(len(f.nodes)-2))
 	f.storeDown = false
 	f.published++
@@ -176,7 +176,7 @@
 	is := is.New(t)
 	r := NewRoutes(DefaultRoutesConfig(), 1)
 	now := start
-	reads := func(s Situation, d time.Duration) (n int) {
+	reads := func(s NodeState, d time.Duration) (n int) {
 		for end := now.Add(d); now.Before(end); now = now.Add(tick) {
 			if r.Next(now, s).Action != Pause {
 				n++
@@ -185,23 +185,23 @@
 		}
 		return n
 	}
-	is.True(reads(Situation{Alone: true, Reader: true}, 5*time.Second) >= 6)
-	is.True(reads(Situation{Routes: true, Neighbours: 39}, 20*time.Second) <= 1)
-	is.True(reads(Situation{Routes: true, Neighbours: 39, Reader: true}, 5*time.Second) >= 4)
+	is.True(reads(NodeState{NoPeers: true, Reader: true}, 5*time.Second) >= 6)
+	is.True(reads(NodeState{Routes: true, Neighbours: 39}, 20*time.Second) <= 1)
+	is.True(reads(NodeState{Routes: true, Neighbours: 39, Reader: true}, 5*time.Second) >= 4)
 }
 
 // Guards against a delay after the position to read from has expired.
 func TestExpiredRecordsAreReadAnew(t *testing.T) {
 	is := is.New(t)
 	r := NewRoutes(DefaultRoutesConfig(), 1)
-	s := Situation{Reader: true, Routes: true}
-	is.Equal(r.Next(start, s).Action, Newest)
+	s := NodeState{Reader: true, Routes: true}
+	is.Equal(r.Next(start, s).Action, ReadCurrent)
 	r.Answered(start)
 	is.Equal(r.Next(start, s).Action, Pause) // the readers are not known yet
-	later := start.Add(DefaultRoutesConfig().Settle)
-	is.Equal(r.Next(later, s), Step{Follow, DefaultRoutesConfig().Wait})
+	later := start.Add(DefaultRoutesConfig().SettleTime)
+	is.Equal(r.Next(later, s), Step{ReadChanges, DefaultRoutesConfig().Wait})
 	r.Gone()
-	is.Equal(r.Next(later, s).Action, Newest)
+	is.Equal(r.Next(later, s).Action, ReadCurrent)
 }
 
 // Guards against reads of the list by nodes that are listed, not alone and no
@@ -209,19 +209,19 @@
 func TestListIsReadByReaders(t *testing.T) {
 	is := is.New(t)
 	l := NewList(DefaultListConfig(), 1)
-	met := Situation{Neighbours: 39}
+	met := NodeState{Neighbours: 39}
 	is.Equal(l.Pause(start, met), time.Duration(0))
-	is.True(l.Read(start, 200, false) <= time.Second) // the entry is spread over a second
-	l.Failed(start, met)                              // the entry was not accepted
+	is.True(l.RecordRead(start, 200, false) <= time.Second) // the entry is spread over a second
+	l.RecordFailure(start, met)                             // the entry was not accepted
 	is.True(l.Pause(start, met) > 0)
 	later := start.Add(10 * time.Second)
 	is.Equal(l.Pause(later, met), time.Duration(0))
-	l.Read(later, 200, false)
-	l.Entered()
+	l.RecordRead(later, 200, false)
+	l.RecordEntry()
 	muchLater := later.Add(time.Hour)
 	is.True(l.Pause(muchLater, met) > 0)
-	is.Equal(l.Pause(muchLater, Situation{Neighbours: 39, Reader: true}), time.Duration(0))
-	is.Equal(l.Pause(muchLater, Situation{Alone: true}), time.Duration(0))
+	is.Equal(l.Pause(muchLater, NodeState{Neighbours: 39, Reader: true}), time.Duration(0))
+	is.Equal(l.Pause(muchLater, NodeState{NoPeers: true}), time.Duration(0))
 }
 
 // Guards against a node that reads the list at the interval of a lone node
@@ -229,28 +229,28 @@
 func TestListIntervalFollowsCurrentSituation(t *testing.T) {
 	is := is.New(t)
 	l := NewList(DefaultListConfig(), 1)
-	l.Read(start, 0, false)
-	l.Entered()
+	l.RecordRead(start, 0, false)
+	l.RecordEntry()
 	later := start.Add(3 * time.Second)
-	is.Equal(l.Pause(later, Situation{Alone: true, Reader: true}), time.Duration(0))
-	is.True(l.Pause(later, Situation{Neighbours: 39, Reader: true}) > 0)
+	is.Equal(l.Pause(later, NodeState{NoPeers: true, Reader: true}), time.Duration(0))
+	is.True(l.Pause(later, NodeState{Neighbours: 39, Reader: true}) > 0)
 }
 
 // Guards against slow retries of a lone node, and against fast ones of a node
 // that only lacks its entry in the list.
 func TestLoneNodeRetriesSooner(t *testing.T) {
 	is := is.New(t)
-	tries := func(s Situation) (n int) {
+	tries := func(s NodeState) (n int) {
 		l := NewList(DefaultListConfig(), 1)
 		for now := start; now.Before(start.Add(20 * time.Second)); now = now.Add(tick) {
 			if l.Pause(now, s) == 0 {
 				n++
-				l.Failed(now, s)
+				l.RecordFailure(now, s)
 			}
 		}
 		return n
 	}
-	alone, met := tries(Situation{Alone: true}), tries(Situation{Neighbours: 39})
+	alone, met := tries(NodeState{NoPeers: true}), tries(NodeState{Neighbours: 39})
 	is.True(alone >= 9)
 	is.True(met <= 6)
 }
@@ -261,11 +261,11 @@
 	for reader, maxReads := range map[bool]int{true: 13, false: 3} {
 		is := is.New(t)
 		r := NewRoutes(DefaultRoutesConfig(), 1)
-		is.Equal(r.Next(start, Situation{}), Step{Action: Newest})
+		is.Equal(r.Next(start, NodeState{}), Step{Action: ReadCurrent})
 		r.Answered(start)
 		reads := 0
 		for now := start; now.Before(start.Add(4 * time.Second)); now = now.Add(tick) {
-			if next := r.Next(now, Situation{Routes: true, Unproved: true, Reader: reader, Neighbours: 20}); next.Action == Follow {
+			if next := r.Next(now, NodeState{Routes: true, NeedsProof: true, Reader: reader, Neighbours: 20}); next.Action == ReadChanges {
 				reads++
 				r.Failed(now) // the store is unavailable
 			}
--- a/readers/routes.go
+++ b/readers/routes.go
@@ -11,11 +11,11 @@
 const (
 	// Pause waits for Step.For.
 	Pause Action = iota
-	// Newest reads the current routes.
-	Newest
-	// Follow reads the changes since the last read. If there are none, it
+	// ReadCurrent reads the current routes.
+	ReadCurrent
+	// ReadChanges reads the changes since the last read. If there are none, it
 	// waits at the store for up to Step.For.
-	Follow
+	ReadChanges
 )
 
 // Step is the next action of a node.
@@ -32,29 +32,29 @@
 	// because the next read uses another connection. ProverWait is the same
 	// for a prover. A proof may be twice that old when the next one arrives.
 	Wait, ProverWait time.Duration
-	// Settle is the time after the first read during which a node does not act
+	// SettleTime is the time after the first read during which a node does not act
 	// as a reader. It does not know its peers yet, and in a fleet that starts
 	// at once every node would consider itself a reader.
-	Settle time.Duration
-	// CheckMin and CheckEach determine the interval between reads of a node
-	// that does not follow the store: CheckEach times the number of nodes in
+	SettleTime time.Duration
+	// CheckMin and CheckPerNode determine the interval between reads of a node
+	// that does not follow the store: CheckPerNode times the number of nodes in
 	// the data centre, but at least CheckMin. So the rate per data centre does
 	// not grow with its size.
-	CheckMin, CheckEach time.Duration
-	// ProveEvery is the interval between reads of a reader or prover that
+	CheckMin, CheckPerNode time.Duration
+	// ReaderProofInterval is the interval between reads of a reader or prover that
 	// needs a proof that its routes are the newest. It bounds the delay until
 	// versions and requests with keys are handled again after an outage of the
 	// store.
-	ProveEvery time.Duration
-	// ProveElse is the interval for other nodes after a successful read. They
+	ReaderProofInterval time.Duration
+	// NonReaderProofInterval is the interval for other nodes after a successful read. They
 	// read only if no peer has a proof.
-	ProveElse time.Duration
-	// ProveRetry is the interval for other nodes after a failed read. While
-	// peers answer, it is ProveRetryEach times the number of nodes in the data
-	// centre, at least ProveRetry and at most ProveRetryMost. This limits the
+	NonReaderProofInterval time.Duration
+	// ProofRetryMin is the interval for other nodes after a failed read. While
+	// peers answer, it is ProofRetryPerNode times the number of nodes in the data
+	// centre, at least ProofRetryMin and at most ProofRetryMax. This limits the
 	// calls during an outage, after which the provers supply proofs for all
 	// nodes.
-	ProveRetry, ProveRetryEach, ProveRetryMost time.Duration
+	ProofRetryMin, ProofRetryPerNode, ProofRetryMax time.Duration
 	// RetryMin and RetryMax bound the pause after a failure. RetryMin is short
 	// compared to the time in which a version must be in force. RetryMax
 	// limits the load of readers on an unavailable store.
@@ -64,19 +64,19 @@
 // DefaultRoutesConfig returns the default configuration.
 func DefaultRoutesConfig() RoutesConfig {
 	return RoutesConfig{
-		Wait:       2500 * time.Millisecond,
-		ProverWait: 2500 * time.Millisecond,
-		Settle:     3 * time.Second,
-		CheckMin:   25 * time.Second,
-		CheckEach:  2 * time.Second,
-		ProveEvery: 400 * time.Millisecond,
-		ProveElse:  time.Second,
-		ProveRetry: 2 * time.Second,
-
-		ProveRetryEach: 100 * time.Millisecond,
-		ProveRetryMost: 5 * time.Second,
-		RetryMin:       100 * time.Millisecond,
-		RetryMax:       time.Second,
+		Wait:                   2500 * time.Millisecond,
+		ProverWait:             2500 * time.Millisecond,
+		SettleTime:             3 * time.Second,
+		CheckMin:               25 * time.Second,
+		CheckPerNode:           2 * time.Second,
+		ReaderProofInterval:    400 * time.Millisecond,
+		NonReaderProofInterval: time.Second,
+		ProofRetryMin:          2 * time.Second,
+
+		ProofRetryPerNode: 100 * time.Millisecond,
+		ProofRetryMax:     5 * time.Second,
+		RetryMin:          100 * time.Millisecond,
+		RetryMax:          time.Second,
 	}
 }
 
@@ -111,9 +111,9 @@
 }
 
 // Next returns the next step of the node.
-func (r *Routes) Next(now time.Time, s Situation) Step {
+func (r *Routes) Next(now time.Time, s NodeState) Step {
 	r.pauseAfterAnswer, r.pauseAfterFailure = 0, 0
-	if s.Routes && s.Unproved {
+	if s.Routes && s.NeedsProof {
 		return r.proofStep(now, s)
 	}
 	if remaining := r.retryAt.Sub(now); remaining > 0 {
@@ -121,11 +121,11 @@
 	}
 	switch {
 	case !s.Routes && !r.canFollow:
-		return Step{Action: Newest}
+		return Step{Action: ReadCurrent}
 	case !s.Routes && s.followsStore():
-		return Step{Follow, r.cfg.readWait(s)}
+		return Step{ReadChanges, r.cfg.readWait(s)}
 	case !s.Routes: // the operator has not published any routes
-		return Step{Follow, r.cfg.CheckMin}
+		return Step{ReadChanges, r.cfg.CheckMin}
 	}
 	if remaining := r.settledAt.Sub(now); remaining > 0 {
 		return Step{Pause, min(remaining, routesIdlePause)}
@@ -145,48 +145,48 @@
 
 // proofStep returns the step of a node that needs a proof that its routes are
 // the newest.
-func (r *Routes) proofStep(now time.Time, s Situation) Step {
+func (r *Routes) proofStep(now time.Time, s NodeState) Step {
 	if remaining := r.nextProofAt.Sub(now); remaining > 0 {
 		return Step{Pause, min(remaining, routesIdlePause)}
 	}
-	r.pauseAfterAnswer, r.pauseAfterFailure = r.cfg.ProveEvery, r.cfg.ProveEvery
+	r.pauseAfterAnswer, r.pauseAfterFailure = r.cfg.ReaderProofInterval, r.cfg.ReaderProofInterval
 	if !s.followsStore() {
-		r.pauseAfterAnswer, r.pauseAfterFailure = r.cfg.ProveElse, r.cfg.proofRetry(s)
+		r.pauseAfterAnswer, r.pauseAfterFailure = r.cfg.NonReaderProofInterval, r.cfg.proofRetry(s)
 	}
 	r.proofStarted = now
 	if !r.canFollow {
-		return Step{Action: Newest}
+		return Step{Action: ReadCurrent}
 	}
-	return Step{Action: Follow}
+	return Step{Action: ReadChanges}
 }
 
 // proofRetry returns the pause after a failed read by a node that does not
 // follow the store.
-func (c RoutesConfig) proofRetry(s Situation) time.Duration {
+func (c RoutesConfig) proofRetry(s NodeState) time.Duration {
 	if s.Isolated {
-		return c.ProveRetry
+		return c.ProofRetryMin
 	}
-	return max(c.ProveRetry, min(time.Duration(s.Neighbours)*c.ProveRetryEach, c.ProveRetryMost))
+	return max(c.ProofRetryMin, min(time.Duration(s.Neighbours)*c.ProofRetryPerNode, c.ProofRetryMax))
 }
 
-func (r *Routes) nextCheck(now time.Time, s Situation) time.Time {
-	return now.Add(jitter(r.rng, max(r.cfg.CheckMin, time.Duration(s.Neighbours)*r.cfg.CheckEach)))
+func (r *Routes) nextCheck(now time.Time, s NodeState) time.Time {
+	return now.Add(jitter(r.rng, max(r.cfg.CheckMin, time.Duration(s.Neighbours)*r.cfg.CheckPerNode)))
 }
 
 // readStep returns the step of a node that is due to read.
-func (r *Routes) readStep(now time.Time, s Situation) Step {
+func (r *Routes) readStep(now time.Time, s NodeState) Step {
 	r.checkAt = r.nextCheck(now, s)
 	switch {
 	case !r.canFollow:
-		return Step{Action: Newest}
+		return Step{Action: ReadCurrent}
 	case s.followsStore():
-		return Step{Follow, r.cfg.readWait(s)}
+		return Step{ReadChanges, r.cfg.readWait(s)}
 	}
-	return Step{Action: Follow}
+	return Step{Action: ReadChanges}
 }
 
 // readWait returns how long a read waits at the store.
-func (c RoutesConfig) readWait(s Situation) time.Duration {
+func (c RoutesConfig) readWait(s NodeState) time.Duration {
 	if s.Prover {
 		return c.ProverWait
 	}
@@ -199,7 +199,7 @@
 	r.nextProofAt = now.Add(jitter(r.rng, r.pauseAfterAnswer))
 	if !r.canFollow {
 		r.canFollow = true
-		r.settledAt = now.Add(r.cfg.Settle)
+		r.settledAt = now.Add(r.cfg.SettleTime)
 	}
 }
 
--- a/readers/intime_test.go
+++ b/readers/simulation_test.go
@@ -136,11 +136,11 @@
 		return
 	}
 	unproved := !w.noProofs && w.now.Sub(r.provenAt) > proofMaxAge
-	next := r.plan.Next(w.now, Situation{Reader: i < 2, Prover: i < 1, Routes: r.versions > 0, Unproved: unproved,
+	next := r.plan.Next(w.now, NodeState{Reader: i < 2, Prover: i < 1, Routes: r.versions > 0, NeedsProof: unproved,
 		Isolated: w.now.Sub(r.lastAnswer) > isolatedAfter, Neighbours: len(w.nodes)})
 	if next.Action != Pause {
 		r.sentAt, r.waitUntil, r.timeout = w.now, w.now.Add(next.For), followTimeout
-		if next.Action == Newest {
+		if next.Action == ReadCurrent {
 			r.timeout = newestTimeout
 		}
 	}
