--- a/admission/route_health.go
+++ b/admission/route_health.go
@@ -39,7 +39,7 @@
 		MinRemainingShare: 0.75,
 		WaitMin:           0.2,
 		WaitMax:           1.0 / 3,
-		Routes:            4096, // as many as reach.Book knows
+		Routes:            4096, // as many as reach.Tracker knows
 	}
 }
 
--- a/cmd/demo/judge.go
+++ b/cmd/demo/judge.go
@@ -86,7 +86,7 @@
 		if !o.Idempotent {
 			counts[o.Ref()]++
 		}
-		for _, ref := range o.DependsOn {
+		for _, ref := range o.Calls {
 			if next, ok := g.Operation(ref.Service, ref.Operation); ok {
 				visit(next)
 			}
--- a/cmd/demo/traffic.go
+++ b/cmd/demo/traffic.go
@@ -86,10 +86,10 @@
 }
 
 func (d *demo) checkTree(o *graph.Operation, a *backend.Answer) error {
-	if len(a.Children) != len(o.DependsOn) {
-		return fmt.Errorf("%s holds %d answers, %d calls are declared", o.Ref(), len(a.Children), len(o.DependsOn))
+	if len(a.Children) != len(o.Calls) {
+		return fmt.Errorf("%s holds %d answers, %d calls are declared", o.Ref(), len(a.Children), len(o.Calls))
 	}
-	for i, ref := range o.DependsOn {
+	for i, ref := range o.Calls {
 		child := &a.Children[i]
 		if child.Service != ref.Service || child.Operation != ref.Operation {
 			return fmt.Errorf("%s holds an answer of %s.%s in place of %s", o.Ref(), child.Service, child.Operation, ref)
--- a/daemon/find.go
+++ b/daemon/find.go
@@ -25,8 +25,8 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	for {
-		if table := n.Routes(); table != nil && table.Health(s.Service) != "" {
-			b, err := platform.AskHealth(ctx, s.Backend, table.Health(s.Service))
+		if table := n.Routes(); table != nil && table.HealthPath(s.Service) != "" {
+			b, err := platform.AskHealth(ctx, s.Backend, table.HealthPath(s.Service))
 			if err != nil {
 				log.Info().Err(err).Msg("backend server not found at the start")
 				return
--- a/dispatch/targets.go
+++ b/dispatch/targets.go
@@ -213,7 +213,7 @@
 func (d *Dispatcher) grant(p Params) retry.Grant {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return p.Ledger.Grant(p.Operation.Height(), p.Fanout)
+	return p.Ledger.Grant(p.Operation.CallDepth(), p.Fanout)
 }
 
 func (d *Dispatcher) returnGrant(p Params, g retry.Grant, unused uint32) {
--- a/graph/bench_test.go
+++ b/graph/bench_test.go
@@ -61,10 +61,10 @@
 		b.Fatal(ps)
 	}
 	o, _ := g.Operation("svc-000", "op0")
-	last := o.DependsOn[len(o.DependsOn)-1]
+	last := o.Calls[len(o.Calls)-1]
 	b.ReportAllocs()
 	for b.Loop() {
-		if !o.Allows(last.Service, last.Operation) {
+		if !o.DeclaresCall(last.Service, last.Operation) {
 			b.Fatal("not allowed")
 		}
 	}
--- a/graph/build.go
+++ b/graph/build.go
@@ -127,7 +127,7 @@
 			from.op.Ref(), c.ref)
 	}
 	from.calls = append(from.calls, edge{line: c.line, to: to})
-	from.op.DependsOn = append(from.op.DependsOn, c.ref)
+	from.op.Calls = append(from.op.Calls, c.ref)
 }
 
 // addUnknownCall adds the problem of a call to an undeclared service or operation.
@@ -212,7 +212,7 @@
 	for _, s := range b.graph.services {
 		slices.SortFunc(s.Operations, func(a, b *Operation) int { return strings.Compare(a.Name, b.Name) })
 		for _, o := range s.Operations {
-			slices.SortFunc(o.DependsOn, Ref.compare)
+			slices.SortFunc(o.Calls, Ref.compare)
 		}
 	}
 }
--- a/graph/graph.go
+++ b/graph/graph.go
@@ -56,9 +56,9 @@
 	// ExtraAttempts is the retry budget of a request that enters at this
 	// operation, shared by all its calls.
 	ExtraAttempts int
-	// DependsOn lists the operations that this one may call, sorted by
+	// Calls lists the operations that this one may call, sorted by
 	// service and name.
-	DependsOn []Ref
+	Calls []Ref
 
 	reach  []string
 	height int
@@ -121,14 +121,14 @@
 // shared and must not be modified.
 func (o *Operation) Reach() []string { return o.reach }
 
-// Height returns the number of calls on the longest call chain below the
+// CallDepth returns the number of calls on the longest call chain below the
 // operation. It is zero for an operation without calls.
-func (o *Operation) Height() int { return o.height }
+func (o *Operation) CallDepth() int { return o.height }
 
-// Allows reports whether the operation declares a call to the given operation.
-func (o *Operation) Allows(service, op string) bool {
-	for i := range o.DependsOn {
-		if o.DependsOn[i].Operation == op && o.DependsOn[i].Service == service {
+// DeclaresCall reports whether the operation declares a call to the given operation.
+func (o *Operation) DeclaresCall(service, op string) bool {
+	for i := range o.Calls {
+		if o.Calls[i].Operation == op && o.Calls[i].Service == service {
 			return true
 		}
 	}
--- a/graph/graph_test.go
+++ b/graph/graph_test.go
@@ -145,8 +145,8 @@
 	}
 	services := map[string]bool{}
 	height, _ := p.walk(i, 0, services)
-	if o.Height() != height {
-		t.Fatalf("height of %v is %d, want %d", o.Ref(), o.Height(), height)
+	if o.CallDepth() != height {
+		t.Fatalf("height of %v is %d, want %d", o.Ref(), o.CallDepth(), height)
 	}
 	if o.Reach()[0] != o.Service || len(o.Reach()) != len(services) || !slices.IsSorted(o.Reach()[1:]) {
 		t.Fatalf("reach of %v is %v, want %v", o.Ref(), o.Reach(), services)
@@ -157,7 +157,7 @@
 		}
 	}
 	for j := range p.calls {
-		if o.Allows(p.ref(j).Service, p.ref(j).Operation) != slices.Contains(p.calls[i], j) {
+		if o.DeclaresCall(p.ref(j).Service, p.ref(j).Operation) != slices.Contains(p.calls[i], j) {
 			t.Fatalf("Allows is wrong for a call from %v to %v", o.Ref(), p.ref(j))
 		}
 	}
@@ -216,7 +216,7 @@
 		is.Equal(len(g.Services()), 4)
 		o, ok := g.Operation(entry.Service, entry.Operation)
 		is.True(ok)
-		is.Equal(o.Height(), 2)
-		is.True(len(o.DependsOn) >= 2)
+		is.Equal(o.CallDepth(), 2)
+		is.True(len(o.Calls) >= 2)
 	}
 }
--- a/graph/problems_test.go
+++ b/graph/problems_test.go
@@ -121,7 +121,7 @@
 	g, ps := Parse("f.hcl", chain(MaxDepth))
 	is.NoErr(ps.Err())
 	top, _ := g.Operation("s00", "x")
-	is.Equal(top.Height(), MaxDepth)
+	is.Equal(top.CallDepth(), MaxDepth)
 
 	_, ps = Parse("f.hcl", chain(MaxDepth+3))
 	is.Equal(len(ps), 1) // only the lowest operation above the limit
@@ -143,8 +143,8 @@
 	is.Equal(x.Importance, importance.Critical)
 	is.Equal(x.Deadline, 800*time.Millisecond)
 	is.Equal(x.ExtraAttempts, 0)
-	is.Equal(x.DependsOn, []Ref{{"a", "leaf"}})
-	is.True(x.Allows("a", "leaf") && !x.Allows("a", "x"))
+	is.Equal(x.Calls, []Ref{{"a", "leaf"}})
+	is.True(x.DeclaresCall("a", "leaf") && !x.DeclaresCall("a", "x"))
 	is.Equal(len(g.Warnings()), 1) // a.x calls its own service
 	leaf, _ := g.Operation("a", "leaf")
 	is.True(!leaf.Idempotent) // the safe default
--- a/internal/prove/oracle.go
+++ b/internal/prove/oracle.go
@@ -97,7 +97,7 @@
 	if entry == of {
 		n = 1
 	}
-	for _, ref := range op.DependsOn {
+	for _, ref := range op.Calls {
 		n += declaredRuns(g, ref, of)
 	}
 	return n
--- a/internal/prove/send.go
+++ b/internal/prove/send.go
@@ -114,10 +114,10 @@
 
 func (f *Fleet) checkTree(ref graph.Ref, a *backend.Answer) error {
 	op, ok := f.Graph.Operation(ref.Service, ref.Operation)
-	if !ok || len(a.Children) != len(op.DependsOn) {
+	if !ok || len(a.Children) != len(op.Calls) {
 		return errTree
 	}
-	for i, child := range op.DependsOn {
+	for i, child := range op.Calls {
 		got := &a.Children[i]
 		if got.Service != child.Service || got.Operation != child.Operation {
 			return errTree
--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -38,7 +38,7 @@
 	running map[uint64]*run
 	// book holds what requests that entered here have reached, calls the same
 	// of the backend server's own calls.
-	book, calls *reach.Book
+	book, calls *reach.Tracker
 }
 
 // run is one task at the backend server.
@@ -154,7 +154,7 @@
 func (n *node) learn(c *Class, reached []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.book.Learn(time.Now(), c.Name, append(reached, c.Service))
+	n.book.Record(time.Now(), c.Name, append(reached, c.Service))
 }
 
 // call makes a call for a task; false if it failed.
@@ -181,7 +181,7 @@
 	defer n.mu.Unlock()
 	r.used = out.AddUses(r.used, service)
 	r.callsFailed = r.callsFailed || !out.Served()
-	if n.calls.Learn(time.Now(), "", call.Names(r.used)) {
+	if n.calls.Record(time.Now(), "", call.Names(r.used)) {
 		n.dispatch.SetForwarded(n.calls.Reach(""))
 	}
 }
--- a/internal/rig/load/capacity.go
+++ b/internal/rig/load/capacity.go
@@ -48,7 +48,7 @@
 	held := m.Time(rng, service, operation)
 	var slowest time.Duration
 	if o, ok := m.Graph.Operation(service, operation); ok {
-		for _, ref := range o.DependsOn {
+		for _, ref := range o.Calls {
 			slowest = max(slowest, m.sample(rng, ref.Service, ref.Operation, u))
 		}
 	}
--- a/internal/rig/users.go
+++ b/internal/rig/users.go
@@ -56,11 +56,11 @@
 func calls(s *graph.Service) []string {
 	var list []string
 	for _, o := range s.Operations {
-		if len(o.DependsOn) == 0 {
+		if len(o.Calls) == 0 {
 			continue
 		}
-		names := make([]string, len(o.DependsOn))
-		for i, ref := range o.DependsOn {
+		names := make([]string, len(o.Calls))
+		for i, ref := range o.Calls {
 			names[i] = ref.String()
 		}
 		list = append(list, o.Name+"="+strings.Join(names, "&"))
--- a/node/authorize.go
+++ b/node/authorize.go
@@ -17,17 +17,17 @@
 // needs no key and has none. It checks the key only against a configuration that is proven
 // fresh, so that a revoked key is not accepted.
 func (n *Node) authorize(ctx context.Context, route *routes.Route, key string) (*workspace.Workspace, *verdict.Error) {
-	if n.routing.table().Workspaces == nil || route.Open && key == "" {
+	if n.routing.table().Workspaces == nil || route.NoKeyRequired && key == "" {
 		return nil, nil
 	}
 	// An unknown key waits too: it may be newer than the configuration.
-	if err := n.awaitFresh(ctx); err != nil && !route.Open {
+	if err := n.awaitFresh(ctx); err != nil && !route.NoKeyRequired {
 		return nil, err
 	}
 	// Read the table after the freshness check: the version may have changed meanwhile.
 	table := n.routing.table()
-	w, known := table.Workspaces.Find(key)
-	if !known && !route.Open {
+	w, known := table.Workspaces.ByKey(key)
+	if !known && !route.NoKeyRequired {
 		return nil, verdict.Refuse(verdict.Unauthorized, "no workspace has this key in version %d", table.Version)
 	}
 	return w, nil
--- a/node/entry.go
+++ b/node/entry.go
@@ -130,7 +130,7 @@
 		return call.Failed(err)
 	}
 	parent := r.task
-	if !parent.Operation.Allows(in.Service, in.Operation) {
+	if !parent.Operation.DeclaresCall(in.Service, in.Operation) {
 		return call.Failed(verdict.Refuse(verdict.UndeclaredCall, "%s.%s does not declare a call to %s.%s",
 			parent.Request.Service, parent.Request.Operation, in.Service, in.Operation))
 	}
@@ -146,7 +146,7 @@
 		p.AdmittedLevels = parent.Request.AdmittedLevels
 	}
 	p.Depth = parent.Request.Depth + 1
-	p.Fanout = len(parent.Operation.DependsOn)
+	p.Fanout = len(parent.Operation.Calls)
 	p.Ledger = r.ledger
 	if parent.Deadline.Before(p.Deadline) {
 		p.Deadline = parent.Deadline
--- a/node/quota_asks.go
+++ b/node/quota_asks.go
@@ -20,8 +20,8 @@
 // proof of the configuration.
 type quotaRequest struct {
 	// Number increases with each request of the sender.
-	Number        uint64       `cbor:"1,keyasint"`
-	TokenRequests []quota.Want `cbor:"2,keyasint,omitempty"`
+	Number        uint64               `cbor:"1,keyasint"`
+	TokenRequests []quota.TokenRequest `cbor:"2,keyasint,omitempty"`
 	// Claims asks for the known ownership claims.
 	Claims bool `cbor:"3,keyasint,omitempty"`
 }
@@ -158,9 +158,9 @@
 // expireRequests gives up requests that have had no answer within AskTimeout.
 func (q *quotas) expireRequests(now time.Time) {
 	for id, a := range q.requests {
-		if now.Sub(a.sent) >= q.cfg.AskTimeout {
+		if now.Sub(a.sent) >= q.cfg.RequestTimeout {
 			delete(q.requests, id)
-			q.tokenClient.Unanswered(a.tokenRequests)
+			q.tokenClient.RequestsFailed(a.tokenRequests)
 			q.ownersUnknown = true
 		}
 	}
@@ -171,17 +171,17 @@
 	if q.cfg.Parts == 0 {
 		return nil
 	}
-	byOwner := make(map[wire.NodeID][]quota.Want)
-	for _, w := range q.tokenClient.Wants(now, q.mayRequestToken) {
-		owner, _ := q.owners.Of(q.cfg.Part(w.Workspace))
+	byOwner := make(map[wire.NodeID][]quota.TokenRequest)
+	for _, w := range q.tokenClient.DueRequests(now, q.mayRequestToken) {
+		owner, _ := q.owners.OwnerOf(q.cfg.PartitionOf(w.Workspace))
 		byOwner[owner] = append(byOwner[owner], w)
 	}
 	var out []outgoingRequest
 	for owner, wants := range byOwner {
-		if !slices.ContainsFunc(wants, quota.Want.Urgent) {
+		if !slices.ContainsFunc(wants, quota.TokenRequest.Urgent) {
 			continue
 		}
-		q.tokenClient.Asked(now, wants)
+		q.tokenClient.RequestsSent(now, wants)
 		out = append(out, q.openRequest(now, owner, wants, false))
 	}
 	return out
@@ -190,7 +190,7 @@
 // mayRequestToken reports whether the owner of a workspace is known and has no request
 // awaiting its answer.
 func (q *quotas) mayRequestToken(workspace string) bool {
-	owner, known := q.owners.Of(q.cfg.Part(workspace))
+	owner, known := q.owners.OwnerOf(q.cfg.PartitionOf(workspace))
 	if !known {
 		q.ownersUnknown = true
 		return false
@@ -200,7 +200,7 @@
 }
 
 // openRequest makes a request and records that it awaits its answer.
-func (q *quotas) openRequest(now time.Time, to wire.NodeID, tokenRequests []quota.Want, claims bool) outgoingRequest {
+func (q *quotas) openRequest(now time.Time, to wire.NodeID, tokenRequests []quota.TokenRequest, claims bool) outgoingRequest {
 	q.number++
 	q.requests[to] = openRequest{number: q.number, sent: now, tokenRequests: tokenRequests}
 	return outgoingRequest{to: to, msg: quotaRequest{Number: q.number, TokenRequests: tokenRequests, Claims: claims}}
@@ -221,13 +221,13 @@
 		q := n.quotas
 		if table != nil && q.issuer.Accept(from, m.Number) {
 			for _, w := range m.TokenRequests {
-				space, known := table.Workspaces.Named(w.Workspace)
-				since, owned := q.leaseTerm.Owns(now, q.cfg.Part(w.Workspace))
+				space, known := table.Workspaces.ByName(w.Workspace)
+				since, owned := q.leaseTerm.Owns(now, q.cfg.PartitionOf(w.Workspace))
 				if !known || !owned {
 					answer.NotOwner = true
 					continue
 				}
-				answer.Grants = append(answer.Grants, q.issuer.Lend(now, since, from, w, space.Quota))
+				answer.Grants = append(answer.Grants, q.issuer.GrantTokens(now, since, from, w, space.Quota))
 			}
 		}
 		if answer.NotOwner || m.Claims {
@@ -252,7 +252,7 @@
 // counts only if the answer is to the open request.
 func (q *quotas) handleAnswer(now time.Time, from wire.NodeID, m quotaAnswer) {
 	for _, c := range m.Claims {
-		q.owners.Heard(c)
+		q.owners.Receive(c)
 	}
 	a, waited := q.requests[from]
 	if !waited || a.number != m.Number {
@@ -260,7 +260,7 @@
 	}
 	delete(q.requests, from)
 	q.lastAnswerAt = now
-	q.tokenClient.Granted(now, a.sent, a.tokenRequests, m.Grants)
+	q.tokenClient.ApplyGrants(now, a.sent, a.tokenRequests, m.Grants)
 	if m.Proved {
 		q.proof.AddProof(freshness.Proof{Version: m.Version, At: a.sent.Add(-time.Duration(m.AgeMillis) * time.Millisecond)})
 	}
@@ -276,6 +276,6 @@
 		n.counts.BadMessages.Add(1)
 		return
 	}
-	n.quotas.with(func(time.Time) { n.quotas.owners.Heard(c) })
+	n.quotas.with(func(time.Time) { n.quotas.owners.Receive(c) })
 	n.quotas.wakeLoop()
 }
--- a/node/quota_owner.go
+++ b/node/quota_owner.go
@@ -53,14 +53,14 @@
 
 // LeaseRenewed applies the store's answer to a renewal, and reports whether the parts that
 // this node owns changed.
-func (n *Node) LeaseRenewed(lease quota.Lease) (changed bool) {
+func (n *Node) LeaseRenewed(lease quota.LeaseReply) (changed bool) {
 	var claim quota.Claim
 	n.quotas.with(func(now time.Time) {
 		q := n.quotas
-		changed = q.leaseTerm.Renewed(lease)
-		q.issuer.Keep(func(name string) bool { _, owned := q.leaseTerm.Owns(now, q.cfg.Part(name)); return owned })
+		changed = q.leaseTerm.ApplyRenewal(lease)
+		q.issuer.Retain(func(name string) bool { _, owned := q.leaseTerm.Owns(now, q.cfg.PartitionOf(name)); return owned })
 		claim = q.claim(now, n.id)
-		q.owners.Heard(claim)
+		q.owners.Receive(claim)
 	})
 	if !changed {
 		return false
@@ -95,6 +95,6 @@
 
 // LeaseEnded gives up the ownership of quotas.
 func (n *Node) LeaseEnded() {
-	n.quotas.with(func(time.Time) { n.quotas.leaseTerm.Ended() })
+	n.quotas.with(func(time.Time) { n.quotas.leaseTerm.Release() })
 	n.log.Info().Msg("owns no quotas any more")
 }
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -24,8 +24,8 @@
 
 	mu          sync.Mutex
 	tokenClient *quota.Holder
-	issuer      *quota.Bank
-	leaseTerm   quota.Tenure
+	issuer      *quota.TokenIssuer
+	leaseTerm   quota.LeaseTerm
 	owners      *quota.Owners
 	proof       freshness.ProofTracker
 	eras        freshness.EraTracker
@@ -57,7 +57,7 @@
 type openRequest struct {
 	number        uint64
 	sent          time.Time
-	tokenRequests []quota.Want
+	tokenRequests []quota.TokenRequest
 }
 
 func newQuotas(cfg quota.Config, freshWithin, provenWithin time.Duration, clock bootclock.Clock) *quotas {
@@ -67,7 +67,7 @@
 		provenWithin: provenWithin,
 		clock:        clock,
 		tokenClient:  quota.NewHolder(cfg),
-		issuer:       quota.NewBank(cfg),
+		issuer:       quota.NewTokenIssuer(cfg),
 		owners:       quota.NewOwners(),
 		requests:     make(map[wire.NodeID]openRequest),
 		changed:      make(chan struct{}),
@@ -136,12 +136,12 @@
 
 // takeToken takes a token of a workspace, or returns why there is none and a channel that
 // closes when that may change. waited says that the request has waited for a token before.
-func (q *quotas) takeToken(workspace string, waited bool) (t quota.Token, answer quota.Answer, changed <-chan struct{}) {
+func (q *quotas) takeToken(workspace string, waited bool) (t quota.Token, answer quota.TakeResult, changed <-chan struct{}) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock()
 	if waited {
-		t, answer = q.tokenClient.Again(now, workspace)
+		t, answer = q.tokenClient.TakeAfterWait(now, workspace)
 	} else {
 		t, answer = q.tokenClient.Take(now, workspace)
 	}
@@ -156,7 +156,7 @@
 
 // awaitFresh waits for a sufficiently recent freshness proof, at most Quota.WaitMost.
 func (n *Node) awaitFresh(ctx context.Context) *verdict.Error {
-	until := time.Now().Add(n.cfg.Quota.WaitMost)
+	until := time.Now().Add(n.cfg.Quota.MaxWait)
 	for {
 		ok, changed := n.quotas.noteKeyUse()
 		if ok {
@@ -164,7 +164,7 @@
 		}
 		if !awaitChange(ctx, changed, until) {
 			return verdict.Refuse(verdict.StaleConfiguration, "cannot verify that the configuration is no older than %s", n.cfg.FreshWithin).
-				After(n.cfg.Quota.UnknownComeBack)
+				After(n.cfg.Quota.RetryAfterNoOwner)
 		}
 	}
 }
@@ -177,16 +177,16 @@
 		n.quotas.addWaiting(workspace, 1)
 		defer n.quotas.addWaiting(workspace, -1)
 	}
-	until := time.Now().Add(n.cfg.Quota.WaitMost)
+	until := time.Now().Add(n.cfg.Quota.MaxWait)
 	for answer == quota.Wait {
 		if !awaitChange(ctx, changed, until) {
 			return quota.Token{}, verdict.Refuse(verdict.QuotaUnknown, "no owner answered for the quota of workspace %s in time", workspace).
-				After(n.cfg.Quota.UnknownComeBack)
+				After(n.cfg.Quota.RetryAfterNoOwner)
 		}
 		token, answer, changed = n.quotas.takeToken(workspace, true)
 	}
-	if answer == quota.Over {
-		return quota.Token{}, verdict.Refuse(verdict.OverQuota, "workspace %s has used its quota", workspace).After(n.cfg.Quota.ComeBack)
+	if answer == quota.QuotaExceeded {
+		return quota.Token{}, verdict.Refuse(verdict.OverQuota, "workspace %s has used its quota", workspace).After(n.cfg.Quota.RetryAfter)
 	}
 	return token, nil
 }
--- a/node/quotas_test.go
+++ b/node/quotas_test.go
@@ -59,19 +59,19 @@
 func TestAnswerToAnExpiredRequestIsDropped(t *testing.T) {
 	is := is.New(t)
 	q, clock := testQuotas(0)
-	q.owners.Heard(quota.Claim{Owner: owner, Generation: 1, Parts: []int{0}})
+	q.owners.Receive(quota.Claim{Owner: owner, Generation: 1, Parts: []int{0}})
 	q.takeToken(hot, false)
 	q.addWaiting(hot, 1)
 	first, _ := q.dueRequests()
 	is.Equal(len(first), 1)
-	clock.advance(q.cfg.AskTimeout)
+	clock.advance(q.cfg.RequestTimeout)
 	second, missing := q.dueRequests()
 	is.Equal(len(second), 1)
 	is.Equal(missing, missingOwners) // the owner may have changed
-	q.handleAnswer(clock.now, owner, quotaAnswer{Number: first[0].msg.Number, Grants: []quota.Grant{{Workspace: hot, Now: 1}}})
+	q.handleAnswer(clock.now, owner, quotaAnswer{Number: first[0].msg.Number, Grants: []quota.Grant{{Workspace: hot, ForWaiting: 1}}})
 	_, answer, _ := q.takeToken(hot, true)
 	is.Equal(answer, quota.Wait)
-	q.handleAnswer(clock.now, owner, quotaAnswer{Number: second[0].msg.Number, Grants: []quota.Grant{{Workspace: hot, Now: 1}}})
+	q.handleAnswer(clock.now, owner, quotaAnswer{Number: second[0].msg.Number, Grants: []quota.Grant{{Workspace: hot, ForWaiting: 1}}})
 	_, answer, _ = q.takeToken(hot, true)
 	is.Equal(answer, quota.Taken)
 }
@@ -81,11 +81,11 @@
 func TestOwnerWithoutLeaseIsNotAskedAgainAtOnce(t *testing.T) {
 	is := is.New(t)
 	q, clock := testQuotas(0)
-	q.owners.Heard(quota.Claim{Owner: owner, Generation: 1, Parts: []int{0}})
+	q.owners.Receive(quota.Claim{Owner: owner, Generation: 1, Parts: []int{0}})
 	q.takeToken(hot, false)
 	q.addWaiting(hot, 1)
 	sent := 0
-	for end := clock.now.Add(q.cfg.WaitMost); clock.now.Before(end); clock.advance(time.Millisecond) {
+	for end := clock.now.Add(q.cfg.MaxWait); clock.now.Before(end); clock.advance(time.Millisecond) {
 		requests, _ := q.dueRequests()
 		for _, a := range requests {
 			sent++
@@ -185,12 +185,12 @@
 	is.NoErr(err)
 	n := &Node{cfg: DefaultConfig(), quotas: q, routing: newRouting(nil)}
 	n.cfg.FreshWithin = 4 * time.Second
-	n.cfg.Quota.WaitMost = time.Hour
+	n.cfg.Quota.MaxWait = time.Hour
 	n.routing.install(time.Now(), &routes.Table{Version: 3, Workspaces: spaces}, nil)
-	space, refusal := n.authorize(t.Context(), &routes.Route{Open: true}, "")
+	space, refusal := n.authorize(t.Context(), &routes.Route{NoKeyRequired: true}, "")
 	is.True(refusal == nil)
 	is.True(space == nil)
-	n.cfg.Quota.WaitMost = 0
+	n.cfg.Quota.MaxWait = 0
 	_, refusal = n.authorize(t.Context(), &routes.Route{}, "k")
 	is.Equal(refusal.Reason, verdict.StaleConfiguration)
 }
@@ -200,7 +200,7 @@
 func TestIdleNodeRequestsOnlyProofs(t *testing.T) {
 	is := is.New(t)
 	q, clock := testQuotas(4 * time.Second)
-	q.owners.Heard(quota.Claim{Owner: owner, Generation: 1, Parts: []int{0}})
+	q.owners.Receive(quota.Claim{Owner: owner, Generation: 1, Parts: []int{0}})
 	q.takeToken(hot, false)
 	clock.advance(keyUseWindow)
 	q.proof.AddProof(freshness.Proof{Version: 3, At: clock.now})
--- a/node/routing.go
+++ b/node/routing.go
@@ -26,7 +26,7 @@
 	newerVersionSince time.Time
 	// routeReach holds the services that requests entering here have reached, by route
 	// and service. callReach holds those that calls of the backend server have reached.
-	routeReach, callReach *reach.Book
+	routeReach, callReach *reach.Tracker
 }
 
 // published is a version of the routes and its encoded text, which is sent to
@@ -118,7 +118,7 @@
 func (r *routing) recordReach(now time.Time, op *graph.Operation, reached []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.routeReach.Learn(now, routeReachKey(op), append(reached, op.Service))
+	r.routeReach.Record(now, routeReachKey(op), append(reached, op.Service))
 }
 
 // callReachKey is the only key in callReach.
@@ -129,7 +129,7 @@
 func (r *routing) recordCallReach(now time.Time, service string, reached []string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.callReach.Learn(now, callReachKey, append(reached, service))
+	return r.callReach.Record(now, callReachKey, append(reached, service))
 }
 
 // servicesCalled lists the services that calls of the backend server have reached, its own
--- a/operator/text.go
+++ b/operator/text.go
@@ -26,7 +26,7 @@
 	for _, s := range g.Services() {
 		operations += len(s.Operations)
 		for _, op := range s.Operations {
-			deepest = max(deepest, op.Height())
+			deepest = max(deepest, op.CallDepth())
 		}
 	}
 	o.printf("%s: ok, %d services, %d operations, longest chain of calls %d\n", t.Name, len(g.Services()), operations, deepest)
--- a/quota/bank.go
+++ b/quota/bank.go
@@ -7,9 +7,9 @@
 	"github.com/cassialoom/cassialoom/workspace"
 )
 
-// Bank issues the tokens of the workspaces that this node owns. It lends them to the
+// TokenIssuer issues the tokens of the workspaces that this node owns. It lends them to the
 // nodes at which requests enter.
-type Bank struct {
+type TokenIssuer struct {
 	cfg     Config
 	buckets map[string]*bucket
 	// lastRequest is the number of the last token request of each node. Older requests
@@ -17,9 +17,9 @@
 	lastRequest map[wire.NodeID]uint64
 }
 
-// NewBank returns a Bank without token buckets.
-func NewBank(cfg Config) *Bank {
-	return &Bank{cfg: cfg, buckets: make(map[string]*bucket), lastRequest: make(map[wire.NodeID]uint64)}
+// NewTokenIssuer returns a TokenIssuer without token buckets.
+func NewTokenIssuer(cfg Config) *TokenIssuer {
+	return &TokenIssuer{cfg: cfg, buckets: make(map[string]*bucket), lastRequest: make(map[wire.NodeID]uint64)}
 }
 
 // bucket is the token bucket of one workspace.
@@ -41,7 +41,7 @@
 const maxNodesRemembered = 8192
 
 // Accept reports whether a token request is newer than all earlier ones of the node.
-func (b *Bank) Accept(node wire.NodeID, number uint64) bool {
+func (b *TokenIssuer) Accept(node wire.NodeID, number uint64) bool {
 	if number <= b.lastRequest[node] {
 		return false
 	}
@@ -52,18 +52,18 @@
 	return true
 }
 
-// Lend answers a node's token request for a workspace with a limited quota. termStart is
+// GrantTokens answers a node's token request for a workspace with a limited quota. termStart is
 // the start of this node's lease term: the bucket of an earlier term is discarded,
 // because another node may have owned the workspace in between.
-func (b *Bank) Lend(now, termStart time.Time, node wire.NodeID, w Want, q workspace.Quota) Grant {
+func (b *TokenIssuer) GrantTokens(now, termStart time.Time, node wire.NodeID, w TokenRequest, q workspace.Quota) Grant {
 	a := b.bucket(now, termStart, w.Workspace)
 	a.dropExpiredLoans(now)
 	delete(a.loans, node)
 	bucketDepth := b.bucketDepth(now, a, q)
 	a.refill(now, bucketDepth-float64(w.Held), b.cfg.refillRate(q))
-	g := Grant{Workspace: w.Workspace, Now: min(w.Waiting, wholeTokens(a.tokens))}
-	g.Short = g.Now < w.Waiting
-	a.tokens -= float64(g.Now)
+	g := Grant{Workspace: w.Workspace, ForWaiting: min(w.Waiting, wholeTokens(a.tokens))}
+	g.Short = g.ForWaiting < w.Waiting
+	a.tokens -= float64(g.ForWaiting)
 	g.Prefetch = min(w.Prefetch, wholeTokens(a.tokens-b.cfg.WaitingReserve*bucketDepth))
 	a.tokens -= float64(g.Prefetch)
 	// Tokens for waiting requests are used on arrival and need no loan.
@@ -77,7 +77,7 @@
 
 // bucketDepth returns the current depth of a bucket. The previous owner may have lent a
 // full bucket; until those tokens have expired the depth is halved.
-func (b *Bank) bucketDepth(now time.Time, a *bucket, q workspace.Quota) float64 {
+func (b *TokenIssuer) bucketDepth(now time.Time, a *bucket, q workspace.Quota) float64 {
 	bucketDepth := b.cfg.bucketDepth(q)
 	if now.Sub(a.termStart) < b.cfg.TokenTTL {
 		bucketDepth = max(1, bucketDepth/2)
@@ -86,7 +86,7 @@
 }
 
 // bucket returns the bucket of a workspace in the current lease term, empty if it is new.
-func (b *Bank) bucket(now, termStart time.Time, name string) *bucket {
+func (b *TokenIssuer) bucket(now, termStart time.Time, name string) *bucket {
 	a, ok := b.buckets[name]
 	if !ok || !a.termStart.Equal(termStart) {
 		a = &bucket{termStart: termStart, refilledAt: termStart, loans: make(map[wire.NodeID]loan)}
@@ -116,8 +116,8 @@
 	a.tokens = max(0, min(a.tokens, depth))
 }
 
-// Keep drops the buckets of workspaces for which keep returns false.
-func (b *Bank) Keep(keep func(workspace string) bool) {
+// Retain drops the buckets of workspaces for which keep returns false.
+func (b *TokenIssuer) Retain(keep func(workspace string) bool) {
 	for name := range b.buckets {
 		if !keep(name) {
 			delete(b.buckets, name)
@@ -134,7 +134,7 @@
 }
 
 // Dump returns the state of all buckets, in no particular order.
-func (b *Bank) Dump() []AccountState {
+func (b *TokenIssuer) Dump() []AccountState {
 	out := make([]AccountState, 0, len(b.buckets))
 	for name, a := range b.buckets {
 		s := AccountState{Workspace: name, Tokens: a.tokens, Nodes: len(a.loans)}
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -41,8 +41,8 @@
 type simNode struct {
 	id          wire.NodeID
 	holder      *Holder
-	bank        *Bank
-	tenure      Tenure
+	tokenIssuer *TokenIssuer
+	leaseTerm   LeaseTerm
 	number      uint64
 	openRequest *message
 	// waitingSince holds the arrival times of the requests that wait for a token.
@@ -69,7 +69,7 @@
 	deliverAt time.Time
 	number    uint64
 	sent      time.Time
-	wants     []Want
+	requests  []TokenRequest
 	grants    []Grant
 	answer    bool
 }
@@ -119,7 +119,7 @@
 
 // restart replaces a node by one without state and with a new ID.
 func (f *fleet) restart(i int) {
-	*f.nodes[i] = simNode{holder: NewHolder(f.cfg), bank: NewBank(f.cfg), stoppedUntil: f.nodes[i].stoppedUntil, partitionedUntil: f.nodes[i].partitionedUntil}
+	*f.nodes[i] = simNode{holder: NewHolder(f.cfg), tokenIssuer: NewTokenIssuer(f.cfg), stoppedUntil: f.nodes[i].stoppedUntil, partitionedUntil: f.nodes[i].partitionedUntil}
 	f.rng.Uint64()
 	for b := range f.nodes[i].id {
 		f.nodes[i].id[b] = byte(f.rng.Uint32())
@@ -155,7 +155,7 @@
 // renewLeases renews the lease of the owner, or grants an expired one to a random node.
 func (f *fleet) renewLeases() {
 	for _, i := range f.rng.Perm(len(f.nodes)) {
-		if !f.running(i) || f.partitioned(i) || f.rng.IntN(int(f.cfg.RenewEvery/fleetStep)) != 0 {
+		if !f.running(i) || f.partitioned(i) || f.rng.IntN(int(f.cfg.RenewInterval/fleetStep)) != 0 {
 			continue
 		}
 		if f.store.owner != i && f.now.Before(f.store.expiresAt) {
@@ -165,7 +165,7 @@
 			f.store.owner = i
 			f.store.generation++
 		}
-		f.store.expiresAt = f.now.Add(f.cfg.LeaseLife)
+		f.store.expiresAt = f.now.Add(f.cfg.LeaseTTL)
 		f.nodes[i].receiveLease(f)
 	}
 }
@@ -173,10 +173,10 @@
 // receiveLease applies the store's answer to a renewal.
 func (m *simNode) receiveLease(f *fleet) {
 	if m.era != f.store.era && (m.era != 0 || f.store.era > 1) && !f.ignoreRestores {
-		m.freeAt = f.now.Add(f.cfg.LeaseLife)
+		m.freeAt = f.now.Add(f.cfg.LeaseTTL)
 	}
 	m.era = f.store.era
-	m.tenure.Renewed(Lease{Sent: f.now, Life: f.cfg.LeaseLife, Generation: f.store.era<<32 | f.store.generation, Parts: []int{0}, FreeAt: m.freeAt})
+	m.leaseTerm.ApplyRenewal(LeaseReply{Sent: f.now, TTL: f.cfg.LeaseTTL, Generation: f.store.era<<32 | f.store.generation, Parts: []int{0}, LostLeasesExpireAt: m.freeAt})
 }
 
 func (f *fleet) sendRequest(i int) {
@@ -201,8 +201,8 @@
 	m := f.nodes[i]
 	var stillWaiting []time.Time
 	for _, since := range m.waitingSince {
-		token, answer := m.holder.Again(f.now, hotWorkspace)
-		if answer == Wait && f.now.Sub(since) < f.cfg.WaitMost {
+		token, answer := m.holder.TakeAfterWait(f.now, hotWorkspace)
+		if answer == Wait && f.now.Sub(since) < f.cfg.MaxWait {
 			stillWaiting = append(stillWaiting, since)
 			continue
 		}
@@ -238,20 +238,20 @@
 
 func (f *fleet) requestTokens(i int) {
 	m := f.nodes[i]
-	if m.openRequest != nil && f.now.Sub(m.openRequest.sent) >= f.cfg.AskTimeout {
-		m.holder.Unanswered(m.openRequest.wants)
+	if m.openRequest != nil && f.now.Sub(m.openRequest.sent) >= f.cfg.RequestTimeout {
+		m.holder.RequestsFailed(m.openRequest.requests)
 		m.openRequest = nil
 	}
 	if m.openRequest != nil || f.store.owner < 0 {
 		return
 	}
-	wants := m.holder.Wants(f.now, func(string) bool { return true })
-	if len(wants) == 0 || !wants[0].Urgent() {
+	requests := m.holder.DueRequests(f.now, func(string) bool { return true })
+	if len(requests) == 0 || !requests[0].Urgent() {
 		return
 	}
 	m.number++
-	m.holder.Asked(f.now, wants)
-	q := message{from: i, to: f.store.owner, number: m.number, sent: f.now, wants: wants}
+	m.holder.RequestsSent(f.now, requests)
+	q := message{from: i, to: f.store.owner, number: m.number, sent: f.now, requests: requests}
 	m.openRequest = &q
 	f.send(q)
 }
@@ -302,13 +302,13 @@
 
 func (f *fleet) receiveRequest(m message) {
 	owner := f.nodes[m.to]
-	if !owner.bank.Accept(f.nodes[m.from].id, m.number) {
+	if !owner.tokenIssuer.Accept(f.nodes[m.from].id, m.number) {
 		return
 	}
 	answer := message{from: m.to, to: m.from, number: m.number, answer: true}
-	for _, w := range m.wants {
-		if since, owned := owner.tenure.Owns(f.now, 0); owned {
-			answer.grants = append(answer.grants, owner.bank.Lend(f.now, since, f.nodes[m.from].id, w, f.quota))
+	for _, w := range m.requests {
+		if since, owned := owner.leaseTerm.Owns(f.now, 0); owned {
+			answer.grants = append(answer.grants, owner.tokenIssuer.GrantTokens(f.now, since, f.nodes[m.from].id, w, f.quota))
 		}
 	}
 	f.send(answer)
@@ -319,7 +319,7 @@
 	if node.openRequest == nil || node.openRequest.number != m.number {
 		return
 	}
-	node.holder.Granted(f.now, node.openRequest.sent, node.openRequest.wants, m.grants)
+	node.holder.ApplyGrants(f.now, node.openRequest.sent, node.openRequest.requests, m.grants)
 	node.openRequest = nil
 }
 
@@ -433,7 +433,7 @@
 	})
 }
 
-// Checks that the simulation detects the failure that Lease.FreeAt prevents: without it a
+// Checks that the simulation detects the failure that LeaseReply.LostLeasesExpireAt prevents: without it a
 // restored store leads to an exceeded quota.
 func TestIgnoringRestoresExceedsTheQuota(t *testing.T) {
 	is := is.New(t)
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -12,16 +12,16 @@
 	expiresAt time.Time
 }
 
-// Answer is the result of taking a token.
-type Answer uint8
+// TakeResult is the result of taking a token.
+type TakeResult uint8
 
 const (
 	// Taken means that the request has a token.
-	Taken Answer = iota
+	Taken TakeResult = iota
 	// Wait means that no token is left and the owner must be asked.
 	Wait
-	// Over means that the workspace has used up its quota.
-	Over
+	// QuotaExceeded means that the workspace has used up its quota.
+	QuotaExceeded
 )
 
 // Holder manages the tokens lent to this node.
@@ -62,18 +62,18 @@
 const maxWaitForPause = 30 * time.Millisecond
 
 // Take takes a token for a new request of a workspace and counts the request as demand.
-func (h *Holder) Take(now time.Time, name string) (Token, Answer) {
+func (h *Holder) Take(now time.Time, name string) (Token, TakeResult) {
 	s := h.tokenState(name)
 	s.demand.record(now)
 	return h.takeToken(now, name, s)
 }
 
-// Again takes a token for a request that has waited. It does not count as new demand.
-func (h *Holder) Again(now time.Time, name string) (Token, Answer) {
+// TakeAfterWait takes a token for a request that has waited. It does not count as new demand.
+func (h *Holder) TakeAfterWait(now time.Time, name string) (Token, TakeResult) {
 	return h.takeToken(now, name, h.tokenState(name))
 }
 
-func (h *Holder) takeToken(now time.Time, name string, s *tokenState) (Token, Answer) {
+func (h *Holder) takeToken(now time.Time, name string, s *tokenState) (Token, TakeResult) {
 	s.dropExpiredTokens(now)
 	if len(s.batches) > 0 {
 		l := &s.batches[0]
@@ -85,7 +85,7 @@
 		return t, Taken
 	}
 	if s.pausedUntil.Sub(now) > maxWaitForPause {
-		return Token{}, Over
+		return Token{}, QuotaExceeded
 	}
 	return Token{}, Wait
 }
@@ -121,11 +121,11 @@
 	return s
 }
 
-// Wants returns the token requests that are due, in no particular order: for workspaces
+// DueRequests returns the token requests that are due, in no particular order: for workspaces
 // with waiting requests or too few tokens. It skips workspaces for which due returns
 // false.
-func (h *Holder) Wants(now time.Time, due func(workspace string) bool) []Want {
-	var wants []Want
+func (h *Holder) DueRequests(now time.Time, due func(workspace string) bool) []TokenRequest {
+	var wants []TokenRequest
 	for name, s := range h.states {
 		s.dropExpiredTokens(now)
 		if s.demand.idleTime(now) > dropIdleAfter && s.waiting == 0 {
@@ -144,31 +144,31 @@
 	return wants
 }
 
-func (s *tokenState) tokenRequest(now time.Time, name string, cfg Config) Want {
+func (s *tokenState) tokenRequest(now time.Time, name string, cfg Config) TokenRequest {
 	target := uint32(s.demand.rate(now) * cfg.Prefetch.Seconds())
 	held := s.count()
 	// A token that has just arrived may not yet be taken by the request that waits for
 	// it. That request must not be counted again.
-	w := Want{Workspace: name, Held: held, Waiting: s.waiting - min(s.waiting, held)}
+	w := TokenRequest{Workspace: name, Held: held, Waiting: s.waiting - min(s.waiting, held)}
 	if held < target {
 		w.Prefetch = target - held
 	}
 	return w
 }
 
-// Asked records that the token requests were sent to an owner.
-func (h *Holder) Asked(now time.Time, wants []Want) {
+// RequestsSent records that the token requests were sent to an owner.
+func (h *Holder) RequestsSent(now time.Time, wants []TokenRequest) {
 	h.setInFlight(wants, true)
 	for _, w := range wants {
 		h.tokenState(w.Workspace).requestedAt = now
 	}
 }
 
-// Unanswered records that the token requests failed or timed out.
-func (h *Holder) Unanswered(wants []Want) { h.setInFlight(wants, false) }
+// RequestsFailed records that the token requests failed or timed out.
+func (h *Holder) RequestsFailed(wants []TokenRequest) { h.setInFlight(wants, false) }
 
 // setInFlight records whether token requests for the workspaces are in flight.
-func (h *Holder) setInFlight(wants []Want, inFlight bool) {
+func (h *Holder) setInFlight(wants []TokenRequest, inFlight bool) {
 	for _, w := range wants {
 		if s, ok := h.states[w.Workspace]; ok {
 			s.inFlight = inFlight
@@ -176,10 +176,10 @@
 	}
 }
 
-// Granted applies an owner's answer to the token requests sent at the given time. For a
+// ApplyGrants applies an owner's answer to the token requests sent at the given time. For a
 // workspace that the answer does not name the next request is delayed by
 // Config.RetryDelay; without the delay waiting requests would cause a loop of messages.
-func (h *Holder) Granted(now, sent time.Time, wants []Want, grants []Grant) {
+func (h *Holder) ApplyGrants(now, sent time.Time, wants []TokenRequest, grants []Grant) {
 	h.setInFlight(wants, false)
 	for _, w := range wants {
 		answered := slices.ContainsFunc(grants, func(g Grant) bool { return g.Workspace == w.Workspace })
@@ -192,8 +192,8 @@
 		if !ok {
 			continue
 		}
-		if g.Now > 0 {
-			s.addBatch(tokenBatch{count: g.Now, expiresAt: now.Add(h.cfg.ReturnedTokenTTL)})
+		if g.ForWaiting > 0 {
+			s.addBatch(tokenBatch{count: g.ForWaiting, expiresAt: now.Add(h.cfg.ReturnedTokenTTL)})
 		}
 		if g.Prefetch > 0 {
 			s.addBatch(tokenBatch{count: g.Prefetch, expiresAt: sent.Add(h.cfg.TokenTTL)})
--- a/quota/holder_test.go
+++ b/quota/holder_test.go
@@ -19,13 +19,13 @@
 	_, answer := h.Take(startTime, hotWorkspace)
 	is.Equal(answer, Wait)
 	h.Waiting(hotWorkspace, 1)
-	wants := h.Wants(startTime, allDue)
-	is.Equal(wants, []Want{{Workspace: hotWorkspace, Waiting: 1}})
-	h.Asked(startTime, wants)
-	is.Equal(len(h.Wants(startTime, allDue)), 0) // a token request is in flight
-	h.Granted(startTime, startTime, wants, []Grant{{Workspace: hotWorkspace, Now: 1}})
-	is.Equal(len(h.Wants(startTime, allDue)), 0)
-	_, answer = h.Again(startTime, hotWorkspace)
+	wants := h.DueRequests(startTime, allDue)
+	is.Equal(wants, []TokenRequest{{Workspace: hotWorkspace, Waiting: 1}})
+	h.RequestsSent(startTime, wants)
+	is.Equal(len(h.DueRequests(startTime, allDue)), 0) // a token request is in flight
+	h.ApplyGrants(startTime, startTime, wants, []Grant{{Workspace: hotWorkspace, ForWaiting: 1}})
+	is.Equal(len(h.DueRequests(startTime, allDue)), 0)
+	_, answer = h.TakeAfterWait(startTime, hotWorkspace)
 	is.Equal(answer, Taken)
 }
 
@@ -37,14 +37,14 @@
 	h := NewHolder(cfg)
 	h.Take(startTime, hotWorkspace)
 	h.Waiting(hotWorkspace, 1)
-	wants := h.Wants(startTime, allDue)
-	h.Granted(startTime, startTime, wants, []Grant{{Workspace: hotWorkspace, Short: true}})
-	_, answer := h.Again(startTime, hotWorkspace)
-	is.Equal(answer, Over)
-	is.Equal(len(h.Wants(startTime, allDue)), 0)
-	_, answer = h.Again(startTime.Add(cfg.ShortagePause), hotWorkspace)
+	wants := h.DueRequests(startTime, allDue)
+	h.ApplyGrants(startTime, startTime, wants, []Grant{{Workspace: hotWorkspace, Short: true}})
+	_, answer := h.TakeAfterWait(startTime, hotWorkspace)
+	is.Equal(answer, QuotaExceeded)
+	is.Equal(len(h.DueRequests(startTime, allDue)), 0)
+	_, answer = h.TakeAfterWait(startTime.Add(cfg.ShortagePause), hotWorkspace)
 	is.Equal(answer, Wait)
-	is.Equal(len(h.Wants(startTime.Add(cfg.ShortagePause), allDue)), 1)
+	is.Equal(len(h.DueRequests(startTime.Add(cfg.ShortagePause), allDue)), 1)
 }
 
 // Guards against saved-up returned tokens, which the owner counts as used: together they
@@ -54,7 +54,7 @@
 	cfg := testConfig()
 	h := NewHolder(cfg)
 	h.Take(startTime, hotWorkspace)
-	h.Granted(startTime, startTime, nil, []Grant{{Workspace: hotWorkspace, Prefetch: 2}})
+	h.ApplyGrants(startTime, startTime, nil, []Grant{{Workspace: hotWorkspace, Prefetch: 2}})
 	token, answer := h.Take(startTime, hotWorkspace)
 	is.Equal(answer, Taken)
 	h.Take(startTime, hotWorkspace)
--- a/quota/owners.go
+++ b/quota/owners.go
@@ -29,8 +29,8 @@
 // NewOwners returns an empty Owners.
 func NewOwners() *Owners { return &Owners{byPart: make(map[int]wire.NodeID)} }
 
-// Heard records a received claim and reports whether it changed anything.
-func (o *Owners) Heard(c Claim) bool {
+// Receive records a received claim and reports whether it changed anything.
+func (o *Owners) Receive(c Claim) bool {
 	i := slices.IndexFunc(o.claims, func(known Claim) bool { return known.Owner == c.Owner })
 	switch {
 	case i < 0:
@@ -65,8 +65,8 @@
 	}
 }
 
-// Of returns the owner of a partition.
-func (o *Owners) Of(part int) (wire.NodeID, bool) {
+// OwnerOf returns the owner of a partition.
+func (o *Owners) OwnerOf(part int) (wire.NodeID, bool) {
 	id, ok := o.byPart[part]
 	return id, ok
 }
--- a/quota/owners_test.go
+++ b/quota/owners_test.go
@@ -14,18 +14,18 @@
 func TestNewestClaimToAPartitionWins(t *testing.T) {
 	is := is.New(t)
 	o := NewOwners()
-	is.True(o.Heard(Claim{Owner: nodeID(2), Generation: 7, Parts: []int{1}}))
-	is.True(o.Heard(Claim{Owner: nodeID(1), Generation: 5, Parts: []int{0, 1}}))
-	is.True(!o.Heard(Claim{Owner: nodeID(2), Generation: 7, Parts: []int{1}}))
+	is.True(o.Receive(Claim{Owner: nodeID(2), Generation: 7, Parts: []int{1}}))
+	is.True(o.Receive(Claim{Owner: nodeID(1), Generation: 5, Parts: []int{0, 1}}))
+	is.True(!o.Receive(Claim{Owner: nodeID(2), Generation: 7, Parts: []int{1}}))
 	for part, want := range map[int]wire.NodeID{0: nodeID(1), 1: nodeID(2)} {
-		id, known := o.Of(part)
+		id, known := o.OwnerOf(part)
 		is.True(known)
 		is.Equal(id, want)
 	}
-	o.Heard(Claim{Owner: nodeID(2), Generation: 9}) // owns nothing any more
-	id, _ := o.Of(1)
+	o.Receive(Claim{Owner: nodeID(2), Generation: 9}) // owns nothing any more
+	id, _ := o.OwnerOf(1)
 	is.Equal(id, nodeID(1))
-	_, known := o.Of(2)
+	_, known := o.OwnerOf(2)
 	is.True(!known)
 }
 
@@ -34,10 +34,10 @@
 	is := is.New(t)
 	o := NewOwners()
 	for i := range 4 * maxClaims {
-		o.Heard(Claim{Owner: wire.NodeID{byte(i), byte(i >> 8), 1}, Generation: uint64(i), Parts: []int{i}})
+		o.Receive(Claim{Owner: wire.NodeID{byte(i), byte(i >> 8), 1}, Generation: uint64(i), Parts: []int{i}})
 	}
 	is.Equal(len(o.Claims()), maxClaims)
-	_, known := o.Of(4*maxClaims - 1) // the newest are kept
+	_, known := o.OwnerOf(4*maxClaims - 1) // the newest are kept
 	is.True(known)
 }
 
@@ -45,12 +45,12 @@
 // term after an outage of the store in which another node may have owned the partition.
 func TestExpiredLeaseStartsANewTerm(t *testing.T) {
 	is := is.New(t)
-	var tenure Tenure
-	ttl := testConfig().LeaseLife
-	lease := Lease{Sent: startTime, Life: ttl, Generation: 3, Parts: []int{0, 4}}
-	is.True(tenure.Renewed(lease))
+	var tenure LeaseTerm
+	ttl := testConfig().LeaseTTL
+	lease := LeaseReply{Sent: startTime, TTL: ttl, Generation: 3, Parts: []int{0, 4}}
+	is.True(tenure.ApplyRenewal(lease))
 	lease.Sent = startTime.Add(ttl / 2)
-	is.True(!tenure.Renewed(lease))
+	is.True(!tenure.ApplyRenewal(lease))
 	since, owns := tenure.Owns(startTime.Add(ttl), 4)
 	is.True(owns)
 	is.Equal(since, startTime)
@@ -59,7 +59,7 @@
 	is.Equal(len(tenure.Parts(startTime.Add(ttl/2+ttl))), 0)
 	renewedAt := startTime.Add(3 * ttl)
 	lease.Sent = renewedAt
-	is.True(tenure.Renewed(lease))
+	is.True(tenure.ApplyRenewal(lease))
 	since, owns = tenure.Owns(renewedAt, 4)
 	is.True(owns)
 	is.Equal(since, renewedAt)
@@ -69,16 +69,16 @@
 // waits until it has expired, a continuous owner does not.
 func TestNewOwnerWaitsForLeasesLostByTheStore(t *testing.T) {
 	is := is.New(t)
-	var tenure Tenure
-	ttl := testConfig().LeaseLife
-	tenure.Renewed(Lease{Sent: startTime, Life: ttl, Generation: 3, Parts: []int{0}})
+	var tenure LeaseTerm
+	ttl := testConfig().LeaseTTL
+	tenure.ApplyRenewal(LeaseReply{Sent: startTime, TTL: ttl, Generation: 3, Parts: []int{0}})
 	restoredAt, freeAt := startTime.Add(ttl/2), startTime.Add(ttl/2+ttl)
-	tenure.Renewed(Lease{Sent: restoredAt, Life: ttl, Generation: 4, Parts: []int{0, 4}, FreeAt: freeAt})
+	tenure.ApplyRenewal(LeaseReply{Sent: restoredAt, TTL: ttl, Generation: 4, Parts: []int{0, 4}, LostLeasesExpireAt: freeAt})
 	_, owns := tenure.Owns(restoredAt, 0)
 	is.True(owns)
 	_, owns = tenure.Owns(restoredAt, 4)
 	is.True(!owns)
-	tenure.Renewed(Lease{Sent: restoredAt.Add(ttl / 2), Life: ttl, Generation: 4, Parts: []int{0, 4}, FreeAt: freeAt})
+	tenure.ApplyRenewal(LeaseReply{Sent: restoredAt.Add(ttl / 2), TTL: ttl, Generation: 4, Parts: []int{0, 4}, LostLeasesExpireAt: freeAt})
 	since, owns := tenure.Owns(freeAt, 4)
 	is.True(owns)
 	is.Equal(since, freeAt)
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -4,13 +4,13 @@
 // the quota of a workspace allows, plus the configured overage and slack. This holds
 // while nodes are partitioned, paused, killed or restarted.
 //
-// One node owns the quota of a workspace. Its token issuer (Bank) fills a token bucket
+// One node owns the quota of a workspace. Its TokenIssuer fills a token bucket
 // at the rate of the quota and lends tokens to the nodes at which requests enter. A
 // token client (Holder) on each of these nodes spends one token per request. Lent
 // tokens that are not used count against the size of the bucket until they expire, so
 // that the tokens of a crashed node become available again.
 //
-// The store decides which node owns which workspaces and grants it a lease (Tenure). A
+// The store decides which node owns which workspaces and grants it a lease (LeaseTerm). A
 // node that cannot renew its lease stops issuing tokens when the lease expires by its
 // own clock, which is before the store grants it to another node. The next owner starts
 // with an empty bucket: the tokens of its predecessor were issued at the same rate, so
@@ -66,37 +66,37 @@
 	// RetryDelay is the delay before a node asks again for a workspace that the answer
 	// left out: the asked node does not own it any more, or does not know it yet.
 	RetryDelay time.Duration
-	// LeaseLife is the TTL of an owner's lease at the store, RenewEvery the interval
+	// LeaseTTL is the TTL of an owner's lease at the store, RenewInterval the interval
 	// between renewals.
-	LeaseLife, RenewEvery time.Duration
-	// AskTimeout is the timeout of a token request. It allows for several round trips
+	LeaseTTL, RenewInterval time.Duration
+	// RequestTimeout is the timeout of a token request. It allows for several round trips
 	// between data centres.
-	AskTimeout time.Duration
-	// WaitMost is the maximum time for which a request waits for a token.
-	WaitMost time.Duration
-	// ComeBack is the Retry-After for a workspace that has used up its quota.
-	ComeBack time.Duration
-	// UnknownComeBack is the Retry-After while no owner answers. By then another node
+	RequestTimeout time.Duration
+	// MaxWait is the maximum time for which a request waits for a token.
+	MaxWait time.Duration
+	// RetryAfter is the Retry-After for a workspace that has used up its quota.
+	RetryAfter time.Duration
+	// RetryAfterNoOwner is the Retry-After while no owner answers. By then another node
 	// may have the lease.
-	UnknownComeBack time.Duration
+	RetryAfterNoOwner time.Duration
 }
 
 // DefaultConfig returns the default settings, with quotas disabled.
 func DefaultConfig() Config {
 	return Config{
-		TokenTTL:         3 * time.Second,
-		ReturnedTokenTTL: 150 * time.Millisecond,
-		Prefetch:         700 * time.Millisecond,
-		PrefetchEvery:    200 * time.Millisecond,
-		WaitingReserve:   0.25,
-		ShortagePause:    100 * time.Millisecond,
-		RetryDelay:       40 * time.Millisecond,
-		LeaseLife:        3 * time.Second,
-		RenewEvery:       700 * time.Millisecond,
-		AskTimeout:       250 * time.Millisecond,
-		WaitMost:         120 * time.Millisecond,
-		ComeBack:         time.Second,
-		UnknownComeBack:  500 * time.Millisecond,
+		TokenTTL:          3 * time.Second,
+		ReturnedTokenTTL:  150 * time.Millisecond,
+		Prefetch:          700 * time.Millisecond,
+		PrefetchEvery:     200 * time.Millisecond,
+		WaitingReserve:    0.25,
+		ShortagePause:     100 * time.Millisecond,
+		RetryDelay:        40 * time.Millisecond,
+		LeaseTTL:          3 * time.Second,
+		RenewInterval:     700 * time.Millisecond,
+		RequestTimeout:    250 * time.Millisecond,
+		MaxWait:           120 * time.Millisecond,
+		RetryAfter:        time.Second,
+		RetryAfterNoOwner: 500 * time.Millisecond,
 	}
 }
 
@@ -122,14 +122,14 @@
 	return max(1, bucketDepthShare*(c.Overage*(q.Rate*c.Window.Seconds()+q.Burst)+c.Slack))
 }
 
-// Part returns the partition of a workspace. If quotas are disabled it returns zero,
+// PartitionOf returns the partition of a workspace. If quotas are disabled it returns zero,
 // which has no owner, so that a token request of a peer does not crash the process.
-func (c Config) Part(workspace string) int {
+func (c Config) PartitionOf(workspace string) int {
 	return int(xxhash.Sum64String(workspace) % uint64(max(1, c.Parts)))
 }
 
-// Want is a node's token request to the owner of one workspace.
-type Want struct {
+// TokenRequest is a node's token request to the owner of one workspace.
+type TokenRequest struct {
 	_         struct{} `cbor:",toarray"`
 	Workspace string
 	// Held is the number of unused tokens of the node.
@@ -142,15 +142,15 @@
 // Urgent reports whether w justifies a message of its own: a request waits, or the
 // tokens run low. Other token requests to the same owner are sent along with an urgent
 // one.
-func (w Want) Urgent() bool { return w.Waiting > 0 || 2*w.Held < w.Prefetch }
+func (w TokenRequest) Urgent() bool { return w.Waiting > 0 || 2*w.Held < w.Prefetch }
 
 // Grant is an owner's answer to the token request for one workspace.
 type Grant struct {
 	_         struct{} `cbor:",toarray"`
 	Workspace string
-	// Now is the number of tokens for waiting requests, Prefetch the number of
+	// ForWaiting is the number of tokens for waiting requests, Prefetch the number of
 	// prefetched tokens.
-	Now, Prefetch uint32
+	ForWaiting, Prefetch uint32
 	// Short is set if the node got fewer tokens than its waiting requests need.
 	Short bool
 }
--- a/quota/tenure.go
+++ b/quota/tenure.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Tenure is this node's lease on the partitions that the store assigned to it. It expires
+// LeaseTerm is this node's lease on the partitions that the store assigned to it. It expires
 // by the node's own clock, counted from the time at which the renewal was sent, and
 // therefore before the store assigns the partitions to another node.
-type Tenure struct {
+type LeaseTerm struct {
 	generation uint64
 	expiresAt  time.Time
 	// termStart is the start of the current lease term of each partition.
@@ -19,34 +19,34 @@
 // difference between the clocks of two machines by far.
 const unusedLeaseFraction = 0.05
 
-// Lease is the store's answer to a renewal.
-type Lease struct {
-	// Sent is the time at which the renewal was sent, Life the TTL of the lease.
+// LeaseReply is the store's answer to a renewal.
+type LeaseReply struct {
+	// Sent is the time at which the renewal was sent, TTL the TTL of the lease.
 	Sent time.Time
-	Life time.Duration
+	TTL  time.Duration
 	// Generation grows with each change of owners in the store.
 	Generation uint64
 	Parts      []int
-	// FreeAt is the time at which leases have expired that the store granted and then
+	// LostLeasesExpireAt is the time at which leases have expired that the store granted and then
 	// lost by a restore from an older copy. It is zero if there are none.
-	FreeAt time.Time
+	LostLeasesExpireAt time.Time
 }
 
-// Renewed applies the store's answer to a renewal. It reports whether the owned
+// ApplyRenewal applies the store's answer to a renewal. It reports whether the owned
 // partitions changed or the lease had expired before.
-func (t *Tenure) Renewed(l Lease) bool {
+func (t *LeaseTerm) ApplyRenewal(l LeaseReply) bool {
 	termStart := make(map[int]time.Time, len(l.Parts))
 	lapsed := !l.Sent.Before(t.expiresAt) // another node may have owned them meanwhile
 	for _, p := range l.Parts {
 		began, held := t.termStart[p]
 		if lapsed || !held || l.Sent.Before(began) {
-			began = laterOf(l.Sent, l.FreeAt)
+			began = laterOf(l.Sent, l.LostLeasesExpireAt)
 		}
 		termStart[p] = began
 	}
 	changed := lapsed || l.Generation != t.generation || !samePartitions(termStart, t.termStart)
 	t.generation, t.termStart = l.Generation, termStart
-	t.expiresAt = l.Sent.Add(time.Duration(float64(l.Life) * (1 - unusedLeaseFraction)))
+	t.expiresAt = l.Sent.Add(time.Duration(float64(l.TTL) * (1 - unusedLeaseFraction)))
 	return changed
 }
 
@@ -69,12 +69,12 @@
 	return true
 }
 
-// Ended drops the lease. The node owns nothing until the next renewal.
-func (t *Tenure) Ended() { t.termStart, t.expiresAt = nil, time.Time{} }
+// Release drops the lease. The node owns nothing until the next renewal.
+func (t *LeaseTerm) Release() { t.termStart, t.expiresAt = nil, time.Time{} }
 
 // Owns reports whether this node owns a partition now, and since when. A partition is
 // not owned yet while another node may hold a lease on it that the store has lost.
-func (t *Tenure) Owns(now time.Time, part int) (termStart time.Time, ok bool) {
+func (t *LeaseTerm) Owns(now time.Time, part int) (termStart time.Time, ok bool) {
 	if !now.Before(t.expiresAt) {
 		return time.Time{}, false
 	}
@@ -83,10 +83,10 @@
 }
 
 // Generation returns the generation of the last renewal.
-func (t *Tenure) Generation() uint64 { return t.generation }
+func (t *LeaseTerm) Generation() uint64 { return t.generation }
 
 // Parts returns the leased partitions, sorted. It returns none after the lease expired.
-func (t *Tenure) Parts(now time.Time) []int {
+func (t *LeaseTerm) Parts(now time.Time) []int {
 	if !now.Before(t.expiresAt) {
 		return nil
 	}
--- a/reach/reach.go
+++ b/reach/reach.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// Config configures a Book.
+// Config configures a Tracker.
 type Config struct {
-	// Forget is the time after which a service that no response named is
+	// ExpireAfter is the time after which a service that no response named is
 	// dropped. It is much longer than the interval between requests of a
 	// route and much shorter than the interval between deployments.
-	Forget time.Duration
-	// Routes is the maximum number of routes, Services the maximum number
+	ExpireAfter time.Duration
+	// MaxRoutes is the maximum number of routes, MaxServices the maximum number
 	// of services per route.
-	Routes, Services int
+	MaxRoutes, MaxServices int
 }
 
 // DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
-		Forget:   30 * time.Second,
-		Routes:   4096, // more than a large installation has
-		Services: 64,   // a deep call chain with its branches
+		ExpireAfter: 30 * time.Second,
+		MaxRoutes:   4096, // more than a large installation has
+		MaxServices: 64,   // a deep call chain with its branches
 	}
 }
 
-// Book records for each route the services that its requests reach. It is not
+// Tracker records for each route the services that its requests reach. It is not
 // safe for concurrent use.
-type Book struct {
+type Tracker struct {
 	cfg    Config
 	routes map[string]*route
 }
@@ -47,14 +47,14 @@
 	lastSeen time.Time
 }
 
-// New returns an empty Book.
-func New(cfg Config) *Book {
-	return &Book{cfg: cfg, routes: make(map[string]*route)}
+// New returns an empty Tracker.
+func New(cfg Config) *Tracker {
+	return &Tracker{cfg: cfg, routes: make(map[string]*route)}
 }
 
-// Learn records that a request of the route reached the services. It reports
+// Record records that a request of the route reached the services. It reports
 // whether the services of the route changed.
-func (b *Book) Learn(now time.Time, name string, services []string) bool {
+func (b *Tracker) Record(now time.Time, name string, services []string) bool {
 	r := b.routes[name]
 	if r == nil {
 		if len(services) == 0 || !b.makeRoomForRoute(now) {
@@ -63,9 +63,9 @@
 		r = &route{}
 		b.routes[name] = r
 	}
-	changed := r.dropExpired(now, b.cfg.Forget)
+	changed := r.dropExpired(now, b.cfg.ExpireAfter)
 	for _, s := range services {
-		changed = r.recordService(now, s, b.cfg.Services) || changed
+		changed = r.recordService(now, s, b.cfg.MaxServices) || changed
 	}
 	if changed {
 		r.updateNames()
@@ -75,7 +75,7 @@
 
 // Reach returns the services that requests of the route reach, sorted by name.
 // The slice is shared and must not be modified.
-func (b *Book) Reach(name string) []string {
+func (b *Tracker) Reach(name string) []string {
 	if r := b.routes[name]; r != nil {
 		return r.names
 	}
@@ -84,17 +84,17 @@
 
 // makeRoomForRoute reports whether another route fits. If the book is full it first
 // removes the routes whose services have all expired.
-func (b *Book) makeRoomForRoute(now time.Time) bool {
-	if len(b.routes) < b.cfg.Routes {
+func (b *Tracker) makeRoomForRoute(now time.Time) bool {
+	if len(b.routes) < b.cfg.MaxRoutes {
 		return true
 	}
 	for name, r := range b.routes {
-		r.dropExpired(now, b.cfg.Forget)
+		r.dropExpired(now, b.cfg.ExpireAfter)
 		if len(r.services) == 0 {
 			delete(b.routes, name)
 		}
 	}
-	return len(b.routes) < b.cfg.Routes
+	return len(b.routes) < b.cfg.MaxRoutes
 }
 
 // dropExpired drops services that were last seen longer ago than after. It reports
@@ -140,7 +140,7 @@
 }
 
 // Dump returns the state of all routes, sorted by route.
-func (b *Book) Dump(now time.Time) []State {
+func (b *Tracker) Dump(now time.Time) []State {
 	out := make([]State, 0, len(b.routes))
 	for name, r := range b.routes {
 		s := State{Route: name, Services: r.names}
--- a/routes/route.go
+++ b/routes/route.go
@@ -27,15 +27,15 @@
 	Idempotent bool
 	// Timeout is the maximum time until a caller gets an answer.
 	Timeout time.Duration
-	// Aim is the target latency: an answer within it is worth most to the caller.
-	Aim time.Duration
+	// TargetLatency is the target latency: an answer within it is worth most to the caller.
+	TargetLatency time.Duration
 	// MaxAttempts is the maximum number of attempts for one request, each at
 	// another backend server.
 	MaxAttempts int
 	// Rank orders routes under overload; zero is the highest rank.
 	Rank int
-	// Open is set if requests need no workspace key.
-	Open bool
+	// NoKeyRequired is set if requests need no workspace key.
+	NoKeyRequired bool
 	// Shares are the services that serve the route, with relative weights.
 	Shares []Share
 }
@@ -141,13 +141,13 @@
 	Workspaces *workspace.Directory
 }
 
-// Health returns the path for health checks of the backend servers of a
+// HealthPath returns the path for health checks of the backend servers of a
 // service. It is empty if none is configured.
-func (t *Table) Health(service string) string { return t.healthPaths[service] }
+func (t *Table) HealthPath(service string) string { return t.healthPaths[service] }
 
-// SetHealth sets the paths for health checks by service. It must be called
+// SetHealthPaths sets the paths for health checks by service. It must be called
 // before the table is shared.
-func (t *Table) SetHealth(paths map[string]string) { t.healthPaths = paths }
+func (t *Table) SetHealthPaths(paths map[string]string) { t.healthPaths = paths }
 
 // New validates the routes and limits and builds a table. It fails on an
 // invalid route and on two routes with the same host and prefix.
--- a/workspace/workspace.go
+++ b/workspace/workspace.go
@@ -98,8 +98,8 @@
 // finiteNonNegative reports whether v is a finite number of zero or more.
 func finiteNonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
-// Find returns the workspace of a key. A nil Directory is empty.
-func (d *Directory) Find(key string) (*Workspace, bool) {
+// ByKey returns the workspace of a key. A nil Directory is empty.
+func (d *Directory) ByKey(key string) (*Workspace, bool) {
 	if d == nil || key == "" {
 		return nil, false
 	}
@@ -107,8 +107,8 @@
 	return w, ok
 }
 
-// Named returns the workspace with the given name. A nil Directory is empty.
-func (d *Directory) Named(name string) (*Workspace, bool) {
+// ByName returns the workspace with the given name. A nil Directory is empty.
+func (d *Directory) ByName(name string) (*Workspace, bool) {
 	if d == nil {
 		return nil, false
 	}
--- a/workspace/workspace_test.go
+++ b/workspace/workspace_test.go
@@ -17,15 +17,15 @@
 	})
 	is.NoErr(err)
 	for key, name := range map[string]string{"old": "north", "new": "north", "third": "south"} {
-		w, ok := d.Find(key)
+		w, ok := d.ByKey(key)
 		is.True(ok)
 		is.Equal(w.Name, name)
 	}
 	for _, key := range []string{"", "ol", "olds", "north"} {
-		_, ok := d.Find(key)
+		_, ok := d.ByKey(key)
 		is.True(!ok)
 	}
-	w, ok := d.Named("north")
+	w, ok := d.ByName("north")
 	is.True(ok)
 	is.True(w.Quota.Limited())
 	is.Equal(d.Len(), 2)
@@ -65,6 +65,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		d.Find("key-0000000000077777")
+		d.ByKey("key-0000000000077777")
 	}
 }
