--- a/daemon/find.go
+++ b/daemon/find.go
@@ -31,7 +31,7 @@
 				log.Info().Err(err).Msg("backend server not found at the start")
 				return
 			}
-			n.Found(time.Now(), b)
+			n.BackendFound(time.Now(), b)
 			return
 		}
 		select {
--- a/daemon/latestop.go
+++ b/daemon/latestop.go
@@ -27,7 +27,7 @@
 func reportLateStop(after time.Duration, n inFlight, log zerolog.Logger) (cancel func() bool) {
 	return time.AfterFunc(after, func() {
 		f := n.InFlight()
-		log.Warn().Int("entered", f.Entered).Int("tasks", f.Tasks).Int("replying", f.Replying).
+		log.Warn().Int("entered", f.CallerRequests).Int("tasks", f.Tasks).Int("replying", f.Replying).
 			Bool("unflushed", f.Unflushed).Str("goroutines", stacks()).Msg("planned stop is late")
 	}).Stop
 }
--- a/daemon/latestop_test.go
+++ b/daemon/latestop_test.go
@@ -16,7 +16,7 @@
 // stuck is a node whose planned stop never ends.
 type stuck struct{}
 
-func (stuck) InFlight() node.InFlight { return node.InFlight{Entered: 2, Unflushed: true} }
+func (stuck) InFlight() node.InFlight { return node.InFlight{CallerRequests: 2, Unflushed: true} }
 
 // Guards against a stop that hangs without a log line about its cause, and against
 // that line after a stop in time.
--- a/daemon/platform_config.go
+++ b/daemon/platform_config.go
@@ -103,7 +103,7 @@
 // freshness proofs don't expire before they reach the other nodes.
 func routeReads(cfg node.Config) readers.RoutesConfig {
 	reads := readers.DefaultRoutesConfig()
-	if within := float64(cfg.ProvenWithin); within > 0 {
+	if within := float64(cfg.MaxProofAge); within > 0 {
 		reads.Wait = min(reads.Wait, time.Duration(within*readShare))
 		reads.ProverWait = min(reads.ProverWait, time.Duration(within/proofReads))
 	}
@@ -134,7 +134,7 @@
 	cfg.PeerAddr = advertised(s, nodeSettings)
 	cfg.OpsAddr = s.Ops
 	cfg.CallerAddr = s.Callers
-	cfg.EnterGrace = enterGrace
+	cfg.CallerGrace = enterGrace
 	cfg.DrainAfter = drainAfter
 	cfg.DrainGrace = drainGrace
 	cfg.DecodeRoutes = platform.DecodeRoutes
@@ -149,8 +149,8 @@
 	cfg.Quota.Window = s.Bounds.QuotaWindow
 	cfg.Quota.Overage = s.Bounds.QuotaOverage
 	cfg.Quota.Slack = s.Bounds.QuotaSlack
-	cfg.FreshWithin = time.Duration(float64(s.Bounds.Revoke) * revokeShare)
-	cfg.ProvenWithin = provenWithin(cfg.ProvenWithin, s.Bounds.Apply, cfg.FreshWithin)
+	cfg.MaxConfigAge = time.Duration(float64(s.Bounds.Revoke) * revokeShare)
+	cfg.MaxProofAge = provenWithin(cfg.MaxProofAge, s.Bounds.Apply, cfg.MaxConfigAge)
 	body := min(int64(float64(s.Memory)*bodyShare), settings.MaxPayload)
 	cfg.Entry.MaxBody = max(cfg.Entry.MaxBody, body)
 	cfg.Backend.MaxAnswer = max(cfg.Backend.MaxAnswer, body)
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -157,7 +157,7 @@
 		if len(told) == 0 {
 			continue
 		}
-		for range production.NewsFanOut {
+		for range production.GossipFanOut {
 			to := n.world.all[rng.IntN(len(n.world.all))]
 			time.AfterFunc(link{from: n, to: to}.delay(), func() { to.dispatch.ReceiveGossip(time.Now(), told) })
 		}
--- a/internal/testnode/caller.go
+++ b/internal/testnode/caller.go
@@ -47,8 +47,8 @@
 	return i.cluster.exchange(ctx, "http://"+i.Callers+"/call/"+service+"/"+operation, body, fields...)
 }
 
-// Must sends a request that has to be answered.
-func (i *Instance) Must(tb testing.TB, service, operation, body string, fields ...string) Answer {
+// MustSend sends a request that has to be answered.
+func (i *Instance) MustSend(tb testing.TB, service, operation, body string, fields ...string) Answer {
 	tb.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
--- a/internal/testnode/cluster.go
+++ b/internal/testnode/cluster.go
@@ -110,9 +110,9 @@
 	return cfg
 }
 
-// AwaitWhole waits until every node that runs knows all others and which of
+// AwaitReady waits until every node that runs knows all others and which of
 // them take work, and has a configuration if there is one.
-func (c *Cluster) AwaitWhole() {
+func (c *Cluster) AwaitReady() {
 	c.tb.Helper()
 	Await(c.tb, "nodes know each other", func() bool {
 		for _, i := range c.instances {
--- a/internal/testnode/peer.go
+++ b/internal/testnode/peer.go
@@ -103,10 +103,10 @@
 
 // Sync returns when the node has handled all that was sent before, by asking
 // for a key that it refuses. Other messages that come meanwhile are dropped.
-func (p *Peer) Sync() error { return p.SyncTaking(func(wire.Frame) {}) }
+func (p *Peer) Sync() error { return p.SyncWith(func(wire.Frame) {}) }
 
-// SyncTaking is Sync that hands the other messages to take.
-func (p *Peer) SyncTaking(take func(wire.Frame)) error {
+// SyncWith is Sync that hands the other messages to take.
+func (p *Peer) SyncWith(take func(wire.Frame)) error {
 	if err := p.Send(wire.KindMint, mintRequest{Seq: 1}); err != nil {
 		return err
 	}
--- a/node/calls_test.go
+++ b/node/calls_test.go
@@ -28,9 +28,9 @@
 	c.Add("alertdesk", recordBudget(&budgets[0], fanOut))
 	c.Add("plumecast", recordBudget(&budgets[1], proxyTo("stationlog", "history")))
 	c.Add("fieldlog", prefixBody("file"))
-	c.AwaitWhole()
+	c.AwaitReady()
 
-	a := entry.Must(t, "alertdesk", "issue", "smoke", headers.DeadlineMs, "5000")
+	a := entry.MustSend(t, "alertdesk", "issue", "smoke", headers.DeadlineMs, "5000")
 
 	is.Equal(a.Verdict(), verdict.Ran)
 	is.Equal(string(a.Body), "history:smoke file:smoke")
@@ -63,12 +63,12 @@
 		defer close(reversed[i])
 		return testnode.OK(w.Body)
 	})
-	c.AwaitWhole()
+	c.AwaitReady()
 
 	var wg sync.WaitGroup
 	got := make([]string, requests)
 	for i := range requests {
-		wg.Go(func() { got[i] = string(entry.Must(t, "fieldlog", "file", fmt.Sprint(i)).Body) })
+		wg.Go(func() { got[i] = string(entry.MustSend(t, "fieldlog", "file", fmt.Sprint(i)).Body) })
 	}
 	wg.Wait()
 
@@ -84,16 +84,16 @@
 	c := startCluster(t, nil)
 	file := c.Add("fieldlog", testnode.Echo)
 	desk := c.Add("alertdesk", proxyTo("fieldlog", "file"))
-	c.AwaitWhole()
+	c.AwaitReady()
 
-	unknown := file.Must(t, "nowhere", "file", "")
+	unknown := file.MustSend(t, "nowhere", "file", "")
 	is.Equal(unknown.Verdict(), verdict.NotRun)
 	is.Equal(unknown.Reason(), verdict.UnknownService)
-	unknown = file.Must(t, "fieldlog", "burn", "")
+	unknown = file.MustSend(t, "fieldlog", "burn", "")
 	is.Equal(unknown.Verdict(), verdict.NotRun)
 	is.Equal(unknown.Reason(), verdict.UnknownOperation)
 
-	undeclared := desk.Must(t, "alertdesk", "idle", "undeclared") // the answer of the call that it makes
+	undeclared := desk.MustSend(t, "alertdesk", "idle", "undeclared") // the answer of the call that it makes
 	is.Equal(undeclared.Status, verdict.UndeclaredCall.Status())
 	stranger, err := desk.CallAs(t.Context(), "no such token", "fieldlog", "file", []byte("stranger"))
 	is.NoErr(err)
@@ -123,7 +123,7 @@
 	c := startCluster(t, nil)
 	running := c.startHolding(t)
 
-	a := c.entry.Must(t, "alertdesk", "issue", "x", headers.DeadlineMs, "300")
+	a := c.entry.MustSend(t, "alertdesk", "issue", "x", headers.DeadlineMs, "300")
 
 	is.Equal(a.Verdict(), verdict.MayHaveRun)
 	is.Equal(a.Reason(), verdict.Deadline)
@@ -137,11 +137,11 @@
 	desk := c.Add("alertdesk", testnode.Echo)
 	c.Add("plumecast", nil)
 	file := c.Add("fieldlog", testnode.Echo)
-	c.AwaitWhole()
+	c.AwaitReady()
 	refused := func(service, operation string, reason verdict.Reason) {
 		t.Helper()
 		is := is.New(t)
-		a := desk.Must(t, service, operation, "x")
+		a := desk.MustSend(t, service, operation, "x")
 		is.Equal(a.Verdict(), verdict.NotRun)
 		is.Equal(a.Reason(), reason)
 		is.True(a.RetryAfter() > 0)
@@ -152,7 +152,7 @@
 	refused("plumecast", "forecast", verdict.NoBackend) // no backend server
 	file.Announce("draining")
 	testnode.Await(t, "the entry node knows that the backend server is draining", func() bool {
-		return desk.Must(t, "fieldlog", "file", "x").Reason() == verdict.NoBackend
+		return desk.MustSend(t, "fieldlog", "file", "x").Reason() == verdict.NoBackend
 	})
 	refused("fieldlog", "file", verdict.NoBackend)
 }
@@ -165,22 +165,22 @@
 	c := testnode.Start(t, testnode.DefaultConfig())
 	desk := c.Add("alertdesk", testnode.Echo)
 	c.Add("fieldlog", testnode.Echo)
-	c.AwaitWhole()
-	a := desk.Must(t, "fieldlog", "file", "x")
+	c.AwaitReady()
+	a := desk.MustSend(t, "fieldlog", "file", "x")
 	is.Equal(a.Verdict(), verdict.NotRun)
 	is.Equal(a.Reason(), verdict.NoConfiguration)
 	is.True(a.RetryAfter() > 0)
 
 	c.Publish(graphText)
 	testnode.Await(t, "configuration in force", func() bool {
-		return desk.Must(t, "fieldlog", "file", "x").Verdict() == verdict.Ran
+		return desk.MustSend(t, "fieldlog", "file", "x").Verdict() == verdict.Ran
 	})
 	c.Publish(`service "fieldlog" {
 		operation "file" {}
 		operation "strike" {}
 	}`)
 	testnode.Await(t, "new operation in force", func() bool {
-		return desk.Must(t, "fieldlog", "strike", "x").Verdict() == verdict.Ran
+		return desk.MustSend(t, "fieldlog", "strike", "x").Verdict() == verdict.Ran
 	})
 }
 
@@ -194,20 +194,20 @@
 	c.Add("fieldlog", func(_ context.Context, w *testnode.Work) testnode.Answer {
 		return testnode.OK(append(w.Body, w.Query...))
 	})
-	c.AwaitWhole()
+	c.AwaitReady()
 	random := rand.NewChaCha8([32]byte{1})
 	for _, size := range []int{0, 1, 4095, 4096, 65537, limit - 1, limit} {
 		body := make([]byte, size)
 		_, _ = random.Read(body) // never fails
-		a := desk.Must(t, "fieldlog", "file", string(body))
+		a := desk.MustSend(t, "fieldlog", "file", string(body))
 		is.Equal(a.Verdict(), verdict.Ran)
 		is.True(bytes.Equal(a.Body, body))
 	}
 
-	a := desk.Must(t, "fieldlog", "file", string(make([]byte, limit+1)))
+	a := desk.MustSend(t, "fieldlog", "file", string(make([]byte, limit+1)))
 	is.Equal(a.Verdict(), verdict.NotRun)
 	is.Equal(a.Reason(), verdict.TooLarge)
-	a = desk.Must(t, "fieldlog", "file?x", string(make([]byte, limit))) // the answer is one byte longer
+	a = desk.MustSend(t, "fieldlog", "file?x", string(make([]byte, limit))) // the answer is one byte longer
 	is.Equal(a.Verdict(), verdict.Ran)
 	is.Equal(a.Reason(), verdict.TooLarge)
 }
@@ -223,16 +223,16 @@
 		}
 		return testnode.Declined()
 	})
-	c.AwaitWhole()
+	c.AwaitReady()
 	is := is.New(t)
 
-	is.Equal(file.Must(t, "alertdesk", "issue", "ran").Verdict(), verdict.MayHaveRun)
+	is.Equal(file.MustSend(t, "alertdesk", "issue", "ran").Verdict(), verdict.MayHaveRun)
 	is.Equal(file.Backend.Runs("ran"), 1)
-	is.Equal(file.Must(t, "alertdesk", "issue", "at once").Verdict(), verdict.NotRun)
+	is.Equal(file.MustSend(t, "alertdesk", "issue", "at once").Verdict(), verdict.NotRun)
 	file.Announce("draining")
 	testnode.Await(t, "calls are refused", func() bool {
-		return desk.Must(t, "fieldlog", "file", "x").Reason() == verdict.NoBackend
+		return desk.MustSend(t, "fieldlog", "file", "x").Reason() == verdict.NoBackend
 	})
-	is.Equal(file.Must(t, "alertdesk", "issue", "refused").Verdict(), verdict.NotRun)
+	is.Equal(file.MustSend(t, "alertdesk", "issue", "refused").Verdict(), verdict.NotRun)
 	is.Equal(file.Backend.Runs("refused"), 0)
 }
--- a/node/drain_test.go
+++ b/node/drain_test.go
@@ -29,25 +29,25 @@
 	}
 	desk := c.Add("alertdesk", testnode.Echo)
 	leaving := c.Add("fieldlog", held)
-	c.AwaitWhole()
+	c.AwaitReady()
 	answer := make(chan testnode.Answer, 1)
-	go func() { answer <- desk.Must(t, "fieldlog", "file", "held") }()
+	go func() { answer <- desk.MustSend(t, "fieldlog", "file", "held") }()
 	testnode.Await(t, "the request runs", func() bool { return leaving.Backend.Runs("held") == 1 })
 	c.Add("fieldlog", held)
-	c.AwaitWhole()
+	c.AwaitReady()
 	unaware := leaving.Dial(t, wire.NewNodeID())
 
 	stopped := make(chan error, 1)
 	go func() { stopped <- leaving.Stop(t.Context()) }()
 	testnode.Await(t, "the drain has begun", leaving.Node.Draining)
-	a := leaving.Must(t, "fieldlog", "file", "entering")
+	a := leaving.MustSend(t, "fieldlog", "file", "entering")
 	is.Equal(a.Verdict(), verdict.NotRun)
 	is.Equal(a.Reason(), verdict.Draining)
 	is.True(a.RetryAfter() > 0)
 
 	testnode.Await(t, "no new work is taken", func() bool { return leaving.State().Serve.Draining })
 	for i := range 20 {
-		is.Equal(desk.Must(t, "fieldlog", "file", fmt.Sprint(i)).Verdict(), verdict.Ran)
+		is.Equal(desk.MustSend(t, "fieldlog", "file", fmt.Sprint(i)).Verdict(), verdict.Ran)
 		is.Equal(leaving.Backend.Runs(fmt.Sprint(i)), 0)
 	}
 	is.NoErr(unaware.Send(wire.KindCall, request(unaware, leaving, 1, "deaf")))
@@ -70,7 +70,7 @@
 	is := is.New(t)
 	c := startCluster(t, func(cfg *node.Config) { cfg.DrainGrace = time.Minute })
 	leaving := c.Add("fieldlog", testnode.Echo)
-	c.AwaitWhole()
+	c.AwaitReady()
 	unaware := leaving.Dial(t, wire.NewNodeID())
 	is.NoErr(unaware.Send(wire.KindMint, mintRequest{Seq: 1, Operation: "file"}))
 	var before mintReply
--- a/node/behind_test.go
+++ b/node/freshness_test.go
@@ -42,10 +42,10 @@
 	for _, i := range []*testnode.Instance{reader, idle} {
 		i.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), node.SourceStore)
 	}
-	c.AwaitWhole()
+	c.AwaitReady()
 	for range 3 { // the reader gets proofs; the idle node requests them from it
 		clock.advance(applyWithin)
-		reader.Node.Proved(clock.read())
+		reader.Node.RecordProof(clock.read())
 		testnode.Await(t, "the idle node has the proof", func() bool { return !idle.Node.NodeState().NeedsProof })
 	}
 	lastProof := clock.read()
@@ -64,10 +64,10 @@
 	c := startWithRoutes(t, func(cfg *node.Config) { cfg.Clock = clock.read })
 	first := c.Add("a", testnode.Echo)
 	first.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), node.SourceStore)
-	began := first.Node.EraSeen(3)
+	began := first.Node.RecordEra(3)
 	is.Equal(began, clock.read())
 	clock.advance(time.Minute)
 	late := c.Add("a", testnode.Echo)
-	testnode.Await(t, "the late node has the report", func() bool { return late.Node.EraSeen(3).Equal(began) })
-	is.Equal(late.Node.EraSeen(4), clock.read())
+	testnode.Await(t, "the late node has the report", func() bool { return late.Node.RecordEra(3).Equal(began) })
+	is.Equal(late.Node.RecordEra(4), clock.read())
 }
--- a/node/fuzz_test.go
+++ b/node/fuzz_test.go
@@ -40,7 +40,7 @@
 	}
 	c := testnode.Start(f, cfg)
 	i := c.Add("fieldlog", testnode.Echo)
-	c.AwaitWhole()
+	c.AwaitReady()
 	return i
 }
 
@@ -104,7 +104,7 @@
 				IndirectProbe: &membership.ProbeRequest{Seq: 1, Target: wire.NodeID{7}, Addr: testnode.Nowhere}}}},
 		{{wire.KindConfig, config.Message{}}, {wire.KindConfig, config.Message{AsOf: 9, Sum: 1,
 			Update: &config.Update{To: 9, Version: 9, Sections: []config.Section{{Service: "fieldlog"}}}, Push: &config.Push{}}}},
-		{{wire.KindQuotaAsk, map[int]any{1: 1, 2: [][]any{{"w", 0, uint32(1 << 31), 5}}, 3: true}}},
+		{{wire.KindQuotaRequest, map[int]any{1: 1, 2: [][]any{{"w", 0, uint32(1 << 31), 5}}, 3: true}}},
 		{{wire.KindQuotaAnswer, map[int]any{1: 1, 2: [][]any{{"w", 1, 0, false}}, 4: [][]any{{asPeer, 9, []int{-1, 1 << 40}}}, 5: 1 << 40, 6: 1, 7: true}}},
 		{{wire.KindQuotaClaim, []any{asPeer, 9, []int{-1, 1 << 40}}}},
 		{{wire.KindPoison, poison.Notice{State: poison.Suspect, Fingerprints: []uint64{1, 2}, TTL: time.Second}},
@@ -218,7 +218,7 @@
 // checkReplies waits until the node has handled what was sent or has closed the connection,
 // and checks that each reply belongs to a call without one.
 func (h *hostilePeer) checkReplies(t *testing.T) {
-	err := h.peer.SyncTaking(func(f wire.Frame) {
+	err := h.peer.SyncWith(func(f wire.Frame) {
 		var r call.Reply
 		if f.Kind != wire.KindReply || wire.Unmarshal(f.Body, &r) != nil {
 			return
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -15,12 +15,12 @@
 	URL string
 	// Slots is the number of requests that it processes concurrently.
 	Slots int
-	// Leaving says that it will soon accept no new requests.
-	Leaving bool
+	// Draining says that it will soon accept no new requests.
+	Draining bool
 	// Sequence increases with each heartbeat of an incarnation.
 	Sequence uint64
-	// Cold is the remaining time for which it is slow after its start.
-	Cold time.Duration
+	// WarmupRemaining is the remaining time for which it is slow after its start.
+	WarmupRemaining time.Duration
 }
 
 // Beat applies a heartbeat of the backend server of this node. Once it returns, an
@@ -72,10 +72,10 @@
 	return before, n.instance, taken
 }
 
-// Found applies the answer of the backend server to the query of a starting node, if no
+// BackendFound applies the answer of the backend server to the query of a starting node, if no
 // heartbeat has arrived yet. Otherwise, after a restart of the node alone, a backend server
 // that is ready would get no requests until its next heartbeat.
-func (n *Node) Found(now time.Time, b Heartbeat) {
+func (n *Node) BackendFound(now time.Time, b Heartbeat) {
 	n.stateMu.Lock()
 	known := n.instance.start.ID != "" || n.starts.hasEnded(b.Start)
 	if !known {
@@ -89,9 +89,9 @@
 	n.setReady(true, "found at the start")
 }
 
-// BackendLeaves records that a backend incarnation leaves. Once it returns, that incarnation
+// BackendStopped records that a backend incarnation leaves. Once it returns, that incarnation
 // gets no more requests.
-func (n *Node) BackendLeaves(start Start) {
+func (n *Node) BackendStopped(start Start) {
 	n.stateMu.Lock()
 	ended := n.starts.markLeft(n.instance, start)
 	n.stateMu.Unlock()
--- a/node/hostile_test.go
+++ b/node/hostile_test.go
@@ -36,9 +36,9 @@
 		<-release
 		return testnode.OK(w.Body)
 	})
-	c.AwaitWhole()
+	c.AwaitReady()
 	answer := make(chan testnode.Answer, 1)
-	go func() { answer <- desk.Must(t, "fieldlog", "file", "true") }()
+	go func() { answer <- desk.MustSend(t, "fieldlog", "file", "true") }()
 	testnode.Await(t, "the request runs", func() bool { return file.Backend.Runs("true") == 1 })
 
 	forger := desk.Dial(t, wire.NewNodeID())
@@ -62,7 +62,7 @@
 	is := is.New(t)
 	c := startCluster(t, nil)
 	file := c.Add("fieldlog", testnode.Echo)
-	c.AwaitWhole()
+	c.AwaitReady()
 	p := file.Dial(t, wire.NewNodeID())
 
 	forged := request(p, file, 1, "forged")
@@ -100,7 +100,7 @@
 	is := is.New(t)
 	c := startCluster(t, nil)
 	file := c.Add("fieldlog", testnode.Echo)
-	c.AwaitWhole()
+	c.AwaitReady()
 	raw := func(kind wire.Kind, body ...byte) []byte { return append([]byte{0x82, byte(kind)}, body...) }
 	unknown := func(value []byte) []byte { return append([]byte{0xa1, 0x18, 99}, value...) } // in an unknown field
 	deep := bytes.Repeat([]byte{0x81}, 1000)                                                 // nested one-element arrays
@@ -127,7 +127,7 @@
 	is.NoErr(p.Send(wire.KindHello, 1)) // ignored: not expected here
 	is.NoErr(p.Send(wire.Kind(99), 1))  // ignored: of a later release
 	is.NoErr(p.Sync())
-	is.Equal(file.Must(t, "fieldlog", "file", "x").Verdict(), verdict.Ran)
+	is.Equal(file.MustSend(t, "fieldlog", "file", "x").Verdict(), verdict.Ran)
 	is.Equal(file.State().Serve.Senders.Windows, 1) // only that of the node's own call
 }
 
@@ -154,7 +154,7 @@
 		}
 		return testnode.OK(w.Body)
 	})
-	c.AwaitWhole()
+	c.AwaitReady()
 	for range 3 * bound {
 		p := file.Dial(t, wire.NewNodeID())
 		seq := uint64(0)
@@ -183,7 +183,7 @@
 	}
 	close(release)
 	testnode.Await(t, "others are served", func() bool {
-		return file.Must(t, "fieldlog", "file", "x").Verdict() == verdict.Ran
+		return file.MustSend(t, "fieldlog", "file", "x").Verdict() == verdict.Ran
 	})
 }
 
--- a/node/starts.go
+++ b/node/incarnations.go
@@ -71,9 +71,9 @@
 	if s.hasEnded(b.Start) || b.Start.Born < s.latestBorn {
 		return true
 	}
-	// A delayed Leaving still counts: the acknowledgement promises that no more requests
+	// A delayed Draining still counts: the acknowledgement promises that no more requests
 	// are sent to the backend server.
-	return sameIncarnation(known, b) && known.hasSequence && b.Sequence <= known.sequence && !b.Leaving
+	return sameIncarnation(known, b) && known.hasSequence && b.Sequence <= known.sequence && !b.Draining
 }
 
 // apply applies a heartbeat and returns the new state of the backend server; false if the
@@ -86,13 +86,13 @@
 	if !sameIncarnation(known, b) {
 		s.markEnded(known.start)
 	}
-	if b.Leaving {
+	if b.Draining {
 		s.markEnded(b.Start)
 	}
 	return instance{
 		url:         b.URL,
 		start:       b.Start,
-		ready:       !b.Leaving,
+		ready:       !b.Draining,
 		lastReport:  now,
 		slots:       b.Slots,
 		sequence:    b.Sequence,
--- a/node/starts_test.go
+++ b/node/incarnations_test.go
@@ -37,7 +37,7 @@
 
 func (h *backendHistory) sendHeartbeat(start int, leaving bool) {
 	h.sequences[start]++
-	h.sent = append(h.sent, message{start: start, beat: Heartbeat{Start: h.incarnations[start], Sequence: h.sequences[start], Leaving: leaving, Slots: 4}})
+	h.sent = append(h.sent, message{start: start, beat: Heartbeat{Start: h.incarnations[start], Sequence: h.sequences[start], Draining: leaving, Slots: 4}})
 }
 
 func (h *backendHistory) deliver(m message) {
@@ -50,7 +50,7 @@
 	}
 	h.known, _ = h.starts.apply(time.Time{}, h.known, m.beat)
 	h.latestReceived = max(h.latestReceived, m.start)
-	if m.beat.Leaving {
+	if m.beat.Draining {
 		h.ended[m.start] = true
 	}
 }
--- a/node/keys_test.go
+++ b/node/keys_test.go
@@ -33,7 +33,7 @@
 			return testnode.OK(w.Body)
 		})
 	}
-	k.AwaitWhole()
+	k.AwaitReady()
 	return k
 }
 
@@ -55,7 +55,7 @@
 	var wg sync.WaitGroup
 	var got [2]testnode.Answer
 	for i, desk := range k.desks {
-		wg.Go(func() { got[i] = desk.Must(t, "fieldlog", "file", body, headers.IdempotencyKey, key) })
+		wg.Go(func() { got[i] = desk.MustSend(t, "fieldlog", "file", body, headers.IdempotencyKey, key) })
 	}
 	return func() [2]testnode.Answer {
 		wg.Wait()
@@ -98,13 +98,13 @@
 		is.Equal(string(a.Body), "a")
 		is.True(a.Header.Get(headers.KeyHeldMs) != "")
 	}
-	again := k.desks[1].Must(t, "fieldlog", "file", "a", headers.IdempotencyKey, key)
+	again := k.desks[1].MustSend(t, "fieldlog", "file", "a", headers.IdempotencyKey, key)
 	is.Equal(string(again.Body), "a")
 	is.Equal(k.runs("a"), 1)
 
 	end(k, k.runner("a"))
 	for _, desk := range k.desks {
-		gone := desk.Must(t, "fieldlog", "file", "a", headers.IdempotencyKey, key)
+		gone := desk.MustSend(t, "fieldlog", "file", "a", headers.IdempotencyKey, key)
 		is.Equal(gone.Verdict(), verdict.MayHaveRun)
 		is.Equal(gone.Reason(), verdict.KeyHolderGone)
 	}
@@ -124,7 +124,7 @@
 	}
 
 	is.Equal(k.runs("b"), 1)
-	other := k.desks[0].Must(t, "fieldlog", "file", "c", headers.IdempotencyKey, "key-of-b")
+	other := k.desks[0].MustSend(t, "fieldlog", "file", "c", headers.IdempotencyKey, "key-of-b")
 	is.Equal(other.Reason(), verdict.KeyInvalid)
 	is.Equal(other.Verdict(), verdict.Ran) // the request that the key belongs to has run
 	is.Equal(k.runs("c"), 0)
@@ -138,18 +138,18 @@
 	close(k.release)
 	k.Log.Outage(time.Now().Add(time.Hour))
 
-	a := k.desks[0].Must(t, "fieldlog", "file", "d", headers.IdempotencyKey, "key-of-d")
+	a := k.desks[0].MustSend(t, "fieldlog", "file", "d", headers.IdempotencyKey, "key-of-d")
 	is.Equal(a.Verdict(), verdict.NotRun)
 	is.Equal(a.Reason(), verdict.KeyNotBound)
 	is.True(a.RetryAfter() > 0)
 	is.Equal(k.runs("d"), 0)
 	minted := k.desks[0].MintKey(t, "fieldlog", "file")
-	a = k.desks[0].Must(t, "fieldlog", "file", "e", headers.IdempotencyKey, minted)
+	a = k.desks[0].MustSend(t, "fieldlog", "file", "e", headers.IdempotencyKey, minted)
 	is.Equal(a.Verdict(), verdict.Ran)
 
 	k.Log.Outage(time.Time{})
 	testnode.Await(t, "the key is bound", func() bool {
-		a := k.desks[0].Must(t, "fieldlog", "file", "d", headers.IdempotencyKey, "key-of-d")
+		a := k.desks[0].MustSend(t, "fieldlog", "file", "d", headers.IdempotencyKey, "key-of-d")
 		return a.Verdict() == verdict.Ran
 	})
 	is.Equal(k.runs("d"), 1)
--- a/node/late_test.go
+++ b/node/late_calls_test.go
@@ -19,7 +19,7 @@
 	is := is.New(t)
 	c := startCluster(t, func(cfg *node.Config) { cfg.LateCallWait = 2 * time.Second })
 	n := c.Add("fieldlog", testnode.Echo)
-	c.AwaitWhole()
+	c.AwaitReady()
 	p := n.Dial(t, wire.NewNodeID())
 	const clock, held = 100_000, 2_000 // milliseconds
 	send := func(seq uint64, body string, sent uint32) {
--- a/node/spread_levels.go
+++ b/node/level_gossip.go
@@ -8,8 +8,8 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// NewsFanOut is the number of nodes that each round of level gossip is sent to.
-const NewsFanOut = 3
+// GossipFanOut is the number of nodes that each round of level gossip is sent to.
+const GossipFanOut = 3
 
 // levelsMessage carries the known admission levels of services to a peer.
 type levelsMessage struct {
@@ -58,7 +58,7 @@
 	}
 }
 
-// sendLevels sends a message to NewsFanOut connected nodes: most in the own data centre,
+// sendLevels sends a message to GossipFanOut connected nodes: most in the own data centre,
 // where traffic is cheap, and one in another, so that the gossip reaches all data centres.
 func (n *Node) sendLevels(m levelsMessage) {
 	if len(m.LevelGossip) == 0 {
@@ -79,8 +79,8 @@
 	rand.Shuffle(len(local), func(i, j int) { local[i], local[j] = local[j], local[i] })
 	rand.Shuffle(len(remote), func(i, j int) { remote[i], remote[j] = remote[j], remote[i] })
 	remoteCount := min(1, len(remote))
-	localCount := min(NewsFanOut-remoteCount, len(local))
-	remoteCount = min(NewsFanOut-localCount, len(remote))
+	localCount := min(GossipFanOut-remoteCount, len(local))
+	remoteCount = min(GossipFanOut-localCount, len(remote))
 	for _, id := range append(local[:localCount], remote[:remoteCount]...) {
 		n.outbox.sendIfConnected(id, wire.KindLevels, m)
 	}
--- a/node/pressure.go
+++ b/node/level_log.go
@@ -5,16 +5,16 @@
 // levelLogInterval is the least time between two log lines about the admission level.
 const levelLogInterval = time.Second
 
-// pressure limits the log lines about changes of the admission level of this node's service.
+// levelLog limits the log lines about changes of the admission level of this node's service.
 // With them an operator finds the cause of a refusal at the entry in the log of the service's
 // own node.
-type pressure struct {
+type levelLog struct {
 	level    uint16
 	loggedAt time.Time
 }
 
 // shouldLog reports whether to log a level, and records it if so.
-func (p *pressure) shouldLog(now time.Time, level uint16) bool {
+func (p *levelLog) shouldLog(now time.Time, level uint16) bool {
 	if level == p.level || now.Sub(p.loggedAt) < levelLogInterval {
 		return false
 	}
@@ -24,7 +24,7 @@
 
 // logLevelChange logs the admission level if it has changed.
 func (n *Node) logLevelChange(now time.Time) {
-	if !n.pressure.shouldLog(now, n.server.level(now)) {
+	if !n.levelLog.shouldLog(now, n.server.level(now)) {
 		return
 	}
 	d := n.server.dump(now)
--- a/node/levels_test.go
+++ b/node/levels_test.go
@@ -23,7 +23,7 @@
 	is := is.New(t)
 	c := startCluster(t, func(cfg *node.Config) { cfg.Dispatch.LevelGossip = admission.DefaultLevelGossipConfig() })
 	n := c.Add("fieldlog", testnode.Echo)
-	c.AwaitWhole()
+	c.AwaitReady()
 	from, to := n.Dial(t, wire.NewNodeID()), n.Dial(t, wire.NewNodeID())
 	is.NoErr(from.Join("alertdesk"))
 	is.NoErr(to.Join("alertdesk"))
--- a/node/loops.go
+++ b/node/loops.go
@@ -90,7 +90,7 @@
 	for _, addr := range firsts {
 		if addr != n.cfg.PeerAddr {
 			// An owner sends its claim on each new connection.
-			n.outbox.send(controlMessage{addr: addr, kind: wire.KindQuotaAsk, msg: quotaRequest{Claims: true}})
+			n.outbox.send(controlMessage{addr: addr, kind: wire.KindQuotaRequest, msg: quotaRequest{Claims: true}})
 		}
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -56,11 +56,11 @@
 	// DrainGrace is how long a draining node still accepts work after it has
 	// notified its peers, for those that have not received the message yet.
 	DrainGrace time.Duration
-	// EnterGrace is how long after the start of a planned stop the node still
+	// CallerGrace is how long after the start of a planned stop the node still
 	// accepts requests by host and path: their callers use no other node until
 	// they see that this one is not ready. A later request might not finish
 	// before the process ends.
-	EnterGrace time.Duration
+	CallerGrace time.Duration
 	// BackendSilence is the time without a heartbeat after which the backend
 	// server counts as gone. It sends one every second.
 	BackendSilence time.Duration
@@ -84,13 +84,13 @@
 	Directory bool
 	// Quota limits the requests of workspaces; without parts there is no limit.
 	Quota quota.Config
-	// FreshWithin is the greatest age of the configuration at which requests that need a
+	// MaxConfigAge is the greatest age of the configuration at which requests that need a
 	// key are accepted: in an older one the key may have been revoked. Zero is no limit.
-	FreshWithin time.Duration
-	// ProvenWithin is the greatest age of a freshness proof, which shows that the
+	MaxConfigAge time.Duration
+	// MaxProofAge is the greatest age of a freshness proof, which shows that the
 	// published routes are the newest. An older one is renewed by asking the peers or
 	// else the store. Zero is no limit.
-	ProvenWithin time.Duration
+	MaxProofAge time.Duration
 	// Clock measures leases and ages.
 	Clock bootclock.Clock
 	// DecodeRoutes decodes published routes. If it is set the node serves
@@ -114,7 +114,7 @@
 		Entry:          entry.DefaultConfig(),
 		Explain:        explain.DefaultConfig(),
 		Quota:          quota.DefaultConfig(),
-		ProvenWithin:   1600 * time.Millisecond,
+		MaxProofAge:    1600 * time.Millisecond,
 		Clock:          bootclock.Now,
 	}
 }
@@ -147,7 +147,7 @@
 	instance instance // the backend server's last reported state
 	starts   starts
 
-	pressure pressure // used by one loop alone
+	levelLog levelLog // used by one loop alone
 
 	// levelsReceived wakes the loop that gossips admission levels.
 	levelsReceived chan struct{}
@@ -189,7 +189,7 @@
 	cfg.Dispatch.Seed = seed
 
 	if cfg.DecodeRoutes == nil {
-		cfg.ProvenWithin = 0 // a graph text is distributed by package config, without proofs
+		cfg.MaxProofAge = 0 // a graph text is distributed by package config, without proofs
 	}
 	n := &Node{
 		cfg:       cfg,
@@ -203,7 +203,7 @@
 		graph:     newGraphs(config.NewDistributor(cfg.Distributor, id, cfg.DataCentre, seed)),
 		requests:  retry.NewRequests(cfg.Dispatch.Budget),
 		routing:   newRouting(cfg.DecodeRoutes),
-		quotas:    newQuotas(cfg.Quota, cfg.FreshWithin, cfg.ProvenWithin, cfg.Clock),
+		quotas:    newQuotas(cfg.Quota, cfg.MaxConfigAge, cfg.MaxProofAge, cfg.Clock),
 		startedAt: now,
 
 		levelsReceived: make(chan struct{}, 1),
--- a/node/ops.go
+++ b/node/ops.go
@@ -14,29 +14,29 @@
 
 // State is a dump of the state of a node.
 type State struct {
-	Node       wire.NodeID     `json:"node"`
-	Service    string          `json:"service"`
-	DataCentre string          `json:"data_centre"`
-	Draining   bool            `json:"draining"`
-	Entered    int64           `json:"callers_requests_under_way"`
-	Peers      int             `json:"connected_peers"`
-	Backend    BackendState    `json:"backend_server"`
-	Serve      serve.Dump      `json:"serve"`
-	Dispatch   dispatch.Dump   `json:"dispatch"`
-	Config     config.Dump     `json:"config"`
-	Membership membership.Dump `json:"membership"`
-	Explain    explain.Dump    `json:"explain"`
-	Routes     RoutesState     `json:"routes"`
-	Workspaces WorkspacesState `json:"workspaces"`
+	Node           wire.NodeID     `json:"node"`
+	Service        string          `json:"service"`
+	DataCentre     string          `json:"data_centre"`
+	Draining       bool            `json:"draining"`
+	CallerRequests int64           `json:"callers_requests_under_way"`
+	Peers          int             `json:"connected_peers"`
+	Backend        BackendState    `json:"backend_server"`
+	Serve          serve.Dump      `json:"serve"`
+	Dispatch       dispatch.Dump   `json:"dispatch"`
+	Config         config.Dump     `json:"config"`
+	Membership     membership.Dump `json:"membership"`
+	Explain        explain.Dump    `json:"explain"`
+	Routes         RoutesState     `json:"routes"`
+	Workspaces     WorkspacesState `json:"workspaces"`
 }
 
 // BackendState is the backend server's last reported state.
 type BackendState struct {
-	URL   string    `json:"url"`
-	Boot  string    `json:"boot"`
-	Born  int64     `json:"born,omitempty"`
-	Ready bool      `json:"ready"`
-	Heard time.Time `json:"heard"`
+	URL           string    `json:"url"`
+	Incarnation   string    `json:"boot"`
+	Born          int64     `json:"born,omitempty"`
+	Ready         bool      `json:"ready"`
+	LastHeartbeat time.Time `json:"heard"`
 }
 
 // State implements ops.Node.
@@ -44,19 +44,19 @@
 	now := time.Now()
 	inst := n.backendInstance()
 	s := State{
-		Node:       n.id,
-		Service:    n.cfg.Service,
-		DataCentre: n.cfg.DataCentre,
-		Draining:   n.draining.Load(),
-		Entered:    n.callerRequests.Load(),
-		Peers:      len(n.peers.Connected()),
-		Backend:    BackendState{URL: inst.url, Boot: inst.start.ID, Born: inst.start.Born, Ready: inst.ready, Heard: inst.lastReport},
-		Serve:      n.server.dump(now),
-		Dispatch:   n.dispatch.Dump(now),
-		Config:     n.graph.dump(),
-		Explain:    n.notes.Dump(),
-		Routes:     n.routing.dump(now),
-		Workspaces: n.dumpWorkspaces(),
+		Node:           n.id,
+		Service:        n.cfg.Service,
+		DataCentre:     n.cfg.DataCentre,
+		Draining:       n.draining.Load(),
+		CallerRequests: n.callerRequests.Load(),
+		Peers:          len(n.peers.Connected()),
+		Backend:        BackendState{URL: inst.url, Incarnation: inst.start.ID, Born: inst.start.Born, Ready: inst.ready, LastHeartbeat: inst.lastReport},
+		Serve:          n.server.dump(now),
+		Dispatch:       n.dispatch.Dump(now),
+		Config:         n.graph.dump(),
+		Explain:        n.notes.Dump(),
+		Routes:         n.routing.dump(now),
+		Workspaces:     n.dumpWorkspaces(),
 	}
 	n.members.with(func(m *membership.Members) { s.Membership = m.Dump() })
 	return s
--- a/node/peers.go
+++ b/node/peers.go
@@ -94,7 +94,7 @@
 var messageNames = map[wire.Kind]string{
 	wire.KindCall: "call", wire.KindReply: "reply", wire.KindCancel: "cancel", wire.KindMembership: "membership",
 	wire.KindConfig: "config", wire.KindPoison: "poison", wire.KindRoutes: "routes", wire.KindLevels: "levels",
-	wire.KindQuotaAsk: "quota", wire.KindQuotaAnswer: "quota", wire.KindQuotaClaim: "quota",
+	wire.KindQuotaRequest: "quota", wire.KindQuotaAnswer: "quota", wire.KindQuotaClaim: "quota",
 }
 
 // countPeerBytes counts the bytes of a message by its kind, with the suffix "_far" if it
@@ -123,7 +123,7 @@
 		return decode(f, func(m levelsMessage) { n.handleLevels(m) })
 	case wire.KindPoison:
 		return decode(f, func(m poison.Notice) { n.handleNotice(m) })
-	case wire.KindQuotaAsk:
+	case wire.KindQuotaRequest:
 		return decode(f, func(m quotaRequest) { n.handleQuotaRequest(from, m) })
 	case wire.KindQuotaAnswer:
 		return decode(f, func(m quotaAnswer) { n.handleQuotaAnswer(from, m) })
--- a/node/proofs.go
+++ b/node/proofs.go
@@ -25,9 +25,9 @@
 	proofReadShare = 0.8
 )
 
-// Proved records that the version in force here was the newest at the given time of
+// RecordProof records that the version in force here was the newest at the given time of
 // LeaseClock.
-func (n *Node) Proved(at time.Time) {
+func (n *Node) RecordProof(at time.Time) {
 	version := n.routing.version()
 	n.quotas.with(func(time.Time) {
 		n.quotas.proof.AddProof(freshness.Proof{Version: version, At: at})
@@ -35,9 +35,9 @@
 	})
 }
 
-// EraSeen records the era named in an answer of the store. It returns when this node or a
+// RecordEra records the era named in an answer of the store. It returns when this node or a
 // peer first saw that era, or zero if the store was never restored from an older copy.
-func (n *Node) EraSeen(era uint64) (since time.Time) {
+func (n *Node) RecordEra(era uint64) (since time.Time) {
 	n.quotas.with(func(now time.Time) { since = n.quotas.eras.ReportedByStore(now, era) })
 	return since
 }
--- a/node/quota_dump.go
+++ b/node/quota_dump.go
@@ -23,8 +23,8 @@
 	Accounts []quota.AccountState `json:"accounts,omitempty"`
 	// Owners are the ownership claims that it knows.
 	Owners []quota.Claim `json:"owners,omitempty"`
-	// Asking is the number of quota requests that await an answer.
-	Asking int `json:"asking"`
+	// PendingRequests is the number of quota requests that await an answer.
+	PendingRequests int `json:"asking"`
 }
 
 // maxAccounts bounds the accounts in a dump.
@@ -43,7 +43,7 @@
 		s.Generation, s.Parts = q.leaseTerm.Generation(), q.leaseTerm.Parts(now)
 		s.Accounts = q.issuer.Dump()
 		s.Owners = q.owners.Claims()
-		s.Asking = len(q.requests)
+		s.PendingRequests = len(q.requests)
 	})
 	slices.SortFunc(s.Accounts, func(a, b quota.AccountState) int {
 		return cmp.Or(cmp.Compare(a.Tokens, b.Tokens), cmp.Compare(a.Workspace, b.Workspace))
--- a/node/quota_asks.go
+++ b/node/quota_requests.go
@@ -100,7 +100,7 @@
 		n.handleQuotaAnswer(n.id, n.makeQuotaAnswer(n.id, out.msg))
 		return
 	}
-	n.outbox.sendToMember(out.to, wire.KindQuotaAsk, out.msg)
+	n.outbox.sendToMember(out.to, wire.KindQuotaRequest, out.msg)
 }
 
 // missingInfo is what a node has to ask peers other than the owners for.
@@ -214,7 +214,7 @@
 // makeQuotaAnswer grants tokens of the workspaces that this node owns, and adds ownership
 // claims and the freshness proof.
 func (n *Node) makeQuotaAnswer(from wire.NodeID, m quotaRequest) quotaAnswer {
-	n.counts.QuotaAsks.Add(1)
+	n.counts.QuotaRequests.Add(1)
 	table := n.routing.table()
 	answer := quotaAnswer{Number: m.Number}
 	n.quotas.with(func(now time.Time) {
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -163,7 +163,7 @@
 			return nil
 		}
 		if !awaitChange(ctx, changed, until) {
-			return verdict.Refuse(verdict.StaleConfiguration, "cannot verify that the configuration is no older than %s", n.cfg.FreshWithin).
+			return verdict.Refuse(verdict.StaleConfiguration, "cannot verify that the configuration is no older than %s", n.cfg.MaxConfigAge).
 				After(n.cfg.Quota.RetryAfterNoOwner)
 		}
 	}
--- a/node/quotas_test.go
+++ b/node/quotas_test.go
@@ -184,7 +184,7 @@
 	spaces, err := workspace.New([]workspace.Entry{{Workspace: workspace.Workspace{Name: "north"}, Keys: []string{"k"}}})
 	is.NoErr(err)
 	n := &Node{cfg: DefaultConfig(), quotas: q, routing: newRouting(nil)}
-	n.cfg.FreshWithin = 4 * time.Second
+	n.cfg.MaxConfigAge = 4 * time.Second
 	n.cfg.Quota.MaxWait = time.Hour
 	n.routing.install(time.Now(), &routes.Table{Version: 3, Workspaces: spaces}, nil)
 	space, refusal := n.authorize(t.Context(), &routes.Route{NoKeyRequired: true}, "")
--- a/node/faults_test.go
+++ b/node/regression_test.go
@@ -34,7 +34,7 @@
 	is := is.New(t)
 	c := startCluster(t, nil)
 	desk := c.Add("alertdesk", testnode.Echo)
-	c.AwaitWhole()
+	c.AwaitReady()
 	asked := desk.Dial(t, wire.NewNodeID())
 	is.NoErr(asked.Join("fieldlog"))
 	testnode.Await(t, "member known", func() bool { return len(desk.Node.Members()) == 2 })
@@ -62,8 +62,8 @@
 		testnode.Await(t, "the call runs", func() bool { return file.Backend.Runs("x") > 0 })
 		return testnode.Declined()
 	})
-	c.AwaitWhole()
-	a := file.Must(t, "alertdesk", "issue", "x")
+	c.AwaitReady()
+	a := file.MustSend(t, "alertdesk", "issue", "x")
 	is.Equal(file.Backend.Runs("x"), 1)
 	is.Equal(a.Verdict(), verdict.MayHaveRun)
 }
@@ -74,10 +74,10 @@
 	is := is.New(t)
 	k := startKeyCluster(t)
 	close(k.release)
-	is.Equal(k.desks[0].Must(t, "fieldlog", "file", "x", headers.IdempotencyKey, "own").Verdict(), verdict.Ran)
+	is.Equal(k.desks[0].MustSend(t, "fieldlog", "file", "x", headers.IdempotencyKey, "own").Verdict(), verdict.Ran)
 	k.runner("x").Kill()
 	for _, desk := range k.desks {
-		a := desk.Must(t, "fieldlog", "file", "x", headers.IdempotencyKey, "own")
+		a := desk.MustSend(t, "fieldlog", "file", "x", headers.IdempotencyKey, "own")
 		t.Log(a)
 		if a.Verdict() == verdict.NotRun {
 			t.Error("reported as not run, but it has run")
@@ -103,11 +103,11 @@
 		<-release
 		return testnode.OK(w.Body)
 	})
-	c.AwaitWhole()
+	c.AwaitReady()
 	key := first.MintKey(t, "fieldlog", "file")
 	answers := make(chan testnode.Answer, 2)
 	send := func(i *testnode.Instance) {
-		answers <- i.Must(t, "fieldlog", "file", "x", headers.IdempotencyKey, key)
+		answers <- i.MustSend(t, "fieldlog", "file", "x", headers.IdempotencyKey, key)
 	}
 	go send(first)
 	testnode.Await(t, "runs", func() bool { return file.Backend.Runs("x") == 1 })
@@ -130,7 +130,7 @@
 	const copies = 1000
 	c := startCluster(t, func(cfg *node.Config) { cfg.Serve.Once.PendingFor = time.Minute })
 	file := c.Add("fieldlog", testnode.Echo)
-	c.AwaitWhole()
+	c.AwaitReady()
 	c.Log.Outage(time.Now().Add(time.Hour))
 	p := file.Dial(t, wire.NewNodeID())
 	for seq := range uint64(copies) {
@@ -164,12 +164,12 @@
 	const names = 5000
 	c := startCluster(t, nil)
 	desk := c.Add("alertdesk", testnode.Echo)
-	c.AwaitWhole()
+	c.AwaitReady()
 	p := desk.Dial(t, wire.NewNodeID())
 	is.NoErr(p.Join("fieldlog"))
 	testnode.Await(t, "member known", func() bool { return len(desk.Node.Members()) == 2 })
 	got := make(chan testnode.Answer, 1)
-	go func() { got <- desk.Must(t, "fieldlog", "file", "x") }()
+	go func() { got <- desk.MustSend(t, "fieldlog", "file", "x") }()
 	var req call.Request
 	is.NoErr(p.NextOf(wire.KindCall, &req))
 	reply := call.Reply{From: p.ID, To: req.From, Seq: req.Seq, Verdict: verdict.Ran, Status: 200}
@@ -192,7 +192,7 @@
 		cfg.Serve.Once.MaxFloors = 2
 	})
 	file := c.Add("fieldlog", testnode.Echo)
-	c.AwaitWhole()
+	c.AwaitReady()
 	for range 4 {
 		p := file.Dial(t, wire.NewNodeID())
 		is.NoErr(p.Send(wire.KindCall, request(p, file, 1, "x")))
@@ -200,7 +200,7 @@
 		p.Close()
 	}
 	is.True(file.State().Serve.Senders.Exhausted)
-	a := file.Must(t, "fieldlog", "file", "y", headers.DeadlineMs, "1000")
+	a := file.MustSend(t, "fieldlog", "file", "y", headers.DeadlineMs, "1000")
 	is.True(a.Reason() != verdict.Deadline)
 	is.Equal(a.Verdict(), verdict.NotRun)
 }
@@ -215,7 +215,7 @@
 	file := c.Add("fieldlog", func(_ context.Context, w *testnode.Work) testnode.Answer {
 		return testnode.OK(make([]byte, 1<<20))
 	})
-	c.AwaitWhole()
+	c.AwaitReady()
 	p := file.Dial(t, wire.NewNodeID())
 	for seq := range uint64(calls) {
 		is.NoErr(p.Send(wire.KindCall, request(p, file, seq+1, "x")))
@@ -245,7 +245,7 @@
 			is := is.New(t)
 			c := startCluster(t, nil)
 			desk := c.Add("alertdesk", testnode.Echo)
-			c.AwaitWhole()
+			c.AwaitReady()
 			p := desk.Dial(t, wire.NewNodeID())
 			is.NoErr(p.Join("fieldlog"))
 			testnode.Await(t, "member known", func() bool { return len(desk.Node.Members()) == 2 })
@@ -273,7 +273,7 @@
 		<-release
 		return testnode.OK(w.Body)
 	})
-	c.AwaitWhole()
+	c.AwaitReady()
 	asking := wire.NewNodeID()
 	first := file.Dial(t, asking)
 	is.NoErr(first.Send(wire.KindCall, request(first, file, 1, "x")))
--- a/node/routing_test.go
+++ b/node/routing_test.go
@@ -98,7 +98,7 @@
 	b := c.Add("b", testnode.Echo)
 	testnode.Await(t, "the new node has the routes", func() bool { return b.Node.Routes() != nil })
 
-	c.AwaitWhole()
+	c.AwaitReady()
 	b.Node.Publish(routesText{Version: 7, Services: []string{"a", "b"}}.encode(t), "store")
 	testnode.Await(t, "replies announce the new version", func() bool {
 		forward(a, "a", "r", "")
@@ -122,7 +122,7 @@
 	top = c.Add("top", proxyCall(&top, "middle"))
 	middle = c.Add("middle", proxyCall(&middle, "deep"))
 	c.Add("deep", testnode.Echo)
-	c.AwaitWhole()
+	c.AwaitReady()
 	top.Node.Publish(routesText{Version: 1, Services: []string{"top", "middle", "deep"}}.encode(t), "store")
 	testnode.Await(t, "all have the routes", func() bool {
 		return forward(top, "top", "r1", "no-such-request").Status == 200
@@ -144,7 +144,7 @@
 	a := c.Add("a", testnode.Echo)
 	a.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), "store")
 	beat := func(instance string, sequence uint64, leaving bool) {
-		a.Node.Beat(time.Now(), node.Heartbeat{Start: node.Start{ID: instance}, URL: a.Backend.URL, Slots: 4, Sequence: sequence, Leaving: leaving})
+		a.Node.Beat(time.Now(), node.Heartbeat{Start: node.Start{ID: instance}, URL: a.Backend.URL, Slots: 4, Sequence: sequence, Draining: leaving})
 	}
 	serves := func() bool { return forward(a, "a", "r", "").Verdict == verdict.Ran }
 
@@ -158,8 +158,8 @@
 	beat("two", 1, false)
 	testnode.Await(t, "the next backend incarnation serves", serves)
 	beat("one", 9, false)
-	is.Equal(a.State().Backend.Boot, "two")
-	a.Node.BackendLeaves(node.Start{ID: "two"})
+	is.Equal(a.State().Backend.Incarnation, "two")
+	a.Node.BackendStopped(node.Start{ID: "two"})
 	beat("two", 2, false)
 	is.True(!serves())
 	is.Equal(a.Counters.LateBeats.Value(), int64(4))
@@ -183,21 +183,21 @@
 	beat(2000, 1)
 	testnode.Await(t, "the next backend incarnation serves", serves)
 	beat(1000, 6)
-	a.Node.BackendLeaves(start(1000))
+	a.Node.BackendStopped(start(1000))
 	is.True(serves())
 	is.Equal(a.State().Backend.Born, int64(2000))
 	is.Equal(a.Counters.LateBeats.Value(), int64(1))
-	a.Node.BackendLeaves(start(2000))
+	a.Node.BackendStopped(start(2000))
 	is.True(!serves())
 }
 
-// A draining node accepts requests for EnterGrace, since callers may not know yet that
+// A draining node accepts requests for CallerGrace, since callers may not know yet that
 // it is not ready. Later requests are refused as not run.
 func TestDrainingNodeAcceptsRequestsDuringEnterGrace(t *testing.T) {
 	is := is.New(t)
-	c := startWithRoutes(t, func(cfg *node.Config) { cfg.EnterGrace = 200 * time.Millisecond })
+	c := startWithRoutes(t, func(cfg *node.Config) { cfg.CallerGrace = 200 * time.Millisecond })
 	a, b := c.Add("a", testnode.Echo), c.Add("b", testnode.Echo)
-	c.AwaitWhole()
+	c.AwaitReady()
 	a.Node.Publish(routesText{Version: 1, Services: []string{"b"}}.encode(t), "store")
 	a.Node.Drain()
 	is.Equal(forward(a, "b", "r1", "").Verdict, verdict.Ran)
@@ -227,7 +227,7 @@
 	entering := c.Add("entry", testnode.Echo)
 	c.Add("a", lossy)
 	c.Add("a", testnode.Echo)
-	c.AwaitWhole()
+	c.AwaitReady()
 	entering.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), "store")
 	for range 30 {
 		is.Equal(forward(entering, "a", "warm", "").Verdict, verdict.Ran)
@@ -247,9 +247,9 @@
 	url := c.Add("b", testnode.Echo).Backend.URL
 	a.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), "store")
 	found := func(instance string) {
-		a.Node.Found(time.Now(), node.Heartbeat{Start: node.Start{ID: instance}, URL: url, Slots: 4})
+		a.Node.BackendFound(time.Now(), node.Heartbeat{Start: node.Start{ID: instance}, URL: url, Slots: 4})
 	}
-	a.Node.BackendLeaves(node.Start{ID: "gone"})
+	a.Node.BackendStopped(node.Start{ID: "gone"})
 	found("gone")
 	is.True(forward(a, "a", "r", "").Verdict == verdict.NotRun)
 	found("one")
@@ -257,7 +257,7 @@
 	a.Node.Beat(time.Now(), node.Heartbeat{Start: node.Start{ID: "one"}, URL: url, Slots: 4}) // the first, with sequence 0
 	is.Equal(a.Counters.LateBeats.Value(), int64(0))
 	found("two")
-	is.Equal(a.State().Backend.Boot, "one")
+	is.Equal(a.State().Backend.Incarnation, "one")
 }
 
 // A call of a running request waits for a backend server of the called service. A
@@ -286,7 +286,7 @@
 	is := is.New(t)
 	c := startWithRoutes(t, func(cfg *node.Config) { cfg.DrainAfter = 300 * time.Millisecond })
 	a, b := c.Add("a", testnode.Echo), c.Add("b", testnode.Echo)
-	c.AwaitWhole()
+	c.AwaitReady()
 	a.Node.Publish(routesText{Version: 1, Services: []string{"b"}}.encode(t), "store")
 	b.Node.Drain()
 	ready, _ := b.Node.Ready()
@@ -312,7 +312,7 @@
 		<-release
 		return testnode.OK([]byte("whole"))
 	})
-	c.AwaitWhole()
+	c.AwaitReady()
 	top.Node.Publish(routesText{Version: 1, Services: []string{"top", "deep"}}.encode(t), "store")
 
 	ctx, cancel := context.WithCancel(t.Context())
@@ -340,7 +340,7 @@
 	for range 6 {
 		nodes = append(nodes, c.Add("a", testnode.Echo))
 	}
-	c.AwaitWhole()
+	c.AwaitReady()
 	slices.SortFunc(nodes, func(a, b *testnode.Instance) int {
 		switch x, y := a.Node.Reader(), b.Node.Reader(); {
 		case x == y:
--- a/node/run.go
+++ b/node/run.go
@@ -168,7 +168,7 @@
 // connection of the call has ended here, another one is used, since the caller's
 // node may not have noticed the end yet.
 func (n *Node) replyConn(r call.Reply) (*transport.Conn, bool) {
-	if c, ok := n.peers.Numbered(r.Via); ok {
+	if c, ok := n.peers.ByNumber(r.Via); ok {
 		return c, true
 	}
 	return n.peers.Lookup(r.To)
--- a/node/scripts_test.go
+++ b/node/scripts_test.go
@@ -94,7 +94,7 @@
 		c.Add("fieldlog", counted(waitForCancel)),
 		c.Add("stationlog", counted(waitForCancel)),
 	}
-	c.AwaitWhole()
+	c.AwaitReady()
 	return n.Load
 }
 
@@ -102,7 +102,7 @@
 func (c *cluster) idle() bool {
 	for _, i := range c.nodes {
 		s := i.State()
-		if s.Entered != 0 || s.Dispatch.Waiting != 0 || s.Serve.Running != 0 || s.Serve.Queue.Waiting != 0 {
+		if s.CallerRequests != 0 || s.Dispatch.Waiting != 0 || s.Serve.Running != 0 || s.Serve.Queue.Waiting != 0 {
 			return false
 		}
 	}
--- a/node/stop.go
+++ b/node/stop.go
@@ -56,11 +56,11 @@
 // Draining reports whether the planned stop has begun.
 func (n *Node) Draining() bool { return n.draining.Load() }
 
-// closedToCallers reports whether EnterGrace has passed since the start of the
+// closedToCallers reports whether CallerGrace has passed since the start of the
 // planned stop, so that requests by host and path are refused.
 func (n *Node) closedToCallers(now time.Time) bool {
 	since := n.drainBegan.Load()
-	return since != 0 && now.Sub(time.Unix(0, since)) > n.cfg.EnterGrace
+	return since != 0 && now.Sub(time.Unix(0, since)) > n.cfg.CallerGrace
 }
 
 // waitPoll is the interval at which Wait checks for requests in flight.
@@ -90,9 +90,9 @@
 
 // InFlight counts the work that a planned stop waits for.
 type InFlight struct {
-	// Entered is the number of callers' requests, Tasks that of calls of peers
+	// CallerRequests is the number of callers' requests, Tasks that of calls of peers
 	// that wait or run here, Replying that of replies being sent.
-	Entered, Tasks, Replying int
+	CallerRequests, Tasks, Replying int
 	// Unflushed is true if data for a peer is not yet written to its connection.
 	Unflushed bool
 }
@@ -100,10 +100,10 @@
 // InFlight returns the work in flight.
 func (n *Node) InFlight() InFlight {
 	return InFlight{
-		Entered:   int(n.callerRequests.Load()),
-		Tasks:     n.server.tasks(),
-		Replying:  int(n.replying.Load()),
-		Unflushed: !n.peers.Flushed(),
+		CallerRequests: int(n.callerRequests.Load()),
+		Tasks:          n.server.tasks(),
+		Replying:       int(n.replying.Load()),
+		Unflushed:      !n.peers.Flushed(),
 	}
 }
 
--- a/ops/counters.go
+++ b/ops/counters.go
@@ -57,9 +57,9 @@
 	ConfigChanges expvar.Int
 	// RoutesRefused counts published routes that were not valid.
 	RoutesRefused expvar.Int
-	// QuotaAsks counts answered requests of other nodes for tokens or freshness
+	// QuotaRequests counts answered requests of other nodes for tokens or freshness
 	// proofs.
-	QuotaAsks expvar.Int
+	QuotaRequests expvar.Int
 	// LateBeats counts heartbeats of the backend server that arrived after newer
 	// ones.
 	LateBeats expvar.Int
@@ -129,7 +129,7 @@
 		{name: "backend_broken", value: &c.BackendBroken},
 		{name: "backend_crashes", value: &c.BackendCrashes},
 		{name: "keys_minted", value: &c.KeysMinted},
-		{name: "quota_asks", value: &c.QuotaAsks},
+		{name: "quota_asks", value: &c.QuotaRequests},
 		{name: "late_replies", value: &c.LateReplies},
 		{name: "late_calls", value: &c.LateCalls},
 		{name: "peer_connects", value: &c.PeerConnects},
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -351,8 +351,8 @@
 	return c, ok
 }
 
-// Numbered returns the open connection of a number (Conn.Number).
-func (t *Transport) Numbered(number uint64) (*Conn, bool) {
+// ByNumber returns the open connection of a number (Conn.Number).
+func (t *Transport) ByNumber(number uint64) (*Conn, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c, ok := t.all[number]
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -24,7 +24,7 @@
 	KindRoutes
 	KindOpened
 	KindLevels
-	KindQuotaAsk
+	KindQuotaRequest
 	KindQuotaAnswer
 	KindQuotaClaim
 )
