--- a/cmd/cassialoom/options.go
+++ b/cmd/cassialoom/options.go
@@ -188,7 +188,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", operator.ErrRefused, err)
 	}
-	o.Report("%s: right; node %s beside %s of service %s\n", c.Args.File, s.Node, s.Backend, s.Service)
+	o.Report("%s: right; node %s beside %s of service %s\n", c.Args.File, s.Node, s.BackendAddr, s.Service)
 	return nil
 }
 
--- a/daemon/find.go
+++ b/daemon/find.go
@@ -26,7 +26,7 @@
 	defer cancel()
 	for {
 		if table := n.Routes(); table != nil && table.HealthPath(s.Service) != "" {
-			b, err := platform.AskHealth(ctx, s.Backend, table.HealthPath(s.Service))
+			b, err := platform.CheckHealth(ctx, s.BackendAddr, table.HealthPath(s.Service))
 			if err != nil {
 				log.Info().Err(err).Msg("backend server not found at the start")
 				return
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	app := fx.New(PlatformModule(path, s, nodeSettings, hup, os.Stdout))
-	return runApp(app, time.Duration(float64(s.Bounds.Grace)*stopShare))
+	return runApp(app, time.Duration(float64(s.Bounds.StopGrace)*stopShare))
 }
 
 // settingsPath is the path of the platform's settings file.
@@ -60,11 +60,11 @@
 
 // advertised returns the address by which other nodes reach this one.
 func advertised(s platform.Settings, nodeSettings settings.Platform) string {
-	return cmp.Or(nodeSettings.PeerAdvertise, s.Peers)
+	return cmp.Or(nodeSettings.PeerAdvertise, s.PeersAddr)
 }
 
 func newStore(s platform.Settings, c *ops.Counters) *platform.Store {
-	return platform.NewStore(s.Store.Addr, func(cause platform.Cause) { c.StoreCalls.Add(string(cause), 1) })
+	return platform.NewStore(s.Store.Addr, func(cause platform.CallPurpose) { c.StoreCalls.Add(string(cause), 1) })
 }
 
 func newPlatformNode(cfg node.Config, s *platform.Store, log zerolog.Logger, c *ops.Counters) (*node.Node, error) {
@@ -79,10 +79,10 @@
 func listenPlatform(s platform.Settings) (*platformListeners, error) {
 	var l platformListeners
 	return &l, openAll([]endpoint{
-		{"callers", s.Callers, &l.callers},
-		{"heartbeats", s.Heartbeats, &l.heartbeats},
+		{"callers", s.CallersAddr, &l.callers},
+		{"heartbeats", s.HeartbeatsAddr, &l.heartbeats},
 		{"ready", s.Ready, &l.ready},
-		{"peers", s.Peers, &l.peers},
+		{"peers", s.PeersAddr, &l.peers},
 		{"ops", s.Ops, &l.ops},
 	})
 }
@@ -91,26 +91,26 @@
 // application.
 func runPlatform(lc fx.Lifecycle, path settingsPath, hup hangups, s platform.Settings, nodeSettings settings.Platform, cfg node.Config, n *node.Node, store *platform.Store,
 	c *ops.Counters, listening *platformListeners, log zerolog.Logger) {
-	debug.SetMemoryLimit(int64(float64(s.Memory) * memoryShare))
+	debug.SetMemoryLimit(int64(float64(s.MemoryLimit) * memoryShare))
 	cfg.Entry.Draining = n.Draining
 	callers := entry.NewServer(cfg.Entry, platform.NewCallers(cfg.Entry, n))
 	servers := map[*http.Server]net.Listener{
 		callers: entry.Listener(listening.callers),
-		{Handler: platform.NewHeartbeats(s.Service, s.Backend, n), ReadHeaderTimeout: cfg.Entry.HeaderTimeout}:                  listening.heartbeats,
-		{Handler: platform.NewReady(func() bool { ok, _ := n.Ready(); return ok }), ReadHeaderTimeout: cfg.Entry.HeaderTimeout}: listening.ready,
-		{Handler: n.Peers(), ReadHeaderTimeout: cfg.Transport.DialTimeout}:                                                      listening.peers,
-		ops.NewServer(ops.DefaultConfig(), ops.New(n, c)):                                                                       listening.ops,
+		{Handler: platform.NewHeartbeatHandler(s.Service, s.BackendAddr, n), ReadHeaderTimeout: cfg.Entry.HeaderTimeout}:               listening.heartbeats,
+		{Handler: platform.NewReadyHandler(func() bool { ok, _ := n.Ready(); return ok }), ReadHeaderTimeout: cfg.Entry.HeaderTimeout}: listening.ready,
+		{Handler: n.Peers(), ReadHeaderTimeout: cfg.Transport.DialTimeout}:                                                             listening.peers,
+		ops.NewServer(ops.DefaultConfig(), ops.New(n, c)):                                                                              listening.ops,
 	}
 	loopCtx, stopLoops := context.WithCancel(context.Background())
 	reload := newReloader(string(path), s, hup, restartRequired(s), log)
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			n.Start()
-			go platform.Watch(loopCtx, store, n, routeReads(cfg), log)
+			go platform.WatchRoutes(loopCtx, store, n, routeReads(cfg), log)
 			if cfg.Quota.Parts > 0 {
-				go platform.Lease(loopCtx, store, n, cfg.Quota, log)
+				go platform.RenewLeases(loopCtx, store, n, cfg.Quota, log)
 			}
-			go platform.Announce(loopCtx, store, platform.Place{Addr: advertised(s, nodeSettings), DataCentre: s.DataCentre}, n, log)
+			go platform.MaintainMembership(loopCtx, store, platform.NodeAddress{Addr: advertised(s, nodeSettings), DataCentre: s.DataCentre}, n, log)
 			go reload.run(loopCtx)
 			if !s.First {
 				go probeBackend(loopCtx, s, n, log)
@@ -121,7 +121,7 @@
 			return nil
 		},
 		OnStop: func(ctx context.Context) error {
-			cancelReport := reportLateStop(time.Duration(float64(s.Bounds.Grace)*reportShare), n, log)
+			cancelReport := reportLateStop(time.Duration(float64(s.Bounds.StopGrace)*reportShare), n, log)
 			defer cancelReport()
 			n.Drain()
 			err := n.Wait(ctx)
--- a/daemon/platform_config.go
+++ b/daemon/platform_config.go
@@ -133,7 +133,7 @@
 	cfg.Region = s.Region
 	cfg.PeerAddr = advertised(s, nodeSettings)
 	cfg.OpsAddr = s.Ops
-	cfg.CallerAddr = s.Callers
+	cfg.CallerAddr = s.CallersAddr
 	cfg.CallerGrace = enterGrace
 	cfg.DrainAfter = drainAfter
 	cfg.DrainGrace = drainGrace
@@ -149,9 +149,9 @@
 	cfg.Quota.Window = s.Bounds.QuotaWindow
 	cfg.Quota.Overage = s.Bounds.QuotaOverage
 	cfg.Quota.Slack = s.Bounds.QuotaSlack
-	cfg.MaxConfigAge = time.Duration(float64(s.Bounds.Revoke) * revokeShare)
-	cfg.MaxProofAge = provenWithin(cfg.MaxProofAge, s.Bounds.Apply, cfg.MaxConfigAge)
-	body := min(int64(float64(s.Memory)*bodyShare), settings.MaxPayload)
+	cfg.MaxConfigAge = time.Duration(float64(s.Bounds.RevokeTime) * revokeShare)
+	cfg.MaxProofAge = provenWithin(cfg.MaxProofAge, s.Bounds.ApplyTime, cfg.MaxConfigAge)
+	body := min(int64(float64(s.MemoryLimit)*bodyShare), settings.MaxPayload)
 	cfg.Entry.MaxBody = max(cfg.Entry.MaxBody, body)
 	cfg.Backend.MaxAnswer = max(cfg.Backend.MaxAnswer, body)
 	LoadPolicy(&cfg, s.Bounds)
--- a/daemon/platform_test.go
+++ b/daemon/platform_test.go
@@ -21,7 +21,7 @@
 type site struct {
 	t       *testing.T
 	store   *standin.Store
-	journal *standin.Journal
+	journal *standin.RunLog
 	client  *http.Client
 	dir     string
 }
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &site{t: t, store: store, journal: standin.NewJournal(), dir: t.TempDir(),
+	s := &site{t: t, store: store, journal: standin.NewRunLog(), dir: t.TempDir(),
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 	t.Cleanup(store.Close)
 	s.publish(1, "top", "deep")
@@ -47,19 +47,19 @@
 	for _, name := range services {
 		list = append(list, standin.Route{Name: "to-" + name, Host: siteHost, Prefix: "/" + name + "/", Service: name, Idempotent: name != "deep"})
 	}
-	text, err := standin.RoutesText(version, list)
+	text, err := standin.ManifestText(version, list)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.store.Put(text)
+	s.store.PublishManifest(text)
 }
 
 // addMachine starts a machine with a backend server, whose requests call the service
 // calls if that is not empty.
 func (s *site) addMachine(n int, service, calls string) (standin.Machine, *standin.Target) {
 	m := standin.Machine{Name: fmt.Sprintf("m%d", n), IP: fmt.Sprintf("127.77.1.%d", n), Service: service}
-	cfg := standin.TargetConfig{Service: service, Addr: m.Backend(), Node: m.Heartbeats(), Calls: m.Callers(), Slots: 20,
-		Work: 5 * time.Millisecond, Beat: 100 * time.Millisecond, Seed: uint64(n)}
+	cfg := standin.TargetConfig{Service: service, Addr: m.Backend(), HeartbeatsAddr: m.Heartbeats(), CallsAddr: m.Callers(), Slots: 20,
+		MeanRunTime: 5 * time.Millisecond, HeartbeatInterval: 100 * time.Millisecond, Seed: uint64(n)}
 	if calls != "" {
 		cfg.CallHost, cfg.CallPath = siteHost, "/"+calls+"/c"
 	}
@@ -103,7 +103,7 @@
 
 // ask sends a request. The status is zero if there is no answer.
 func (s *site) ask(m standin.Machine, service, id string) (status int, body string) {
-	a := standin.Ask(s.t.Context(), s.client, m, standin.Request{
+	a := standin.SendRequest(s.t.Context(), s.client, m, standin.Request{
 		Method: http.MethodGet, Host: siteHost, Path: "/" + service + "/x", ID: id, Timeout: 4 * time.Second,
 	})
 	return a.Status, a.Body
@@ -149,7 +149,7 @@
 		status, _ := s.ask(a, "deep", id)
 		return status == 200 && s.journal.Runs(id)[0] == last.ID()
 	})
-	s.store.Set(standin.Silent)
+	s.store.SetFault(standin.Silent)
 	s.publish(4, "deep")
 	is.NoErr(first.Leave(t.Context()))
 	for i := range 50 {
@@ -161,7 +161,7 @@
 		is.Equal(len(s.journal.Runs(id)), 1)
 		is.True(s.journal.Runs(id)[0] != first.ID()) // it has announced that it leaves
 	}
-	s.store.Set(standin.Well)
+	s.store.SetFault(standin.NoFault)
 	s.await("the new routes are in force everywhere", func() bool {
 		one, _ := s.ask(a, "top", "gone")
 		two, _ := s.ask(b, "top", "gone")
--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -49,7 +49,7 @@
 	go func() { defer close(done); r.run(ctx) }()
 	writeFile(strings.Replace(settingsText, "drain-s=2", "drain-s=3", 1))
 	is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	is.Equal((<-applied).Bounds.Drain.Seconds(), 3.0)
+	is.Equal((<-applied).Bounds.DrainTime.Seconds(), 3.0)
 	cancel()
 	<-done
 }
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); r.run(ctx) }()
-	is.Equal((<-applied).Bounds.Grace.Seconds(), 9.0)
+	is.Equal((<-applied).Bounds.StopGrace.Seconds(), 9.0)
 	cancel()
 	<-done
 }
--- a/daemon/workspaces_test.go
+++ b/daemon/workspaces_test.go
@@ -14,11 +14,11 @@
 // publishWorkspaces publishes routes whose requests need the key of a workspace.
 func (s *site) publishWorkspaces(version uint64, workspaces ...standin.Workspace) {
 	list := []standin.Route{{Name: "to-top", Host: siteHost, Prefix: "/top/", Service: "top", Idempotent: true}}
-	text, err := standin.RoutesText(version, list, workspaces...)
+	text, err := standin.ManifestText(version, list, workspaces...)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.store.Put(text)
+	s.store.PublishManifest(text)
 }
 
 // askWithKey sends a request with a key and returns the status.
@@ -28,7 +28,7 @@
 
 // answerTo sends a request with a key and returns the answer.
 func (s *site) answerTo(m standin.Machine, key, id string) standin.Answer {
-	return standin.Ask(s.t.Context(), s.client, m, standin.Request{
+	return standin.SendRequest(s.t.Context(), s.client, m, standin.Request{
 		Method: http.MethodGet, Host: siteHost, Path: "/top/x", ID: id, Key: key, Timeout: 4 * time.Second,
 	})
 }
@@ -52,7 +52,7 @@
 	is.Equal(s.askWithKey(b, "key-x", "r3"), 401)
 	is.Equal(len(s.journal.Runs("r2"))+len(s.journal.Runs("r3")), 0)
 
-	s.store.Set(standin.Silent)
+	s.store.SetFault(standin.Silent)
 	s.publishWorkspaces(3, north)
 	revoked := time.Now()
 	for i := 0; time.Since(revoked) < 2*standin.RevokeWithin; i++ {
@@ -64,7 +64,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	s.store.Set(standin.Well)
+	s.store.SetFault(standin.NoFault)
 	s.await("the other key is served again", func() bool { return s.askWithKey(a, "key-n", "back") == 200 })
 	is.Equal(s.askWithKey(a, "key-s", "r4"), 401)
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -82,7 +82,7 @@
 	{"store busy", storeFault(standin.Busy)},
 	{"store silent", storeFault(standin.Silent)},
 	{"store loses answers", storeFault(standin.LosesAnswers)},
-	{"store forgets", func(_ context.Context, w *world, _ *box, _ time.Duration) error { w.store.Forget(); return nil }},
+	{"store forgets", func(_ context.Context, w *world, _ *box, _ time.Duration) error { w.store.ExpireRecords(); return nil }},
 	{"link to the store reset", linkFault(toStore, linkReset)},
 	{"link to the store silent", linkFault(toStore, linkSilent)},
 	{"link to the store one way", linkFault(toStore, linkOneWay)},
@@ -104,9 +104,9 @@
 
 func storeFault(f standin.Fault) func(context.Context, *world, *box, time.Duration) error {
 	return func(ctx context.Context, w *world, _ *box, d time.Duration) error {
-		w.store.Set(f)
+		w.store.SetFault(f)
 		pause.For(ctx, d)
-		w.store.Set(standin.Well)
+		w.store.SetFault(standin.NoFault)
 		return nil
 	}
 }
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -42,7 +42,7 @@
 func (b Broken) String() string { return fmt.Sprintf("%s: %s: request %s", b.Promise, b.What, b.ID) }
 
 // judge compares what clients heard with what backend servers ran.
-func judge(all []told, j *standin.Journal) []Broken {
+func judge(all []told, j *standin.RunLog) []Broken {
 	var out []Broken
 	for _, t := range all {
 		runs := j.Runs(t.ID)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -184,7 +184,7 @@
 	prefix := paths[c.rng.IntN(len(paths))]
 	t := told{ID: strconv.FormatUint(c.rng.Uint64(), 36), Machine: c.box.Name, Path: prefix + strconv.Itoa(c.sent),
 		Idempotent: prefix != "/once/", With: with, Sent: time.Now()}
-	t.Answer = standin.Ask(ctx, c.http, c.box.Machine, standin.Request{
+	t.Answer = standin.SendRequest(ctx, c.http, c.box.Machine, standin.Request{
 		Method: http.MethodPost, Host: host, Path: t.Path, ID: t.ID, Key: with.key, Timeout: clientTimeout,
 	})
 	return t
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -19,10 +19,10 @@
 // Each lie that a client can be told is found, and the truth is left alone: a
 // judge that never objects would let every run pass.
 func TestJudgeFindsEveryLie(t *testing.T) {
-	j := standin.NewJournal()
-	j.Note("ran", "i-1")
-	j.Note("twice", "i-1")
-	j.Note("twice", "i-2")
+	j := standin.NewRunLog()
+	j.RecordRun("ran", "i-1")
+	j.RecordRun("twice", "i-1")
+	j.RecordRun("twice", "i-2")
 	good := func(id string) told {
 		return told{ID: id, Path: "/once/1", Answer: standin.Answer{Status: 200, Body: standin.Body(id, "/once/1"), Signature: standin.Sign(id, "/once/1")}}
 	}
@@ -68,14 +68,14 @@
 // Guards against judges of keys and quotas that object to nothing.
 func TestJudgesOfWorkspacesFindEveryLie(t *testing.T) {
 	is := is.New(t)
-	j := standin.NewJournal()
+	j := standin.NewRunLog()
 	sent := time.Now()
 	taken := map[uint64]time.Time{3: sent.Add(-standin.RevokeWithin - time.Millisecond), 4: sent.Add(-standin.RevokeWithin + time.Millisecond)}
 	var all []told
 	for id, version := range map[string]uint64{"late": 3, "soon": 4, "held": 5, "refused": 3} {
 		all = append(all, told{ID: id, With: credential{key: versionKey(version), version: version}, Sent: sent})
 		if id != "refused" {
-			j.Note(id, "i-1")
+			j.RecordRun(id, "i-1")
 		}
 	}
 	found := judgeKeys(all, j, taken)
@@ -87,11 +87,11 @@
 	for i := range limit {
 		id := fmt.Sprint("h", i)
 		all = append(all, told{ID: id, With: credential{key: hotKey}}, told{ID: id + "c", With: credential{key: calmKey}})
-		j.Note(id, "i-1")
-		j.Note(id+"c", "i-1")
+		j.RecordRun(id, "i-1")
+		j.RecordRun(id+"c", "i-1")
 	}
 	is.Equal(len(judgeQuota(all, j)), 0)
-	j.Note("more", "i-1")
+	j.RecordRun("more", "i-1")
 	is.Equal(len(judgeQuota(append(all, told{ID: "more", With: credential{key: hotKey}}), j)), 1)
 }
 
--- a/internal/soak/versions.go
+++ b/internal/soak/versions.go
@@ -50,7 +50,7 @@
 
 // put writes the last version; the caller holds the lock.
 func (w *world) put() error {
-	text, err := standin.RoutesText(w.last.version, []standin.Route{
+	text, err := standin.ManifestText(w.last.version, []standin.Route{
 		{Name: "top", Host: host, Prefix: "/top/", Service: topService, Idempotent: true, Priority: 1},
 		{Name: "top-once", Host: host, Prefix: "/once/", Service: topService},
 		{Name: "end", Host: host, Prefix: "/end/", Service: endService, Idempotent: true, Priority: 2},
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	w.store.Put(text)
+	w.store.PublishManifest(text)
 	w.last.confirmed = time.Now()
 	return nil
 }
@@ -67,14 +67,14 @@
 // restore lets the store be away for a moment and come back from a copy made a while
 // before; then the operator writes again what was lost.
 func (w *world) restore(ctx context.Context, d time.Duration) error {
-	older := w.store.Copy()
+	older := w.store.Snapshot()
 	pause.For(ctx, d)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.store.Set(standin.Busy)
+	w.store.SetFault(standin.Busy)
 	pause.For(ctx, rewriteAfter)
 	w.store.Restore(older)
-	w.store.Set(standin.Well)
+	w.store.SetFault(standin.NoFault)
 	pause.For(ctx, rewriteAfter)
 	return w.put()
 }
@@ -144,7 +144,7 @@
 // knows, zero if that is none.
 func (w *world) inForce(ctx context.Context, c *http.Client, b *box, least uint64) uint64 {
 	for version := least; version <= w.newest().version; version++ {
-		a := standin.Ask(ctx, c, b.Machine, standin.Request{Method: http.MethodPost, Host: host,
+		a := standin.SendRequest(ctx, c, b.Machine, standin.Request{Method: http.MethodPost, Host: host,
 			Path: versionPath(version) + "x", ID: fmt.Sprintf("version-%d-%s", version, b.Name), Key: calmKey, Timeout: clientTimeout})
 		if a.Status != http.StatusNotFound {
 			return version
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -60,7 +60,7 @@
 
 // judgeKeys finds requests that ran though their key had been taken away for longer than
 // the bound when they were sent.
-func judgeKeys(all []told, j *standin.Journal, taken map[uint64]time.Time) []Broken {
+func judgeKeys(all []told, j *standin.RunLog, taken map[uint64]time.Time) []Broken {
 	var out []Broken
 	for _, t := range all {
 		since, gone := taken[t.With.version]
@@ -76,7 +76,7 @@
 }
 
 // judgeQuota finds a window in which more of the hot workspace's requests ran than may.
-func judgeQuota(all []told, j *standin.Journal) []Broken {
+func judgeQuota(all []told, j *standin.RunLog) []Broken {
 	var runs []time.Time
 	for _, t := range all {
 		if at, ran := j.FirstRun(t.ID); ran && t.With.key == hotKey {
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -76,7 +76,7 @@
 	cfg     Config
 	rig     *rig.Rig
 	store   *standin.Store
-	journal *standin.Journal
+	journal *standin.RunLog
 	record  record
 	boxes   []*box
 
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, errors.Join(err, r.RemoveLogs())
 	}
-	w := &world{cfg: cfg, rig: r, store: store, journal: standin.NewJournal(), taken: make(map[uint64]time.Time)}
+	w := &world{cfg: cfg, rig: r, store: store, journal: standin.NewRunLog(), taken: make(map[uint64]time.Time)}
 	if err := w.publish(); err != nil {
 		return w, err
 	}
@@ -159,8 +159,8 @@
 
 func (w *world) startTarget(b *box) error {
 	b.starts++
-	cfg := standin.TargetConfig{Service: b.Service, Addr: b.Backend(), Node: b.Heartbeats(), Calls: b.Callers(),
-		Slots: slots, Work: work, Beat: beat, Seed: w.cfg.Seed + uint64(b.starts)}
+	cfg := standin.TargetConfig{Service: b.Service, Addr: b.Backend(), HeartbeatsAddr: b.Heartbeats(), CallsAddr: b.Callers(),
+		Slots: slots, MeanRunTime: work, HeartbeatInterval: beat, Seed: w.cfg.Seed + uint64(b.starts)}
 	if b.toBackend != nil {
 		cfg.ID = "i-" + b.Name // on every second pair of machines starts share an id
 	}
