--- a/caller/client_test.go
+++ b/caller/client_test.go
@@ -312,7 +312,7 @@
 		first, err := c.Mint(t.Context(), "alertdesk", "issue")
 		is.NoErr(err)
 		synctest.Wait()
-		is.Equal(f.minted, 1+c.cfg.Keys)
+		is.Equal(f.minted, 1+c.cfg.PrefetchedKeys)
 		second, err := c.Mint(t.Context(), "alertdesk", "issue")
 		is.NoErr(err)
 		is.True(first != second)
--- a/caller/config.go
+++ b/caller/config.go
@@ -26,8 +26,8 @@
 	Jitter float64
 	// Deadline is the default of Request.Deadline.
 	Deadline time.Duration
-	// Keys is the number of minted keys fetched in advance for each operation.
-	Keys int
+	// PrefetchedKeys is the number of minted keys fetched in advance for each operation.
+	PrefetchedKeys int
 	// KeyMargin is the minimum remaining lifetime of a minted key at its first
 	// use. The key must outlive the resends of its request.
 	KeyMargin time.Duration
@@ -46,15 +46,15 @@
 // DefaultConfig returns the defaults. Nodes must be set.
 func DefaultConfig() Config {
 	return Config{
-		Attempts:  3,
-		Retry:     retry.DefaultConfig(),
-		Backoff:   50 * time.Millisecond,
-		Jitter:    0.5,
-		Deadline:  10 * time.Second,
-		Keys:      8,
-		KeyMargin: 5 * time.Second,
-		AvoidFor:  time.Second,
-		MaxAnswer: 8 << 20,
+		Attempts:       3,
+		Retry:          retry.DefaultConfig(),
+		Backoff:        50 * time.Millisecond,
+		Jitter:         0.5,
+		Deadline:       10 * time.Second,
+		PrefetchedKeys: 8,
+		KeyMargin:      5 * time.Second,
+		AvoidFor:       time.Second,
+		MaxAnswer:      8 << 20,
 	}
 }
 
@@ -69,8 +69,8 @@
 		return fmt.Errorf("settings Backoff, Deadline: values %v, %v: want positive durations", c.Backoff, c.Deadline)
 	case c.Jitter < 0:
 		return fmt.Errorf("setting Jitter: value %v: want 0 or more", c.Jitter)
-	case c.Keys < 0 || c.KeyMargin < 0:
-		return fmt.Errorf("settings Keys, KeyMargin: values %d, %v: want 0 or more", c.Keys, c.KeyMargin)
+	case c.PrefetchedKeys < 0 || c.KeyMargin < 0:
+		return fmt.Errorf("settings Keys, KeyMargin: values %d, %v: want 0 or more", c.PrefetchedKeys, c.KeyMargin)
 	case c.MaxAnswer < 1:
 		return fmt.Errorf("setting MaxAnswer: value %d: want at least 1 byte", c.MaxAnswer)
 	}
--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -81,7 +81,7 @@
 		Body:      body,
 		Verdict:   v,
 		RequestID: answer.Header.Get(headerRequestID),
-		KeyHeld:   millis(answer.Header.Get(headerKeyHeld)),
+		KeyTTL:    millis(answer.Header.Get(headerKeyHeld)),
 	}
 }
 
--- a/caller/keys.go
+++ b/caller/keys.go
@@ -130,7 +130,7 @@
 func (p *keyPool) refill(op operation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.filling[op] || len(p.held[op]) >= p.cfg.Keys {
+	if p.closed || p.filling[op] || len(p.held[op]) >= p.cfg.PrefetchedKeys {
 		return
 	}
 	p.filling[op] = true
@@ -158,7 +158,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.held[op] = append(p.held[op], k)
-	return len(p.held[op]) < p.cfg.Keys
+	return len(p.held[op]) < p.cfg.PrefetchedKeys
 }
 
 // Mint returns a minted key for one request to the operation, for use as Request.Key,
--- a/caller/request.go
+++ b/caller/request.go
@@ -47,8 +47,8 @@
 	RequestID string
 	// Key is the idempotency key of the request, if any.
 	Key string
-	// KeyHeld is the time for which a resend with the key remains safe.
-	KeyHeld time.Duration
+	// KeyTTL is the time for which a resend with the key remains safe.
+	KeyTTL time.Duration
 	// Attempts is the number of attempts made, including the last one.
 	Attempts int
 }
--- a/cmd/cassialoomd/main.go
+++ b/cmd/cassialoomd/main.go
@@ -12,7 +12,7 @@
 const exitUsage = 2
 
 func main() {
-	if path := os.Getenv(settings.PlatformFile); path != "" {
+	if path := os.Getenv(settings.PlatformFileEnv); path != "" {
 		start(settings.ParsePlatform, func(s settings.Platform) error { return daemon.RunPlatform(path, s) })
 		return
 	}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -152,7 +152,7 @@
 func stop(ctx context.Context, n *node.Node, srv *servers) error {
 	n.Drain()
 	err := n.Wait(ctx)
-	srv.callerConns.LastCall(ctx, lastCallTimeout)
+	srv.callerConns.DrainConnections(ctx, lastCallTimeout)
 	if closeErr := srv.callers.Shutdown(ctx); err == nil {
 		err = closeErr
 	}
--- a/daemon/platform_config.go
+++ b/daemon/platform_config.go
@@ -127,7 +127,7 @@
 // platformConfig returns the configuration of a node on the platform.
 func platformConfig(s platform.Settings, nodeSettings settings.Platform, log zerolog.Logger) node.Config {
 	cfg := node.DefaultConfig()
-	cfg.Explain.Sink = logs.NewDecisions(logs.DefaultConfig(), log)
+	cfg.Explain.Sink = logs.NewDecisionLogger(logs.DefaultConfig(), log)
 	cfg.Service = s.Service
 	cfg.DataCentre = s.DataCentre
 	cfg.Region = s.Region
@@ -154,13 +154,13 @@
 	body := min(int64(float64(s.MemoryLimit)*bodyShare), settings.MaxPayload)
 	cfg.Entry.MaxBody = max(cfg.Entry.MaxBody, body)
 	cfg.Backend.MaxAnswer = max(cfg.Backend.MaxAnswer, body)
-	LoadPolicy(&cfg, s.Bounds)
+	SetOverloadControl(&cfg, s.Bounds)
 	return cfg
 }
 
-// LoadPolicy sets the overload control of a node on the platform: admission, queueing,
+// SetOverloadControl sets the overload control of a node on the platform: admission, queueing,
 // load balancing and the retry budget.
-func LoadPolicy(cfg *node.Config, b platform.Bounds) {
+func SetOverloadControl(cfg *node.Config, b platform.Bounds) {
 	cfg.Serve.PublishLevelOnly = true
 	cfg.Serve.Queue.YieldShare = soonerShare
 	cfg.Serve.Gate.Queue = levelQueue
--- a/dispatch/targets.go
+++ b/dispatch/targets.go
@@ -244,7 +244,7 @@
 		Operation: p.Operation.Name,
 		Step:      step,
 		Version:   p.Version,
-		Left:      p.Deadline.Sub(now),
+		Remaining: p.Deadline.Sub(now),
 	}
 }
 
@@ -253,7 +253,7 @@
 	now := time.Now()
 	e := newEvent(now, p, explain.Refused)
 	e.Verdict, e.Reason, e.Detail, e.RetryAfter = err.Verdict.String(), err.Reason, err.Detail, err.RetryAfter
-	d.notes.Note(now, e)
+	d.notes.Record(now, e)
 }
 
 // noteRetry records that an attempt is followed by another one.
@@ -262,7 +262,7 @@
 	e := newEvent(now, p, explain.Retried)
 	e.Verdict, e.Reason, e.Detail = r.Verdict.String(), r.Reason, r.Detail
 	e.Target, e.Attempt = a.tried[len(a.tried)-1].Short(), len(a.tried)
-	d.notes.Note(now, e)
+	d.notes.Record(now, e)
 }
 
 // noteOutcome records the final outcome of a call.
@@ -274,6 +274,6 @@
 	}
 	e.Verdict, e.Reason, e.Detail, e.RetryAfter = o.Verdict.String(), o.Reason, o.Detail, o.RetryAfter
 	e.Status = o.Status
-	e.Target, e.Attempt, e.Took = a.tried[len(a.tried)-1].Short(), len(a.tried), now.Sub(start)
-	d.notes.Note(now, e)
+	e.Target, e.Attempt, e.Duration = a.tried[len(a.tried)-1].Short(), len(a.tried), now.Sub(start)
+	d.notes.Record(now, e)
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -352,7 +352,7 @@
 
 	draining.Store(true)
 	done := make(chan struct{})
-	go func() { defer close(done); kept.LastCall(t.Context(), time.Minute) }()
+	go func() { defer close(done); kept.DrainConnections(t.Context(), time.Minute) }()
 	for refused := false; !refused; {
 		probe, err := net.Dial("tcp", ln.Addr().String())
 		if refused = err != nil; !refused {
@@ -372,6 +372,6 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	kept := Listener(ln)
-	kept.LastCall(t.Context(), time.Minute)
+	kept.DrainConnections(t.Context(), time.Minute)
 	is.NoErr(kept.Close())
 }
--- a/entry/listener.go
+++ b/entry/listener.go
@@ -40,12 +40,12 @@
 // lastCallPoll is the pause between two looks at the open connections.
 const lastCallPoll = 10 * time.Millisecond
 
-// LastCall takes no new connections and waits, for a limited time, until the
+// DrainConnections takes no new connections and waits, for a limited time, until the
 // callers have given up the ones that they keep. A server that is draining
 // answers each request with the end of its connection; one that is closed from
 // this side instead may just be carrying a request, whose caller then hears
 // nothing and cannot know whether it was taken.
-func (l *Connections) LastCall(ctx context.Context, limit time.Duration) {
+func (l *Connections) DrainConnections(ctx context.Context, limit time.Duration) {
 	l.Close() // refuses new connections; there is nothing else to end
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
--- a/explain/recorder.go
+++ b/explain/recorder.go
@@ -61,12 +61,12 @@
 	Attempt int `json:"attempt,omitempty"`
 	// Version is the version of the routes or graph used for the decision.
 	Version uint64 `json:"version,omitempty"`
-	// Waited is the time spent in the queue, Took the duration of the phase
-	// that the step ends, and Left the time until the deadline; Left is
+	// Waited is the time spent in the queue, Duration that of the phase
+	// that the step ends, and Remaining the time until the deadline; it is
 	// negative after it.
-	Waited time.Duration `json:"waited_ns,omitempty"`
-	Took   time.Duration `json:"took_ns,omitempty"`
-	Left   time.Duration `json:"left_ns,omitempty"`
+	Waited    time.Duration `json:"waited_ns,omitempty"`
+	Duration  time.Duration `json:"took_ns,omitempty"`
+	Remaining time.Duration `json:"left_ns,omitempty"`
 	// RetryAfter is the delay that the caller was asked to wait.
 	RetryAfter time.Duration `json:"retry_after_ns,omitempty"`
 }
@@ -126,8 +126,8 @@
 	}
 }
 
-// Note records e with now as its time and passes it to the Sink.
-func (r *Recorder) Note(now time.Time, e Event) {
+// Record records e with now as its time and passes it to the Sink.
+func (r *Recorder) Record(now time.Time, e Event) {
 	e.Time = now
 	r.truncateTexts(&e)
 	if r.sink != nil {
--- a/explain/recorder_test.go
+++ b/explain/recorder_test.go
@@ -20,9 +20,9 @@
 func TestNotableEventSurvivesOrdinaryEvents(t *testing.T) {
 	is := is.New(t)
 	r := New(Config{Notable: 4, Ordinary: 8, MaxText: 64})
-	r.Note(start, Event{RequestID: "a", Step: Shed, Reason: verdict.Shed})
+	r.Record(start, Event{RequestID: "a", Step: Shed, Reason: verdict.Shed})
 	for i := range 100 {
-		r.Note(start.Add(time.Duration(i)), Event{RequestID: "b", Step: Ran})
+		r.Record(start.Add(time.Duration(i)), Event{RequestID: "b", Step: Ran})
 	}
 	is.Equal(len(r.Find("a")), 1)
 	is.Equal(len(r.Find("b")), 8)
@@ -37,7 +37,7 @@
 	is := is.New(t)
 	r := New(Config{Notable: 4, Ordinary: 4, MaxText: 7})
 	long := strings.Repeat("ä", 1000)
-	r.Note(start, Event{RequestID: long, Step: Lost, Detail: long})
+	r.Record(start, Event{RequestID: long, Step: Lost, Detail: long})
 	found := r.Find(long)
 	is.Equal(len(found), 1)
 	is.Equal(found[0].Detail, "äää")
@@ -53,7 +53,7 @@
 		for i := range rapid.IntRange(0, 40).Draw(t, "events") {
 			e := Event{RequestID: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "id"), Step: rapid.SampledFrom([]Step{Shed, Ran}).Draw(t, "step")}
 			now := start.Add(time.Duration(i))
-			r.Note(now, e)
+			r.Record(now, e)
 			e.Time = now
 			all = append(all, e)
 		}
--- a/explain/ring.go
+++ b/explain/ring.go
@@ -52,7 +52,7 @@
 }
 
 func (r *ring) dump() RingDump {
-	d := RingDump{Kept: len(r.events), Size: cap(r.events), Noted: r.added}
+	d := RingDump{Kept: len(r.events), Size: cap(r.events), Added: r.added}
 	if len(r.events) > 0 {
 		d.Oldest = r.at(0).Time
 	}
@@ -61,11 +61,11 @@
 
 // RingDump describes the fill of one ring.
 type RingDump struct {
-	// Kept is the number of events in the ring, Size its capacity, and Noted
+	// Kept is the number of events in the ring, Size its capacity, and Added
 	// the number of events ever added.
 	Kept  int    `json:"kept"`
 	Size  int    `json:"size"`
-	Noted uint64 `json:"noted"`
+	Added uint64 `json:"noted"`
 	// Oldest is the time of the oldest kept event.
 	Oldest time.Time `json:"oldest,omitzero"`
 }
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -26,7 +26,7 @@
 // Ours is the policy that runs on the platform.
 func Ours() Policy {
 	cfg := production.DefaultConfig()
-	daemon.LoadPolicy(&cfg, bounds)
+	daemon.SetOverloadControl(&cfg, bounds)
 	return Policy{Name: "cassialoom", Serve: cfg.Serve, Dispatch: cfg.Dispatch}
 }
 
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -176,7 +176,7 @@
 
 func (w *world) startNode(b *box) error {
 	p, err := w.rig.StartWith(b.Name, "cassialoomd", []string{
-		settings.PlatformFile + "=" + b.settings, "CASSIALOOM_PEER_ADVERTISE=" + b.fromPeers.addr(),
+		settings.PlatformFileEnv + "=" + b.settings, "CASSIALOOM_PEER_ADVERTISE=" + b.fromPeers.addr(),
 	})
 	if err == nil {
 		b.node = p
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -19,27 +19,27 @@
 
 // Config limits the memory and the rate of the log.
 type Config struct {
-	// Ring is the capacity of the ring buffer in lines. While the log's reader
+	// RingLines is the capacity of the ring buffer in lines. While the log's reader
 	// stalls, lines beyond it are lost and counted.
-	Ring int
+	RingLines int
 	// NotablePerSecond limits the lines of each kind of notable event,
 	// OrdinaryPerSecond those of each kind of ordinary event, both in lines per
 	// second. Burst is the number of lines of a kind that may come at once.
 	NotablePerSecond, OrdinaryPerSecond float64
 	Burst                               int
-	// Kinds is the number of kinds with a rate limit of their own; the others
+	// MaxKinds is the number of kinds with a rate limit of their own; the others
 	// share one.
-	Kinds int
+	MaxKinds int
 }
 
 // DefaultConfig returns the configuration of the daemon.
 func DefaultConfig() Config {
 	return Config{
-		Ring:              4096,
+		RingLines:         4096,
 		NotablePerSecond:  15,
 		OrdinaryPerSecond: 5,
 		Burst:             15,
-		Kinds:             64,
+		MaxKinds:          64,
 	}
 }
 
@@ -51,7 +51,7 @@
 func Open(cfg Config, out io.Writer) (zerolog.Logger, io.Closer) {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	lost := &lostLines{}
-	ring := diode.NewWriter(out, cfg.Ring, 0, lost.add)
+	ring := diode.NewWriter(out, cfg.RingLines, 0, lost.add)
 	lost.log = zerolog.New(ring).With().Timestamp().Logger()
 	return lost.log, ring
 }
@@ -69,9 +69,9 @@
 	go l.log.Warn().Int("lost", missed).Int64("lost_in_all", total).Msg("the log's reader is too slow")
 }
 
-// Decisions logs decisions about requests, rate limited by kind. It is safe for
+// DecisionLogger logs decisions about requests, rate limited by kind. It is safe for
 // concurrent use.
-type Decisions struct {
+type DecisionLogger struct {
 	cfg Config
 	log zerolog.Logger
 
@@ -86,13 +86,13 @@
 	dropped int64
 }
 
-// NewDecisions returns Decisions that write to log.
-func NewDecisions(cfg Config, log zerolog.Logger) *Decisions {
-	return &Decisions{cfg: cfg, log: log, kinds: make(map[string]*kind)}
+// NewDecisionLogger returns a DecisionLogger that writes to log.
+func NewDecisionLogger(cfg Config, log zerolog.Logger) *DecisionLogger {
+	return &DecisionLogger{cfg: cfg, log: log, kinds: make(map[string]*kind)}
 }
 
 // Write implements explain.Sink. It drops e if its kind exceeds its rate.
-func (d *Decisions) Write(e explain.Event) {
+func (d *DecisionLogger) Write(e explain.Event) {
 	dropped, ok := d.allow(e)
 	if !ok {
 		return
@@ -127,11 +127,11 @@
 	if e.Waited > 0 {
 		line.Dur("waited_ms", e.Waited)
 	}
-	if e.Took > 0 {
-		line.Dur("took_ms", e.Took)
+	if e.Duration > 0 {
+		line.Dur("took_ms", e.Duration)
 	}
-	if e.Left != 0 {
-		line.Dur("left_ms", e.Left)
+	if e.Remaining != 0 {
+		line.Dur("left_ms", e.Remaining)
 	}
 	if e.RetryAfter > 0 {
 		line.Dur("retry_after_ms", e.RetryAfter)
@@ -147,7 +147,7 @@
 
 // allow reports whether the rate of e's kind permits a line, and how many lines
 // of the kind were dropped since the previous one.
-func (d *Decisions) allow(e explain.Event) (dropped int64, ok bool) {
+func (d *DecisionLogger) allow(e explain.Event) (dropped int64, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	k := d.kind(e)
@@ -162,11 +162,11 @@
 // failedSuffix ends the names of the kinds whose backend server answered with a failure.
 const failedSuffix = " failed"
 
-// otherKinds names the kind that events share once Config.Kinds kinds exist.
+// otherKinds names the kind that events share once Config.MaxKinds kinds exist.
 const otherKinds = "others"
 
 // kind returns the kind of e and creates it if needed.
-func (d *Decisions) kind(e explain.Event) *kind {
+func (d *DecisionLogger) kind(e explain.Event) *kind {
 	name := string(e.Step) + " " + string(e.Reason)
 	if e.Failed() {
 		name += failedSuffix
@@ -174,7 +174,7 @@
 	if k, ok := d.kinds[name]; ok {
 		return k
 	}
-	if len(d.kinds) >= d.cfg.Kinds {
+	if len(d.kinds) >= d.cfg.MaxKinds {
 		name = otherKinds
 		if k, ok := d.kinds[name]; ok {
 			return k
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -21,7 +21,7 @@
 	is := is.New(t)
 	var out bytes.Buffer
 	cfg := DefaultConfig()
-	d := NewDecisions(cfg, zerolog.New(&out))
+	d := NewDecisionLogger(cfg, zerolog.New(&out))
 	now := time.Unix(1000, 0)
 	for range 10_000 {
 		now = now.Add(time.Millisecond)
@@ -65,7 +65,7 @@
 func TestStalledReaderDoesNotBlockWriters(t *testing.T) {
 	is := is.New(t)
 	out := &stalled{release: make(chan struct{})}
-	log, closer := Open(Config{Ring: 16}, out)
+	log, closer := Open(Config{RingLines: 16}, out)
 	for range 1000 {
 		log.Info().Msg("line")
 	}
@@ -87,7 +87,7 @@
 // Guards against unbounded memory for kinds of decisions.
 func TestKindsAreBounded(t *testing.T) {
 	is := is.New(t)
-	d := NewDecisions(Config{Kinds: 2, NotablePerSecond: 1, OrdinaryPerSecond: 1, Burst: 1}, zerolog.Nop())
+	d := NewDecisionLogger(Config{MaxKinds: 2, NotablePerSecond: 1, OrdinaryPerSecond: 1, Burst: 1}, zerolog.Nop())
 	for _, reason := range []verdict.Reason{"a", "b", "c", "d"} {
 		d.Write(explain.Event{Time: time.Unix(1, 0), Step: explain.Refused, Reason: reason})
 	}
@@ -99,7 +99,7 @@
 func TestBackendFailuresAreNotDroppedWithSuccesses(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	d := NewDecisions(DefaultConfig(), zerolog.New(&out))
+	d := NewDecisionLogger(DefaultConfig(), zerolog.New(&out))
 	now := time.Unix(1000, 0)
 	for range 1000 {
 		now = now.Add(time.Millisecond)
--- a/node/authorize.go
+++ b/node/authorize.go
@@ -64,7 +64,7 @@
 
 // noteRefused records that a request was refused because of its key or its workspace.
 func (n *Node) noteRefused(in entry.Incoming, version uint64, err *verdict.Error) {
-	n.notes.Note(time.Now(), explain.Event{
+	n.notes.Record(time.Now(), explain.Event{
 		RequestID: in.RequestID, Step: explain.Refused, Verdict: err.Verdict.String(), Reason: err.Reason,
 		Detail: err.Detail, RetryAfter: err.RetryAfter, Version: version,
 	})
--- a/node/forward.go
+++ b/node/forward.go
@@ -47,8 +47,8 @@
 		return
 	}
 	whole := time.Since(received)
-	n.counts.Latencies.Observe(p.Operation.Name, ops.HopWhole, whole)
-	n.counts.Latencies.Observe(p.Operation.Name, ops.HopAdded, whole-out.RanFor)
+	n.counts.Latencies.Observe(p.Operation.Name, ops.HopTotal, whole)
+	n.counts.Latencies.Observe(p.Operation.Name, ops.HopOverhead, whole-out.RanFor)
 }
 
 // forward finds the route of a request and makes the call along it.
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -28,7 +28,7 @@
 func (n *Node) Beat(now time.Time, b Heartbeat) {
 	before, after, taken := n.applyHeartbeat(now, b)
 	if !taken {
-		n.counts.LateBeats.Add(1)
+		n.counts.LateHeartbeats.Add(1)
 		return
 	}
 	restarted := before.start.ID != "" && !sameIncarnation(before, b)
--- a/node/peers.go
+++ b/node/peers.go
@@ -49,7 +49,7 @@
 // nodes at once, so that calls soon avoid it if it has failed.
 func (h *peerHandler) Stalled(c *transport.Conn) {
 	n := (*Node)(h)
-	n.counts.PeerStalls.Add(1)
+	n.counts.QuarantinedPeerConns.Add(1)
 	n.dispatch.Unreachable(c.Peer().ID)
 	now := time.Now()
 	n.members.with(func(m *membership.Members) { m.PeerUnreachable(now, c.Peer().ID) })
--- a/node/routes_gossip.go
+++ b/node/routes_gossip.go
@@ -42,7 +42,7 @@
 func (n *Node) Publish(text []byte, source string) bool {
 	table, err := n.routing.decode(text)
 	if err != nil {
-		n.counts.RoutesRefused.Add(1)
+		n.counts.RoutesRejected.Add(1)
 		n.log.Error().Err(err).Str("source", source).Uint64("in_force", n.routing.version()).Msg("routes refused")
 		return false
 	}
--- a/node/routing_test.go
+++ b/node/routing_test.go
@@ -109,7 +109,7 @@
 	a.Node.Publish(first, "store")
 	a.Node.Publish([]byte("{"), "store")
 	is.Equal(a.Node.Routes().Version, uint64(7))
-	is.Equal(a.Counters.RoutesRefused.Value(), int64(1))
+	is.Equal(a.Counters.RoutesRejected.Value(), int64(1))
 	is.Equal(forward(a, "nowhere", "r", "").Reason, verdict.UnknownOperation)
 }
 
@@ -162,7 +162,7 @@
 	a.Node.BackendStopped(node.Start{ID: "two"})
 	beat("two", 2, false)
 	is.True(!serves())
-	is.Equal(a.Counters.LateBeats.Value(), int64(4))
+	is.Equal(a.Counters.LateHeartbeats.Value(), int64(4))
 }
 
 // A backend server that restarts with the same ID is in use from its first heartbeat.
@@ -186,7 +186,7 @@
 	a.Node.BackendStopped(start(1000))
 	is.True(serves())
 	is.Equal(a.State().Backend.Born, int64(2000))
-	is.Equal(a.Counters.LateBeats.Value(), int64(1))
+	is.Equal(a.Counters.LateHeartbeats.Value(), int64(1))
 	a.Node.BackendStopped(start(2000))
 	is.True(!serves())
 }
@@ -255,7 +255,7 @@
 	found("one")
 	testnode.Await(t, "the backend server is in use", func() bool { return forward(a, "a", "r", "").Verdict == verdict.Ran })
 	a.Node.Beat(time.Now(), node.Heartbeat{Start: node.Start{ID: "one"}, URL: url, Slots: 4}) // the first, with sequence 0
-	is.Equal(a.Counters.LateBeats.Value(), int64(0))
+	is.Equal(a.Counters.LateHeartbeats.Value(), int64(0))
 	found("two")
 	is.Equal(a.State().Backend.Incarnation, "one")
 }
--- a/node/run.go
+++ b/node/run.go
@@ -75,7 +75,7 @@
 	callMayHaveRun := n.server.removeRun(r)
 	result := n.result(r, res, callMayHaveRun)
 	if res.Broken {
-		n.counts.BackendBroken.Add(1)
+		n.counts.BackendConnsBroken.Add(1)
 	}
 	if res.Crashed {
 		n.backendCrashed(inst.start)
@@ -117,10 +117,10 @@
 	if r.Reason != verdict.None {
 		step = explain.Lost
 	}
-	n.counts.Latencies.Observe(t.Request.Operation, ops.HopWaiting, t.Waited())
+	n.counts.Latencies.Observe(t.Request.Operation, ops.HopQueue, t.Waited())
 	n.counts.Latencies.Observe(t.Request.Operation, ops.HopBackend, r.Latency)
 	now := time.Now()
-	n.notes.Note(now, explain.Event{
+	n.notes.Record(now, explain.Event{
 		RequestID: t.Request.RequestID,
 		Root:      t.Request.Root,
 		Service:   t.Request.Service,
@@ -132,15 +132,15 @@
 		Detail:    r.Detail,
 		Target:    inst.start.ID,
 		Waited:    t.Waited(),
-		Took:      r.Latency,
-		Left:      t.Deadline.Sub(now),
+		Duration:  r.Latency,
+		Remaining: t.Deadline.Sub(now),
 	})
 }
 
 // reply sends a reply to the node that made the call.
 func (n *Node) reply(now time.Time, r call.Reply) {
 	if r.Verdict == verdict.NotRun {
-		n.notes.Note(now, explain.Event{
+		n.notes.Record(now, explain.Event{
 			Step: explain.Declined, RequestID: r.RequestID, Service: n.cfg.Service, Verdict: r.Verdict.String(),
 			Reason: r.Reason, Detail: r.Detail, RetryAfter: r.RetryAfter, Target: r.To.Short(),
 		})
--- a/ops/counters.go
+++ b/ops/counters.go
@@ -23,9 +23,9 @@
 	Attempts, ExtraAttempts, ExtraRefused expvar.Int
 	// Runs counts requests passed to the node's own backend server.
 	Runs expvar.Int
-	// BackendBroken counts connections to the backend server that broke during
+	// BackendConnsBroken counts connections to the backend server that broke during
 	// a request, BackendCrashes the ends of its process.
-	BackendBroken, BackendCrashes expvar.Int
+	BackendConnsBroken, BackendCrashes expvar.Int
 	// KeysMinted counts idempotency keys minted by this node.
 	KeysMinted expvar.Int
 	// LateReplies counts replies dropped because no attempt waited for them.
@@ -36,9 +36,9 @@
 	// PeerConnects counts connections made to other nodes, PeerLosses those
 	// that broke.
 	PeerConnects, PeerLosses expvar.Int
-	// PeerStalls counts connections quarantined because calls over them did not
+	// QuarantinedPeerConns counts connections quarantined because calls over them did not
 	// arrive.
-	PeerStalls expvar.Int
+	QuarantinedPeerConns expvar.Int
 	// BadMessages counts messages of peers that could not be decoded or
 	// exceeded a limit.
 	BadMessages expvar.Int
@@ -55,14 +55,14 @@
 	StoreCalls expvar.Map
 	// ConfigChanges counts configurations put in force.
 	ConfigChanges expvar.Int
-	// RoutesRefused counts published routes that were not valid.
-	RoutesRefused expvar.Int
+	// RoutesRejected counts published routes that were not valid.
+	RoutesRejected expvar.Int
 	// QuotaRequests counts answered requests of other nodes for tokens or freshness
 	// proofs.
 	QuotaRequests expvar.Int
-	// LateBeats counts heartbeats of the backend server that arrived after newer
+	// LateHeartbeats counts heartbeats of the backend server that arrived after newer
 	// ones.
-	LateBeats expvar.Int
+	LateHeartbeats expvar.Int
 	// Hedges counts second attempts made while the first had no answer yet,
 	// Strays answers of the backend server that belong to no request.
 	Hedges, Strays expvar.Int
@@ -126,7 +126,7 @@
 		{name: "extra_attempts", value: &c.ExtraAttempts},
 		{name: "extra_refused", value: &c.ExtraRefused},
 		{name: "runs", value: &c.Runs},
-		{name: "backend_broken", value: &c.BackendBroken},
+		{name: "backend_broken", value: &c.BackendConnsBroken},
 		{name: "backend_crashes", value: &c.BackendCrashes},
 		{name: "keys_minted", value: &c.KeysMinted},
 		{name: "quota_asks", value: &c.QuotaRequests},
@@ -134,7 +134,7 @@
 		{name: "late_calls", value: &c.LateCalls},
 		{name: "peer_connects", value: &c.PeerConnects},
 		{name: "peer_losses", value: &c.PeerLosses},
-		{name: "peer_stalls", value: &c.PeerStalls},
+		{name: "peer_stalls", value: &c.QuarantinedPeerConns},
 		{name: "bad_messages", value: &c.BadMessages},
 		{name: "control_bytes_in", value: &c.ControlBytesIn},
 		{name: "control_bytes_out", value: &c.ControlBytesOut},
@@ -144,8 +144,8 @@
 		{name: "log_failures", value: &c.LogFailures},
 		{name: "store_calls", value: &c.StoreCalls, label: "cause"},
 		{name: "config_changes", value: &c.ConfigChanges},
-		{name: "routes_refused", value: &c.RoutesRefused},
-		{name: "late_beats", value: &c.LateBeats},
+		{name: "routes_refused", value: &c.RoutesRejected},
+		{name: "late_beats", value: &c.LateHeartbeats},
 		{name: "hedges", value: &c.Hedges},
 		{name: "deferred", value: &c.Deferred},
 		{name: "strays", value: &c.Strays},
--- a/ops/latency.go
+++ b/ops/latency.go
@@ -14,13 +14,13 @@
 
 // The hops of a request.
 const (
-	// HopWhole is the time from the arrival of a request at its first node to
+	// HopTotal is the time from the arrival of a request at its first node to
 	// its answer.
-	HopWhole Hop = "whole"
-	// HopAdded is the part of HopWhole that was not spent in backend servers.
-	HopAdded Hop = "added"
-	// HopWaiting is the time in the queue of the backend server's node.
-	HopWaiting Hop = "waiting"
+	HopTotal Hop = "whole"
+	// HopOverhead is the part of HopTotal that was not spent in backend servers.
+	HopOverhead Hop = "added"
+	// HopQueue is the time in the queue of the backend server's node.
+	HopQueue Hop = "waiting"
 	// HopBackend is the time from passing a request to the backend server to
 	// its answer.
 	HopBackend Hop = "backend"
--- a/ops/ops.go
+++ b/ops/ops.go
@@ -54,8 +54,8 @@
 // Readiness is the answer of /readyz.
 type Readiness struct {
 	Ready bool `json:"ready"`
-	// Why is the reason why the node is not ready.
-	Why string `json:"why,omitempty"`
+	// Reason is the reason why the node is not ready.
+	Reason string `json:"why,omitempty"`
 }
 
 // Draining is the answer of /drain.
@@ -138,7 +138,7 @@
 func readiness(n Node) (int, any) {
 	ok, why := n.Ready()
 	if !ok {
-		return http.StatusServiceUnavailable, Readiness{Why: why}
+		return http.StatusServiceUnavailable, Readiness{Reason: why}
 	}
 	return http.StatusOK, Readiness{Ready: true}
 }
--- a/ops/ops_test.go
+++ b/ops/ops_test.go
@@ -57,7 +57,7 @@
 	is.True(ready.Ready)
 	n.why = "no configuration"
 	is.Equal(ask(h, "GET", "/readyz", &ready), 503)
-	is.Equal(ready, Readiness{Why: "no configuration"})
+	is.Equal(ready, Readiness{Reason: "no configuration"})
 	is.Equal(ask(h, "GET", "/healthz", &ready), 200) // a node that is not ready is still alive
 
 	var v Version
@@ -135,8 +135,8 @@
 	is := is.New(t)
 	c := &Counters{}
 	c.Outcome(verdict.NotRun, verdict.Shed)
-	c.Latencies.Observe("r", HopWhole, 20*time.Millisecond)
-	c.Latencies.Observe("r", HopWhole, -time.Second) // clamped to the smallest value
+	c.Latencies.Observe("r", HopTotal, 20*time.Millisecond)
+	c.Latencies.Observe("r", HopTotal, -time.Second) // clamped to the smallest value
 	w := httptest.NewRecorder()
 	New(&fakeNode{}, c).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	for _, want := range []string{
--- a/settings/platform.go
+++ b/settings/platform.go
@@ -8,10 +8,10 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// PlatformFile is the name of the environment variable with the path of the
+// PlatformFileEnv is the name of the environment variable with the path of the
 // settings file of the users' platform. If it is set, all settings come from that
 // file and from Platform.
-const PlatformFile = envPrefix + "CONFIG"
+const PlatformFileEnv = envPrefix + "CONFIG"
 
 // Platform holds the settings of a node on the users' platform that the platform's
 // settings file doesn't contain.
@@ -26,10 +26,10 @@
 	p := flags.NewParser(&s, flags.HelpFlag|flags.PassDoubleDash)
 	p.Name = "cassialoomd"
 	p.ShortDescription = "node of the overload control layer, on the users' platform"
-	p.LongDescription = "With " + PlatformFile + " set, all settings come from the file that it names, except for these."
+	p.LongDescription = "With " + PlatformFileEnv + " set, all settings come from the file that it names, except for these."
 	var own []string
 	for _, entry := range env {
-		if !strings.HasPrefix(entry, PlatformFile+"=") {
+		if !strings.HasPrefix(entry, PlatformFileEnv+"=") {
 			own = append(own, entry)
 		}
 	}
