--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -167,7 +167,7 @@
 	case Declined, OtherIncarnation:
 		return x.refusal(resp, kind, after)
 	case NotFromBackend:
-		return failed(verdict.Doubt(verdict.Incomplete, "the answer (status %d) was not produced by the backend server", resp.StatusCode)), false
+		return failed(verdict.MayHaveRunError(verdict.Incomplete, "the answer (status %d) was not produced by the backend server", resp.StatusCode)), false
 	}
 	res = Result{Verdict: verdict.Ran}
 	if !framed && (!x.client.dialect.AllowsCloseDelimited() || resp.StatusCode == http.StatusSwitchingProtocols) {
@@ -192,7 +192,7 @@
 		e = verdict.Refuse(verdict.NoBackend, "another backend server has the address").WithRetryAfter(after)
 	}
 	res := failed(e)
-	res.Offered = true
+	res.ReachedBackend = true
 	if _, err := x.body(resp); err != nil || closeDelimited(resp) {
 		return res, false // the refusal is valid without its body
 	}
@@ -247,12 +247,12 @@
 // answer head.
 func (x *exchange) withoutAnswer(ctx context.Context, err error) Result {
 	if reason := contextReason(ctx); reason != verdict.None {
-		return failed(verdict.Doubt(reason, "no answer in time"))
+		return failed(verdict.MayHaveRunError(reason, "no answer in time"))
 	}
 	if now := time.Now(); x.reused && x.conn.broken && now.Sub(x.sentAt) < staleResetLimit {
 		x.client.pool.reduceReuseIdle(now, x.sentAt.Sub(x.conn.idleSince))
 	}
-	res := failed(verdict.Doubt(verdict.ConnectionLost, "no answer: %v", err))
+	res := failed(verdict.MayHaveRunError(verdict.ConnectionLost, "no answer: %v", err))
 	x.client.detectCrash(ctx, x.run.address, x.conn, &res)
 	return res
 }
--- a/call/message.go
+++ b/call/message.go
@@ -58,10 +58,10 @@
 	// Repeat says that the call, or the request that it is made for, may have
 	// run before. Its own calls then count as extra attempts.
 	Repeat bool `cbor:"20,keyasint,omitempty"`
-	// Bars are the admission levels above zero that were in force when the
+	// AdmittedLevels are the admission levels above zero that were in force when the
 	// request was admitted, one for each service. They tell a node which part
 	// of similar requests was rejected.
-	Bars []Level `cbor:"23,keyasint,omitempty"`
+	AdmittedLevels []Level `cbor:"23,keyasint,omitempty"`
 	// SentMillis is the sender's clock in milliseconds when the message was
 	// written, from an arbitrary origin and modulo 2^32; zero if unknown.
 	SentMillis uint32 `cbor:"24,keyasint,omitempty"`
@@ -73,9 +73,9 @@
 	ConnNumber uint64 `cbor:"-"`
 }
 
-// Bar returns the admission level of a service in force when the request was
+// AdmittedLevel returns the admission level of a service in force when the request was
 // admitted, zero if there was none.
-func (r *Request) Bar(service string) uint16 { return LevelOf(r.Bars, service) }
+func (r *Request) AdmittedLevel(service string) uint16 { return LevelOf(r.AdmittedLevels, service) }
 
 // RootID returns the id of the original request that entered the system. The
 // admission priority derives from it, so that all calls of one request are
@@ -115,8 +115,8 @@
 	Status int     `cbor:"8,keyasint,omitempty"`
 	Header []Field `cbor:"9,keyasint,omitempty"`
 	Body   []byte  `cbor:"10,keyasint,omitempty"`
-	// Unused is the number of extra attempts of the grant that were not used.
-	Unused uint32 `cbor:"11,keyasint,omitempty"`
+	// UnusedGrant is the number of extra attempts of the grant that were not used.
+	UnusedGrant uint32 `cbor:"11,keyasint,omitempty"`
 	// Levels are the admission levels above zero of this node's service and of
 	// the services that it calls.
 	Levels []Level `cbor:"12,keyasint,omitempty"`
@@ -132,15 +132,15 @@
 	ConfigVersion uint64 `cbor:"15,keyasint,omitempty"`
 	// BoundTo is the incarnation that the key is bound to, if it isn't From.
 	BoundTo wire.NodeID `cbor:"16,keyasint,omitempty"`
-	// KeyHeld is how long sending the request again with the same key stays
+	// KeySafeFor is how long sending the request again with the same key stays
 	// safe.
-	KeyHeld time.Duration `cbor:"17,keyasint,omitempty"`
-	// Offered says that a request which did not run had reached the backend
+	KeySafeFor time.Duration `cbor:"17,keyasint,omitempty"`
+	// ReachedBackend says that a request which did not run had reached the backend
 	// server; it counts as an attempt there.
-	Offered bool `cbor:"18,keyasint,omitempty"`
-	// Used is the slot time that the calls made by the run took at each
+	ReachedBackend bool `cbor:"18,keyasint,omitempty"`
+	// SlotTimeUsed is the slot time that the calls made by the run took at each
 	// service.
-	Used []SlotTime `cbor:"22,keyasint,omitempty"`
+	SlotTimeUsed []SlotTime `cbor:"22,keyasint,omitempty"`
 	// RanFor is the time that the backend server took.
 	RanFor time.Duration `cbor:"21,keyasint,omitempty"`
 	// RequestID is for the logs of the replying node.
--- a/call/message_test.go
+++ b/call/message_test.go
@@ -26,10 +26,10 @@
 // is not changed.
 func TestAddSlotTimesIncludesOwnTime(t *testing.T) {
 	is := is.New(t)
-	out := Outcome{RanFor: 7 * time.Millisecond, Used: []SlotTime{{Service: "b", Micros: 2000}, {Service: "a", Micros: 1000}}}
+	out := Outcome{RanFor: 7 * time.Millisecond, SlotTimeUsed: []SlotTime{{Service: "b", Micros: 2000}, {Service: "a", Micros: 1000}}}
 	list := out.AddSlotTimes([]SlotTime{{Service: "b", Micros: 500}}, "a")
 	is.Equal(list, []SlotTime{{Service: "b", Micros: 2500}, {Service: "a", Micros: 8000}})
-	is.Equal(out.Used[1].Micros, uint32(1000))
+	is.Equal(out.SlotTimeUsed[1].Micros, uint32(1000))
 }
 
 // Of two levels of one service the higher one counts.
@@ -39,7 +39,7 @@
 	joined := HighestLevels(a, []Level{{Service: "a", Priority: 7}, {Service: "b", Priority: 1}, {Service: "c", Priority: 2}})
 	is.Equal(joined, []Level{{Service: "a", Priority: 7}, {Service: "b", Priority: 9}, {Service: "c", Priority: 2}})
 	is.Equal(a[0].Priority, uint16(5)) // the inputs are unchanged
-	r := Request{Bars: joined}
-	is.Equal(r.Bar("a"), uint16(7))
-	is.Equal(r.Bar("d"), uint16(0))
+	r := Request{AdmittedLevels: joined}
+	is.Equal(r.AdmittedLevel("a"), uint16(7))
+	is.Equal(r.AdmittedLevel("d"), uint16(0))
 }
--- a/call/outcome.go
+++ b/call/outcome.go
@@ -17,11 +17,11 @@
 	Status     int
 	Header     []Field
 	Body       []byte
-	// KeyHeld is how long sending the request again with the same key stays
+	// KeySafeFor is how long sending the request again with the same key stays
 	// safe.
-	KeyHeld time.Duration
-	// Used is the slot time that the request's calls took at each service.
-	Used []SlotTime
+	KeySafeFor time.Duration
+	// SlotTimeUsed is the slot time that the request's calls took at each service.
+	SlotTimeUsed []SlotTime
 	// RanFor is the time that the backend server took to answer.
 	RanFor time.Duration
 }
@@ -45,7 +45,7 @@
 // called service itself and at all services below it.
 func (o *Outcome) AddSlotTimes(list []SlotTime, service string) []SlotTime {
 	list = AddSlotTime(list, service, o.RanFor)
-	for _, u := range o.Used {
+	for _, u := range o.SlotTimeUsed {
 		list = AddSlotTime(list, u.Service, time.Duration(u.Micros)*time.Microsecond)
 	}
 	return list
--- a/cmd/demo/traffic.go
+++ b/cmd/demo/traffic.go
@@ -86,10 +86,10 @@
 }
 
 func (d *demo) checkChildren(o *graph.Operation, a *backend.Answer) error {
-	if len(a.Children) != len(o.DependsOn) {
-		return fmt.Errorf("answer of %s contains %d answers, %d calls are declared", o.Ref(), len(a.Children), len(o.DependsOn))
+	if len(a.Children) != len(o.Calls) {
+		return fmt.Errorf("answer of %s contains %d answers, %d calls are declared", o.Ref(), len(a.Children), len(o.Calls))
 	}
-	for i, ref := range o.DependsOn {
+	for i, ref := range o.Calls {
 		child := &a.Children[i]
 		if child.Service != ref.Service || child.Operation != ref.Operation {
 			return fmt.Errorf("answer of %s contains an answer of %s.%s in place of %s", o.Ref(), child.Service, child.Operation, ref)
--- a/daemon/config.go
+++ b/daemon/config.go
@@ -39,14 +39,14 @@
 	cfg.DrainGrace = s.DrainGrace
 	cfg.Transport.Cluster = s.Cluster
 	cfg.Membership.Retention = s.LogRetention
-	cfg.Spread.CheckpointEvery = min(cfg.Spread.CheckpointEvery, s.LogRetention/checkpointsPerRetention)
+	cfg.Distributor.CheckpointEvery = min(cfg.Distributor.CheckpointEvery, s.LogRetention/checkpointsPerRetention)
 	cfg.Entry.MaxBody = s.MaxBody
 	cfg.Backend.MaxAnswer = s.MaxAnswer
 	cfg.Serve.Limit.Initial = s.InitialLimit
 	cfg.Serve.Limit.Max = s.MaxLimit
 	cfg.Serve.Queue.MaxItems = s.Queue
 	cfg.Serve.Once.KeyTTL = s.KeyHeldFor
-	cfg.Serve.Once.HeldFor = s.KeyHeldFor
+	cfg.Serve.Once.BindingTTL = s.KeyHeldFor
 	if err := cfg.Serve.Once.Check(); err != nil {
 		return node.Config{}, fmt.Errorf("keys: %w", err)
 	}
--- a/daemon/platform_config.go
+++ b/daemon/platform_config.go
@@ -103,7 +103,7 @@
 // freshness proofs don't expire before they reach the other nodes.
 func routeReads(cfg node.Config) readers.RoutesConfig {
 	reads := readers.DefaultRoutesConfig()
-	if within := float64(cfg.ProvenWithin); within > 0 {
+	if within := float64(cfg.MaxProofAge); within > 0 {
 		reads.Wait = min(reads.Wait, time.Duration(within*readShare))
 		reads.ProverWait = min(reads.ProverWait, time.Duration(within/proofReads))
 	}
@@ -127,14 +127,14 @@
 // platformConfig returns the configuration of a node on the platform.
 func platformConfig(s platform.Settings, nodeSettings settings.Platform, log zerolog.Logger) node.Config {
 	cfg := node.DefaultConfig()
-	cfg.Explain.Sink = logs.NewDecisions(logs.DefaultConfig(), log)
+	cfg.Explain.Sink = logs.NewDecisionLogger(logs.DefaultConfig(), log)
 	cfg.Service = s.Service
 	cfg.DataCentre = s.DataCentre
 	cfg.Region = s.Region
 	cfg.PeerAddr = advertised(s, nodeSettings)
 	cfg.OpsAddr = s.Ops
-	cfg.CallerAddr = s.Callers
-	cfg.EnterGrace = enterGrace
+	cfg.CallerAddr = s.CallersAddr
+	cfg.CallerGrace = enterGrace
 	cfg.DrainAfter = drainAfter
 	cfg.DrainGrace = drainGrace
 	cfg.DecodeRoutes = platform.DecodeRoutes
@@ -149,34 +149,34 @@
 	cfg.Quota.Window = s.Bounds.QuotaWindow
 	cfg.Quota.Overage = s.Bounds.QuotaOverage
 	cfg.Quota.Slack = s.Bounds.QuotaSlack
-	cfg.FreshWithin = time.Duration(float64(s.Bounds.Revoke) * revokeShare)
-	cfg.ProvenWithin = provenWithin(cfg.ProvenWithin, s.Bounds.Apply, cfg.FreshWithin)
-	body := min(int64(float64(s.Memory)*bodyShare), settings.MaxPayload)
+	cfg.MaxConfigAge = time.Duration(float64(s.Bounds.RevokeTime) * revokeShare)
+	cfg.MaxProofAge = provenWithin(cfg.MaxProofAge, s.Bounds.ApplyTime, cfg.MaxConfigAge)
+	body := min(int64(float64(s.MemoryLimit)*bodyShare), settings.MaxPayload)
 	cfg.Entry.MaxBody = max(cfg.Entry.MaxBody, body)
 	cfg.Backend.MaxAnswer = max(cfg.Backend.MaxAnswer, body)
-	LoadPolicy(&cfg, s.Bounds)
+	SetOverloadControl(&cfg, s.Bounds)
 	return cfg
 }
 
-// LoadPolicy sets the overload control of a node on the platform: admission, queueing,
+// SetOverloadControl sets the overload control of a node on the platform: admission, queueing,
 // load balancing and the retry budget.
-func LoadPolicy(cfg *node.Config, b platform.Bounds) {
-	cfg.Serve.TellOnly = true
-	cfg.Serve.Queue.SoonerShare = soonerShare
+func SetOverloadControl(cfg *node.Config, b platform.Bounds) {
+	cfg.Serve.PublishLevelOnly = true
+	cfg.Serve.Queue.YieldShare = soonerShare
 	cfg.Serve.Gate.Queue = levelQueue
-	cfg.Serve.Gate.Settle = levelSettle
+	cfg.Serve.Gate.SettleIntervals = levelSettle
 	cfg.Serve.Queue.MaxWait = waitMax
 	cfg.Serve.Queue.MinItems = waitMin
 	cfg.Serve.Queue.WaitShare = waitShare
 	cfg.Serve.Queue.OverloadAfter = time.Duration(math.MaxInt64)
-	cfg.Dispatch.Reroutes = reroutes
-	cfg.Dispatch.Reoffers = reoffers
+	cfg.Dispatch.MaxReroutes = reroutes
+	cfg.Dispatch.MaxReoffers = reoffers
 	cfg.Dispatch.Hedge = true
-	cfg.Dispatch.Outlook = admission.DefaultOutlookConfig()
-	cfg.Dispatch.News = admission.DefaultNewsConfig()
+	cfg.Dispatch.RouteHealth = admission.DefaultRouteHealthConfig()
+	cfg.Dispatch.LevelGossip = admission.DefaultLevelGossipConfig()
 	cfg.Dispatch.Balancer.SlowStart = slowStart
 	cfg.Dispatch.Budget.Window = b.RetryWindow
 	cfg.Dispatch.Budget.Ratio = b.RetryRatio * budgetShare
 	cfg.Dispatch.Budget.Burst = max(1, b.RetrySlack*budgetShare/budgetNodes)
-	cfg.Dispatch.Budget.Nodes = budgetNodes
+	cfg.Dispatch.Budget.FullBurstNodes = budgetNodes
 }
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -40,7 +40,7 @@
 	}
 	reply, settled := d.awaitReply(ctx, link, w, req, written, to)
 	if settled {
-		d.returnGrant(p, grant, reply.Unused)
+		d.returnGrant(p, grant, reply.UnusedGrant)
 	} else {
 		d.forfeitGrant(p, grant)
 	}
@@ -51,7 +51,7 @@
 // a key's holder: the key may have run there before.
 func notSent(ctx context.Context, to target, err error) *verdict.Error {
 	if to.keyHolder {
-		return verdict.Doubt(verdict.KeyHolderGone, "the node %s that the key is bound to does not answer: %v", to.id.Short(), err)
+		return verdict.MayHaveRunError(verdict.KeyHolderGone, "the node %s that the key is bound to does not answer: %v", to.id.Short(), err)
 	}
 	if ctx.Err() != nil {
 		return contextError(ctx, verdict.NotRun)
@@ -64,7 +64,7 @@
 func (d *Dispatcher) awaitReply(ctx context.Context, link Link, w *pendingAttempt, req call.Request, written func() bool, to target) (r call.Reply, settled bool) {
 	select {
 	case r := <-w.reply:
-		link.Answered()
+		link.MarkAnswered()
 		return r, true
 	case <-link.Done():
 	case <-ctx.Done():
@@ -80,10 +80,10 @@
 	d.count(func(c *Counts) { c.ConnectionLost++ })
 	if !written() {
 		r := errorReply(notSent(ctx, to, errConnectionEnded))
-		r.Unused = req.Grant
+		r.UnusedGrant = req.Grant
 		return r, true
 	}
-	return errorReply(verdict.Doubt(verdict.ConnectionLost, "connection to %s ended before the answer", req.To.Short())), false
+	return errorReply(verdict.MayHaveRunError(verdict.ConnectionLost, "connection to %s ended before the answer", req.To.Short())), false
 }
 
 var errConnectionEnded = errors.New("the connection ended")
@@ -105,27 +105,27 @@
 	remaining := time.Until(p.Deadline)
 	margin := min(d.cfg.Margin, remaining/10)
 	return call.Request{
-		From:          d.cfg.Self,
-		Seq:           d.seq.Add(1),
-		To:            to,
-		RequestID:     p.RequestID,
-		Service:       p.Operation.Service,
-		Operation:     p.Operation.Name,
-		Importance:    p.Importance,
-		Budget:        remaining - margin,
-		Grant:         grant,
-		Key:           p.Key,
-		Fingerprint:   p.Fingerprint,
-		Depth:         p.Depth,
-		Header:        p.Header,
-		Query:         p.Query,
-		Body:          p.Body,
-		HTTP:          p.HTTP,
-		Idempotent:    p.Operation.Idempotent,
-		RootRequestID: p.RootRequestID,
-		Bars:          p.Bars,
-		Repeat:        p.Repeat || p.repeated,
-		Workspace:     p.Workspace,
+		From:           d.cfg.Self,
+		Seq:            d.seq.Add(1),
+		To:             to,
+		RequestID:      p.RequestID,
+		Service:        p.Operation.Service,
+		Operation:      p.Operation.Name,
+		Importance:     p.Importance,
+		Budget:         remaining - margin,
+		Grant:          grant,
+		Key:            p.Key,
+		Fingerprint:    p.Fingerprint,
+		Depth:          p.Depth,
+		Header:         p.Header,
+		Query:          p.Query,
+		Body:           p.Body,
+		HTTP:           p.HTTP,
+		Idempotent:     p.Operation.Idempotent,
+		RootRequestID:  p.RootRequestID,
+		AdmittedLevels: p.AdmittedLevels,
+		Repeat:         p.Repeat || p.repeated,
+		Workspace:      p.Workspace,
 	}
 }
 
--- a/dispatch/targets.go
+++ b/dispatch/targets.go
@@ -36,8 +36,8 @@
 
 // firstTarget returns the node for the first attempt; there may be none.
 func (d *Dispatcher) firstTarget(p Params) (target, bool) {
-	if !p.Holder.IsZero() {
-		return target{id: p.Holder, keyHolder: true}, true
+	if !p.KeyHolder.IsZero() {
+		return target{id: p.KeyHolder, keyHolder: true}, true
 	}
 	return d.pick(p, nil)
 }
@@ -45,8 +45,8 @@
 // nextTarget returns the node for another attempt; there may be none. A keyed call that
 // may have run stays at the incarnation that remembers its key.
 func (d *Dispatcher) nextTarget(p Params, a *attempts, r call.Reply) (target, bool) {
-	if !p.Holder.IsZero() {
-		return target{id: p.Holder, keyHolder: true}, true
+	if !p.KeyHolder.IsZero() {
+		return target{id: p.KeyHolder, keyHolder: true}, true
 	}
 	if a.keyed && r.Verdict != verdict.NotRun {
 		return target{id: a.tried[len(a.tried)-1], keyHolder: true}, true
@@ -54,7 +54,7 @@
 	if !declined(r) || a.reoffersLeft == 0 {
 		return d.pick(p, a.tried)
 	}
-	if p.Ledger.Left() > 0 {
+	if p.Ledger.Available() > 0 {
 		if to, ok := d.pick(p, a.tried); ok {
 			return to, true
 		}
@@ -213,7 +213,7 @@
 func (d *Dispatcher) grant(p Params) retry.Grant {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return p.Ledger.Grant(p.Operation.Height(), p.Fanout)
+	return p.Ledger.Grant(p.Operation.CallDepth(), p.Fanout)
 }
 
 func (d *Dispatcher) returnGrant(p Params, g retry.Grant, unused uint32) {
@@ -244,7 +244,7 @@
 		Operation:     p.Operation.Name,
 		Step:          step,
 		Version:       p.Version,
-		Left:          p.Deadline.Sub(now),
+		Remaining:     p.Deadline.Sub(now),
 	}
 }
 
@@ -253,7 +253,7 @@
 	now := time.Now()
 	e := newEvent(now, p, explain.Refused)
 	e.Verdict, e.Reason, e.Detail, e.RetryAfter = err.Verdict.String(), err.Reason, err.Detail, err.RetryAfter
-	d.notes.Note(now, e)
+	d.notes.Record(now, e)
 }
 
 // noteRetry records that an attempt is followed by another one.
@@ -262,7 +262,7 @@
 	e := newEvent(now, p, explain.Retried)
 	e.Verdict, e.Reason, e.Detail = r.Verdict.String(), r.Reason, r.Detail
 	e.Target, e.Attempt = a.tried[len(a.tried)-1].Short(), len(a.tried)
-	d.notes.Note(now, e)
+	d.notes.Record(now, e)
 }
 
 // noteOutcome records the final outcome of a call.
@@ -274,6 +274,6 @@
 	}
 	e.Verdict, e.Reason, e.Detail, e.RetryAfter = o.Verdict.String(), o.Reason, o.Detail, o.RetryAfter
 	e.Status = o.Status
-	e.Target, e.Attempt, e.Took = a.tried[len(a.tried)-1].Short(), len(a.tried), now.Sub(start)
-	d.notes.Note(now, e)
+	e.Target, e.Attempt, e.Duration = a.tried[len(a.tried)-1].Short(), len(a.tried), now.Sub(start)
+	d.notes.Record(now, e)
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -106,7 +106,7 @@
 func TestCallAndAnswerArePassedOnComplete(t *testing.T) {
 	is := is.New(t)
 	d := &fakeDoer{out: call.Outcome{
-		Verdict: verdict.Ran, Status: 201, Body: []byte("filed"), KeyHeld: 1500 * time.Microsecond,
+		Verdict: verdict.Ran, Status: 201, Body: []byte("filed"), KeySafeFor: 1500 * time.Microsecond,
 		Header: []call.Field{{Name: "X-Own", Value: "1"}, {Name: "Content-Length", Value: "99"}, {Name: "cassialoom-verdict", Value: "not run"}},
 	}}
 	resp, body := startAndExchange(t, d, "PUT /call/fieldlog/file?a=1&b=%20 HTTP/1.1\r\nHost: x\r\n"+
@@ -311,7 +311,7 @@
 	resp, body := startAndExchange(t, d, "POST /key/s/o HTTP/1.1\r\nHost: x\r\n\r\n")
 	is.Equal(resp.StatusCode, 200)
 	is.Equal(body, `{"key":"key-of-s-o","held_ms":90000}`+"\n")
-	d.err = fmt.Errorf("mint: %w", verdict.Doubt(verdict.NoBackend, "none"))
+	d.err = fmt.Errorf("mint: %w", verdict.MayHaveRunError(verdict.NoBackend, "none"))
 	resp, _ = startAndExchange(t, d, "POST /key/s/o HTTP/1.1\r\nHost: x\r\n\r\n")
 	is.Equal(resp.StatusCode, 503)
 	is.Equal(resp.Header.Get(headers.Verdict), "not run") // minting a key runs nothing
@@ -348,7 +348,7 @@
 
 	draining.Store(true)
 	done := make(chan struct{})
-	go func() { defer close(done); kept.LastCall(t.Context(), time.Minute) }()
+	go func() { defer close(done); kept.DrainConnections(t.Context(), time.Minute) }()
 	for refused := false; !refused; {
 		probe, err := net.Dial("tcp", ln.Addr().String())
 		if refused = err != nil; !refused {
@@ -366,6 +366,6 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	kept := Listener(ln)
-	kept.LastCall(t.Context(), time.Minute)
+	kept.DrainConnections(t.Context(), time.Minute)
 	is.NoErr(kept.Close())
 }
--- a/entry/listener.go
+++ b/entry/listener.go
@@ -40,12 +40,12 @@
 // drainPollInterval is the time between two checks of the open connections.
 const drainPollInterval = 10 * time.Millisecond
 
-// LastCall stops accepting connections and waits until callers have closed the
+// DrainConnections stops accepting connections and waits until callers have closed the
 // open ones, at most for limit or until ctx ends. A draining server closes each
 // connection after its next answer. Closing idle connections from this side
 // instead could interrupt a request that is just being sent, whose caller could
 // not know whether it ran.
-func (l *CountingListener) LastCall(ctx context.Context, limit time.Duration) {
+func (l *CountingListener) DrainConnections(ctx context.Context, limit time.Duration) {
 	l.Close() // the error does not matter: no new connections are accepted
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
--- a/entry/write.go
+++ b/entry/write.go
@@ -23,8 +23,8 @@
 
 // write sends the outcome as one complete answer.
 func write(cfg Config, w http.ResponseWriter, requestID string, out call.Outcome) {
-	if out.KeyHeld > 0 {
-		setMs(w.Header(), headers.KeyHeldMs, out.KeyHeld)
+	if out.KeySafeFor > 0 {
+		setMs(w.Header(), headers.KeyHeldMs, out.KeySafeFor)
 	}
 	switch {
 	case out.Reason != verdict.None:
--- a/internal/bench/connections.go
+++ b/internal/bench/connections.go
@@ -77,4 +77,4 @@
 func (idleHandler) Up(*transport.Conn)                 {}
 func (idleHandler) Suspended(*transport.Conn)          {}
 func (idleHandler) Down(*transport.Conn)               {}
-func (idleHandler) Busy(wire.NodeID) bool              { return true }
+func (idleHandler) OwesReply(wire.NodeID) bool         { return true }
--- a/internal/capacity/memory.go
+++ b/internal/capacity/memory.go
@@ -84,7 +84,7 @@
 		panic(err)
 	}
 	before := memoryInUse()
-	c := config.NewSpread(config.DefaultConfig(), wire.NodeID{1}, "dc-0", 1)
+	c := config.NewDistributor(config.DefaultConfig(), wire.NodeID{1}, "dc-0", 1)
 	now := time.Unix(0, 0)
 	for c.State().Graph() == nil {
 		now = now.Add(time.Second)
@@ -150,7 +150,7 @@
 func (idleHandler) Up(*transport.Conn)                 {}
 func (idleHandler) Suspended(*transport.Conn)          {}
 func (idleHandler) Down(*transport.Conn)               {}
-func (idleHandler) Busy(wire.NodeID) bool              { return false }
+func (idleHandler) OwesReply(wire.NodeID) bool         { return false }
 
 // MeasureConnections opens count connections to one node over loopback, each from a
 // separate node.
--- a/internal/capacity/network.go
+++ b/internal/capacity/network.go
@@ -93,9 +93,9 @@
 	peer.conns[from] = s.at
 	trip := 2 * delay(from, peer)
 	s.deliver(from, 2*trip, func() {
-		from.M.Answered(s.clock(from), env.addr, peer.ID)
+		from.M.PeerAnswered(s.clock(from), env.addr, peer.ID)
 		if !env.to.IsZero() && env.to != peer.ID {
-			from.M.Failed(s.clock(from), env.to)
+			from.M.PeerUnreachable(s.clock(from), env.to)
 		}
 	})
 	if env.to.IsZero() || env.to == peer.ID {
@@ -106,10 +106,10 @@
 func (s *Sim) dialFailed(from *Node, env envelope) {
 	s.deliver(from, s.cfg.DialTimeout, func() {
 		if env.to.IsZero() {
-			from.M.FailedAddr(s.clock(from), env.addr)
+			from.M.AddrUnreachable(s.clock(from), env.addr)
 			return
 		}
-		from.M.Failed(s.clock(from), env.to)
+		from.M.PeerUnreachable(s.clock(from), env.to)
 	})
 }
 
@@ -160,13 +160,13 @@
 // syncLog does the reads and appends of the log that the membership of n requests.
 func (s *Sim) syncLog(n *Node) {
 	ctx := context.Background()
-	if from, limit, ok := n.M.WantLog(s.clock(n)); ok {
+	if from, limit, ok := n.M.NextLogRead(s.clock(n)); ok {
 		n.Stats.Reads++
 		if page, err := s.Log.Read(ctx, membership.Stream, from, limit); err == nil {
-			n.M.LogPage(s.clock(n), page)
+			n.M.ReceiveLogPage(s.clock(n), page)
 		}
 	}
-	data, ok := n.M.WantAnnounce(s.clock(n))
+	data, ok := n.M.NextAnnouncement(s.clock(n))
 	if !ok {
 		return
 	}
--- a/internal/capacity/sim.go
+++ b/internal/capacity/sim.go
@@ -55,7 +55,7 @@
 	Spec Spec
 	M    *membership.Members
 	// C is nil unless Config.Spread is set.
-	C      *config.Spread
+	C      *config.Distributor
 	Up     bool
 	Frozen bool
 	// Skew is the node's clock minus the true time.
@@ -190,7 +190,7 @@
 	}, s.rng.Uint64())
 	n.M.Seeds(spec.Seeds)
 	if s.cfg.Spread {
-		n.C = config.NewSpread(config.DefaultConfig(), n.ID, spec.DataCentre, s.rng.Uint64())
+		n.C = config.NewDistributor(config.DefaultConfig(), n.ID, spec.DataCentre, s.rng.Uint64())
 	}
 	s.Nodes = append(s.Nodes, n)
 	if !spec.Elsewhere {
@@ -232,7 +232,7 @@
 		return
 	}
 	delete(peer.conns, n)
-	s.deliver(peer, delay(n, peer), func() { peer.M.Failed(s.clock(peer), n.ID) })
+	s.deliver(peer, delay(n, peer), func() { peer.M.PeerUnreachable(s.clock(peer), n.ID) })
 }
 
 // sortedConns yields the connected peers in a fixed order, because the schedule must not
--- a/internal/loadmodel/model.go
+++ b/internal/loadmodel/model.go
@@ -57,9 +57,9 @@
 	}
 	if m.policy.Admission {
 		n.gate = admission.NewGate(m.policy.Gate)
-		n.levels = admission.NewLevels(m.policy.Levels, admission.NewNews(admission.NewsConfig{}), m.scenario.Seed)
-		n.levels.PassOn(m.scenario.servicesBelow(s))
-		n.entry = admission.NewLevels(m.policy.Levels, admission.NewNews(admission.NewsConfig{}), m.scenario.Seed+1)
+		n.levels = admission.NewLevels(m.policy.Levels, admission.NewLevelGossip(admission.LevelGossipConfig{}), m.scenario.Seed)
+		n.levels.SetForwarded(m.scenario.servicesBelow(s))
+		n.entry = admission.NewLevels(m.policy.Levels, admission.NewLevelGossip(admission.LevelGossipConfig{}), m.scenario.Seed+1)
 	}
 	return n
 }
@@ -209,7 +209,7 @@
 
 func (a *outgoingCall) attempt() {
 	m := a.model
-	var entry admission.Entry
+	var entry admission.EntryDecision
 	if m.policy.Admission {
 		entry = a.levels.Admit(m.sim.now, m.reach(a.op, a.hop), a.priority)
 		if !entry.Admitted() {
@@ -220,7 +220,7 @@
 	}
 	m.ids++
 	to := m.nodes[a.op.Path[a.hop]]
-	admittedLevels := wirecall.HighestLevels(a.admittedLevels, entry.Bars)
+	admittedLevels := wirecall.HighestLevels(a.admittedLevels, entry.AdmittedLevels)
 	c := &call{id: m.ids, admittedLevels: admittedLevels, op: a.op, hop: a.hop, priority: a.priority, deadline: a.deadline, node: to}
 	c.reply = func(r result) {
 		m.sim.after(m.scenario.Delay, func() { a.answer(c, r) })
@@ -259,7 +259,7 @@
 	a.current = nil
 	m := a.model
 	if m.policy.Admission {
-		a.levels.Heard(m.sim.now, c.node.backend.service.Name, c.node.id, r.levels)
+		a.levels.RecordReply(m.sim.now, c.node.backend.service.Name, c.node.id, r.levels)
 	}
 	if !r.ok && a.retriesLeft > 0 && m.sim.now.Before(a.deadline) {
 		a.retriesLeft--
--- a/internal/loadmodel/node.go
+++ b/internal/loadmodel/node.go
@@ -74,7 +74,7 @@
 	item := queue.Item[*call]{ID: c.id, Priority: c.priority, Value: c}
 	if n.policy.Cancel {
 		item.Deadline = c.deadline
-		item.Need = n.expectedTime(c)
+		item.ExpectedRunTime = n.expectedTime(c)
 	}
 	if n.late(&item) {
 		n.observe(admission.Shed)
@@ -91,14 +91,14 @@
 // expectedTime returns the least time that the call is expected to take.
 func (n *node) expectedTime(c *call) time.Duration {
 	if l, ok := n.limit.(*limit.Limiter); ok {
-		return l.Expect(c.op.class())
+		return l.ExpectedRunTime(c.op.class())
 	}
 	return 0
 }
 
 // shedBelowOwnLevel sheds queued calls below the node's own level when it has risen.
 func (n *node) shedBelowOwnLevel() {
-	ownLevel := n.gate.Own(n.model.sim.now)
+	ownLevel := n.gate.OwnLevel(n.model.sim.now)
 	if ownLevel > n.ownLevel {
 		n.shed(n.queue.Shed(ownLevel))
 	}
@@ -109,7 +109,7 @@
 // count as shed for the priority order.
 func (n *node) late(item *queue.Item[*call]) bool {
 	q, ok := n.queue.(*queue.Queue[*call])
-	return ok && q.Late(n.model.sim.now, item)
+	return ok && q.WouldExpire(n.model.sim.now, item)
 }
 
 // shed refuses calls that the queue dropped because it was full or the level rose.
--- a/internal/prove/send.go
+++ b/internal/prove/send.go
@@ -113,10 +113,10 @@
 
 func (f *Fleet) checkChildren(ref graph.Ref, a *backend.Answer) error {
 	op, ok := f.Graph.Operation(ref.Service, ref.Operation)
-	if !ok || len(a.Children) != len(op.DependsOn) {
+	if !ok || len(a.Children) != len(op.Calls) {
 		return errChildren
 	}
-	for i, child := range op.DependsOn {
+	for i, child := range op.Calls {
 		got := &a.Children[i]
 		if got.Service != child.Service || got.Operation != child.Operation {
 			return errChildren
--- a/internal/replay/node.go
+++ b/internal/replay/node.go
@@ -38,7 +38,7 @@
 	running map[uint64]*run
 	// entryReach holds the services that requests entering here reach; callReach
 	// holds those that the backend server's own calls reach.
-	entryReach, callReach *reach.Book
+	entryReach, callReach *reach.Tracker
 }
 
 // run is one task at the backend server.
@@ -118,7 +118,7 @@
 func (l link) Done() <-chan struct{} { return nil }
 
 // Answered implements dispatch.Link.
-func (l link) Answered() {}
+func (l link) MarkAnswered() {}
 
 // Release implements dispatch.Link.
 func (l link) Release() {}
@@ -141,12 +141,12 @@
 	}
 	p := dispatch.Params{
 		RequestID: id, Operation: op, Importance: c.Importance, Deadline: deadline,
-		Ledger: retry.New(uint32(op.ExtraAttempts)), Fanout: 1, Entering: true, Patience: remaining,
+		Ledger: retry.NewLedger(uint32(op.ExtraAttempts)), Fanout: 1, FromCaller: true, CallerDeadline: remaining,
 		Reach: n.reach(c),
 	}
 	out := n.dispatch.Call(ctx, p)
 	if out.Verdict == verdict.Ran {
-		n.learnReach(c, call.SlotTimeServices(out.Used))
+		n.learnReach(c, call.SlotTimeServices(out.SlotTimeUsed))
 	}
 	return out
 }
@@ -162,7 +162,7 @@
 func (n *node) learnReach(c *Class, reached []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.entryReach.Learn(time.Now(), c.Name, append(reached, c.Service))
+	n.entryReach.Record(time.Now(), c.Name, append(reached, c.Service))
 }
 
 // call makes a call for a task and reports whether it succeeded.
@@ -175,8 +175,8 @@
 	}
 	out := n.dispatch.Call(r.ctx, dispatch.Params{
 		RequestID: n.simulation.nextID(), Operation: op, Importance: req.Importance, Deadline: deadline,
-		Ledger: retry.New(uint32(op.ExtraAttempts)), Fanout: 1,
-		RootRequestID: req.RootID(), Bars: req.Bars, Admitted: true, Repeat: req.Repeat, Depth: req.Depth + 1,
+		Ledger: retry.NewLedger(uint32(op.ExtraAttempts)), Fanout: 1,
+		RootRequestID: req.RootID(), AdmittedLevels: req.AdmittedLevels, Admitted: true, Repeat: req.Repeat, Depth: req.Depth + 1,
 	})
 	n.used(r, c.Service, out)
 	n.simulation.report.callEnded(c.Service, out)
@@ -189,8 +189,8 @@
 	defer n.mu.Unlock()
 	r.used = out.AddSlotTimes(r.used, service)
 	r.callsFailed = r.callsFailed || !out.Succeeded()
-	if n.callReach.Learn(time.Now(), "", call.SlotTimeServices(r.used)) {
-		n.dispatch.PassOn(n.callReach.Reach(""))
+	if n.callReach.Record(time.Now(), "", call.SlotTimeServices(r.used)) {
+		n.dispatch.SetForwarded(n.callReach.Reach(""))
 	}
 }
 
@@ -253,7 +253,7 @@
 	result.Latency = time.Since(started)
 	n.mu.Lock()
 	delete(n.running, r.task.ID)
-	result.Used = r.used
+	result.SlotTimeUsed = r.used
 	result.CallsFailed = r.callsFailed
 	n.mu.Unlock()
 	n.apply(func(now time.Time, s *serve.Server) serve.Effects { return s.Done(now, r.task.ID, result) })
@@ -262,7 +262,7 @@
 // work runs a task to its result: the work at the backend server, then its calls.
 func (n *node) work(r *run) serve.Result {
 	if !n.backend.acquireSlot(r.ctx) {
-		return serve.Result{Verdict: verdict.NotRun, Reason: verdict.Shed, Offered: true}
+		return serve.Result{Verdict: verdict.NotRun, Reason: verdict.Shed, ReachedBackend: true}
 	}
 	acquired := time.Now()
 	ok := pause.For(r.ctx, n.backend.work(r.class)) && n.callAll(r)
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -26,7 +26,7 @@
 // Production returns the policy of the platform.
 func Production() Policy {
 	cfg := production.DefaultConfig()
-	daemon.LoadPolicy(&cfg, bounds)
+	daemon.SetOverloadControl(&cfg, bounds)
 	return Policy{Name: "cassialoom", Serve: cfg.Serve, Dispatch: cfg.Dispatch}
 }
 
@@ -38,7 +38,7 @@
 	p.Serve.Policy = serve.PolicyNone
 	p.Dispatch.NoAdmission = true
 	p.Dispatch.RoundRobin = true
-	p.Dispatch.Reroutes, p.Dispatch.Reoffers, p.Dispatch.Hedge = 0, 0, false
+	p.Dispatch.MaxReroutes, p.Dispatch.MaxReoffers, p.Dispatch.Hedge = 0, 0, false
 	p.Dispatch.Budget.Ratio, p.Dispatch.Budget.Burst = 0, 0
 	p.HideSlots = true
 	return p
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -83,7 +83,7 @@
 func TestLevelIsStableWithAdmittedRequestsUnderWay(t *testing.T) {
 	forEachDeployment(t, func(t *testing.T, d Deployment) {
 		is := is.New(t)
-		fastLevel := variant("level in 0.3 s, short queue", func(p *Policy) { p.Serve.Gate.Queue, p.Serve.Gate.Settle = 1, 6 })
+		fastLevel := variant("level in 0.3 s, short queue", func(p *Policy) { p.Serve.Gate.Queue, p.Serve.Gate.SettleIntervals = 1, 6 })
 		gain := 0.0
 		for k := range uint64(2) {
 			scenario := burst(d, 1.25)
@@ -99,7 +99,7 @@
 func TestCallsUnderWayAreNotShed(t *testing.T) {
 	forEachDeployment(t, func(t *testing.T, d Deployment) {
 		is := is.New(t)
-		shedAll := variant("levels at every node", func(p *Policy) { p.Serve.TellOnly = false })
+		shedAll := variant("levels at every node", func(p *Policy) { p.Serve.PublishLevelOnly = false })
 		var shed, ours struct{ critical, normal, broken float64 }
 		const runs = 3
 		for k := range uint64(runs) {
@@ -227,10 +227,10 @@
 		is := is.New(t)
 		scenario := burst(d, 0.6)
 		scenario.Phases[1].RejectShare = 0.55
-		manyAttempts := variant("tried at once", func(p *Policy) { p.Dispatch.Outlook = admission.OutlookConfig{} })
+		manyAttempts := variant("tried at once", func(p *Policy) { p.Dispatch.RouteHealth = admission.RouteHealthConfig{} })
 		once := variant("one more attempt a call", func(p *Policy) {
-			p.Dispatch.Outlook = admission.OutlookConfig{}
-			p.Dispatch.Reoffers = 0
+			p.Dispatch.RouteHealth = admission.RouteHealthConfig{}
+			p.Dispatch.MaxReoffers = 0
 		})
 		ours := runScenario(t, scenario, manyAttempts)
 		is.True(ours.During().Served(importance.Critical) > 1.2*runScenario(t, scenario, once).During().Served(importance.Critical))
@@ -245,7 +245,7 @@
 		is := is.New(t)
 		scenario := burst(d, 0.6)
 		scenario.Phases[1].RejectShare = 0.55
-		immediateRetry := variant("tried at once", func(p *Policy) { p.Dispatch.Outlook = admission.OutlookConfig{} })
+		immediateRetry := variant("tried at once", func(p *Policy) { p.Dispatch.RouteHealth = admission.RouteHealthConfig{} })
 		immediate := runScenario(t, scenario, immediateRetry)
 		ours := runScenario(t, scenario, Production())
 		is.True(ours.During().Served(importance.Critical) > immediate.During().Served(importance.Critical)+0.12)
@@ -310,7 +310,7 @@
 	t.Parallel()
 	is := is.New(t)
 	const runs = 12 // the spread of single runs is as large as the effect
-	arrivalOrder := variant("in order of arrival", func(p *Policy) { p.Serve.Queue.SoonerShare = 0 })
+	arrivalOrder := variant("in order of arrival", func(p *Policy) { p.Serve.Queue.YieldShare = 0 })
 	var inputs []input
 	for _, policy := range []Policy{Production(), arrivalOrder} {
 		for k := range uint64(runs) {
@@ -331,7 +331,7 @@
 	scenario := burst(Savukartta(), 0.6)
 	scenario.Phases[1].FaultyServers = 1
 	scenario.Phases[1].ErrorShare = 0.4
-	noFaultReports := variant("failures are not told", func(p *Policy) { p.Dispatch.Balancer.LeaveFaults = 1 })
+	noFaultReports := variant("failures are not told", func(p *Policy) { p.Dispatch.Balancer.StragglerErrorRate = 1 })
 	reports := runAll(t, []input{{scenario, Production()}, {scenario, noFaultReports}})
 	is.True(reports[0].During().Credit() > 0.95)
 	is.True(reports[1].During().Credit() < 0.8)
--- a/internal/replay/wide_test.go
+++ b/internal/replay/wide_test.go
@@ -25,7 +25,7 @@
 func TestLevelGossipInALargeFleet(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	replies := variant("levels with replies alone", func(p *Policy) { p.Dispatch.News = admission.NewsConfig{} })
+	replies := variant("levels with replies alone", func(p *Policy) { p.Dispatch.LevelGossip = admission.LevelGossipConfig{} })
 	reports := runAll(t, []input{{wideBurst(), Production()}, {wideBurst(), replies}})
 	ours, other := reports[0], reports[1]
 	t.Log(ours.Details())
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -48,7 +48,7 @@
 	stop := make(chan struct{})
 	for _, n := range sim.nodeList {
 		go n.tick(stop)
-		if policy.Dispatch.News.Interval > 0 {
+		if policy.Dispatch.LevelGossip.Interval > 0 {
 			go n.gossipLevels(stop, rand.New(rand.NewPCG(sim.nextSeed(), 5)))
 		}
 	}
@@ -148,7 +148,7 @@
 // gossipLevels forwards admission levels to a few random nodes at a fixed interval, as in
 // production.
 func (n *node) gossipLevels(stop <-chan struct{}, rng *rand.Rand) {
-	interval := n.simulation.policy.Dispatch.News.Interval
+	interval := n.simulation.policy.Dispatch.LevelGossip.Interval
 	time.Sleep(time.Duration(rng.Int64N(int64(interval))))
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -158,13 +158,13 @@
 			return
 		case <-ticker.C:
 		}
-		levels := n.dispatch.TellLevels(time.Now())
+		levels := n.dispatch.OutgoingGossip(time.Now())
 		if len(levels) == 0 {
 			continue
 		}
-		for range production.NewsFanOut {
+		for range production.GossipFanOut {
 			to := n.simulation.nodeList[rng.IntN(len(n.simulation.nodeList))]
-			time.AfterFunc(link{from: n, to: to}.delay(), func() { to.dispatch.HearLevels(time.Now(), levels) })
+			time.AfterFunc(link{from: n, to: to}.delay(), func() { to.dispatch.ReceiveGossip(time.Now(), levels) })
 		}
 	}
 }
--- a/internal/rig/users.go
+++ b/internal/rig/users.go
@@ -58,11 +58,11 @@
 func calls(s *graph.Service) []string {
 	var list []string
 	for _, operation := range s.Operations {
-		if len(operation.DependsOn) == 0 {
+		if len(operation.Calls) == 0 {
 			continue
 		}
-		names := make([]string, len(operation.DependsOn))
-		for i, ref := range operation.DependsOn {
+		names := make([]string, len(operation.Calls))
+		for i, ref := range operation.Calls {
 			names[i] = ref.String()
 		}
 		list = append(list, operation.Name+"="+strings.Join(names, "&"))
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -83,7 +83,7 @@
 	{"store busy", storeFault(standin.Busy)},
 	{"store silent", storeFault(standin.Silent)},
 	{"store loses answers", storeFault(standin.LosesAnswers)},
-	{"store forgets", func(_ context.Context, e *env, _ *host, _ time.Duration) error { e.store.Forget(); return nil }},
+	{"store forgets", func(_ context.Context, e *env, _ *host, _ time.Duration) error { e.store.ExpireRecords(); return nil }},
 	{"link to the store reset", linkFault(toStore, linkReset)},
 	{"link to the store silent", linkFault(toStore, linkSilent)},
 	{"link to the store one way", linkFault(toStore, linkOneWay)},
@@ -105,9 +105,9 @@
 
 func storeFault(f standin.Fault) func(context.Context, *env, *host, time.Duration) error {
 	return func(ctx context.Context, e *env, _ *host, d time.Duration) error {
-		e.store.Set(f)
+		e.store.SetFault(f)
 		pause.For(ctx, d)
-		e.store.Set(standin.Well)
+		e.store.SetFault(standin.NoFault)
 		return nil
 	}
 }
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -42,7 +42,7 @@
 func (b Broken) String() string { return fmt.Sprintf("%s: %s: request %s", b.Promise, b.What, b.ID) }
 
 // checkAnswers compares the answers that clients received with what backend servers ran.
-func checkAnswers(exchanges []exchange, j *standin.Journal) []Broken {
+func checkAnswers(exchanges []exchange, j *standin.RunLog) []Broken {
 	var out []Broken
 	for _, t := range exchanges {
 		runs := j.Runs(t.ID)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -100,7 +100,7 @@
 			locks[ev.host].Lock()
 			defer locks[ev.host].Unlock()
 			h := e.hosts[ev.host]
-			e.cfg.Say("%7.3f s  %s: %s for up to %v", time.Since(begin).Seconds(), h.Name, ev.fault.name, ev.duration.Round(time.Millisecond))
+			e.cfg.Say("%7.3f s %s: %s for up to %v", time.Since(begin).Seconds(), h.Name, ev.fault.name, ev.duration.Round(time.Millisecond))
 			err := e.restartIfEnded(h)
 			if err == nil {
 				err = ev.fault.inject(ctx, e, h, ev.duration)
@@ -186,7 +186,7 @@
 	prefix := paths[c.rng.IntN(len(paths))]
 	t := exchange{ID: strconv.FormatUint(c.rng.Uint64(), 36), Machine: c.host.Name, Path: prefix + strconv.Itoa(c.sent),
 		Idempotent: prefix != "/once/", Credential: with, Sent: time.Now()}
-	t.Answer = standin.Ask(ctx, c.http, c.host.Machine, standin.Request{
+	t.Answer = standin.SendRequest(ctx, c.http, c.host.Machine, standin.Request{
 		Method: http.MethodPost, Host: routeHost, Path: t.Path, ID: t.ID, Key: with.key, Timeout: clientTimeout,
 	})
 	return t
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -19,10 +19,10 @@
 // Guards against checks that accept false answers, which would let every run pass, and
 // against checks that reject true ones.
 func TestFalseAnswersAreFound(t *testing.T) {
-	j := standin.NewJournal()
-	j.Note("ran", "i-1")
-	j.Note("twice", "i-1")
-	j.Note("twice", "i-2")
+	j := standin.NewRunLog()
+	j.RecordRun("ran", "i-1")
+	j.RecordRun("twice", "i-1")
+	j.RecordRun("twice", "i-2")
 	success := func(id string) exchange {
 		return exchange{ID: id, Path: "/once/1", Answer: standin.Answer{Status: 200, Body: standin.Body(id, "/once/1"), Signature: standin.Sign(id, "/once/1")}}
 	}
@@ -68,14 +68,14 @@
 // Guards against checks of keys and quotas that accept everything.
 func TestLateKeysAndExceededQuotasAreFound(t *testing.T) {
 	is := is.New(t)
-	j := standin.NewJournal()
+	j := standin.NewRunLog()
 	sent := time.Now()
 	revoked := map[uint64]time.Time{3: sent.Add(-standin.RevokeWithin - time.Millisecond), 4: sent.Add(-standin.RevokeWithin + time.Millisecond)}
 	var all []exchange
 	for id, version := range map[string]uint64{"late": 3, "soon": 4, "held": 5, "refused": 3} {
 		all = append(all, exchange{ID: id, Credential: credential{key: versionKey(version), version: version}, Sent: sent})
 		if id != "refused" {
-			j.Note(id, "i-1")
+			j.RecordRun(id, "i-1")
 		}
 	}
 	found := checkRevokedKeys(all, j, revoked)
@@ -87,11 +87,11 @@
 	for i := range limit {
 		id := fmt.Sprint("h", i)
 		all = append(all, exchange{ID: id, Credential: credential{key: hotKey}}, exchange{ID: id + "c", Credential: credential{key: calmKey}})
-		j.Note(id, "i-1")
-		j.Note(id+"c", "i-1")
+		j.RecordRun(id, "i-1")
+		j.RecordRun(id+"c", "i-1")
 	}
 	is.Equal(len(checkQuota(all, j)), 0)
-	j.Note("more", "i-1")
+	j.RecordRun("more", "i-1")
 	is.Equal(len(checkQuota(append(all, exchange{ID: "more", Credential: credential{key: hotKey}}), j)), 1)
 }
 
--- a/internal/soak/versions.go
+++ b/internal/soak/versions.go
@@ -50,7 +50,7 @@
 
 // putLastVersion writes the last version to the store. The caller holds the lock.
 func (e *env) putLastVersion() error {
-	text, err := standin.RoutesText(e.lastVersion.version, []standin.Route{
+	text, err := standin.ManifestText(e.lastVersion.version, []standin.Route{
 		{Name: "top", Host: routeHost, Prefix: "/top/", Service: topService, Idempotent: true, Priority: 1},
 		{Name: "top-once", Host: routeHost, Prefix: "/once/", Service: topService},
 		{Name: "end", Host: routeHost, Prefix: "/end/", Service: endService, Idempotent: true, Priority: 2},
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	e.store.Put(text)
+	e.store.PublishManifest(text)
 	e.lastVersion.confirmedAt = time.Now()
 	return nil
 }
@@ -67,14 +67,14 @@
 // restore restores the store from a copy that is d old, after a short outage, and then
 // writes the last version again, as the operator does.
 func (e *env) restore(ctx context.Context, d time.Duration) error {
-	older := e.store.Copy()
+	older := e.store.Snapshot()
 	pause.For(ctx, d)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.store.Set(standin.Busy)
+	e.store.SetFault(standin.Busy)
 	pause.For(ctx, rewriteDelay)
 	e.store.Restore(older)
-	e.store.Set(standin.Well)
+	e.store.SetFault(standin.NoFault)
 	pause.For(ctx, rewriteDelay)
 	return e.putLastVersion()
 }
@@ -145,7 +145,7 @@
 // whose route the node has, or zero if it has none of them.
 func (e *env) versionInForce(ctx context.Context, c *http.Client, h *host, least uint64) uint64 {
 	for version := least; version <= e.newestVersion().version; version++ {
-		a := standin.Ask(ctx, c, h.Machine, standin.Request{Method: http.MethodPost, Host: routeHost,
+		a := standin.SendRequest(ctx, c, h.Machine, standin.Request{Method: http.MethodPost, Host: routeHost,
 			Path: versionPath(version) + "x", ID: fmt.Sprintf("version-%d-%s", version, h.Name), Key: calmKey, Timeout: clientTimeout})
 		if a.Status != http.StatusNotFound {
 			return version
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -60,7 +60,7 @@
 
 // checkRevokedKeys finds requests that ran although their key had been revoked for longer
 // than standin.RevokeWithin when they were sent.
-func checkRevokedKeys(exchanges []exchange, j *standin.Journal, revoked map[uint64]time.Time) []Broken {
+func checkRevokedKeys(exchanges []exchange, j *standin.RunLog, revoked map[uint64]time.Time) []Broken {
 	var out []Broken
 	for _, t := range exchanges {
 		since, ok := revoked[t.Credential.version]
@@ -77,7 +77,7 @@
 
 // checkQuota finds a window in which more requests of the hot workspace ran than its
 // quota and the allowed excess permit.
-func checkQuota(exchanges []exchange, j *standin.Journal) []Broken {
+func checkQuota(exchanges []exchange, j *standin.RunLog) []Broken {
 	var runs []time.Time
 	for _, t := range exchanges {
 		if at, ran := j.FirstRun(t.ID); ran && t.Credential.key == hotKey {
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -79,7 +79,7 @@
 	cfg     Config
 	rig     *rig.Rig
 	store   *standin.Store
-	journal *standin.Journal
+	journal *standin.RunLog
 	record  record
 	hosts   []*host
 
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, errors.Join(err, r.RemoveLogs())
 	}
-	e := &env{cfg: cfg, rig: r, store: store, journal: standin.NewJournal(), revoked: make(map[uint64]time.Time)}
+	e := &env{cfg: cfg, rig: r, store: store, journal: standin.NewRunLog(), revoked: make(map[uint64]time.Time)}
 	if err := e.publish(); err != nil {
 		return e, err
 	}
@@ -163,8 +163,8 @@
 
 func (e *env) startTarget(h *host) error {
 	h.incarnations++
-	cfg := standin.TargetConfig{Service: h.Service, Addr: h.Backend(), Node: h.Heartbeats(), Calls: h.Callers(),
-		Slots: slots, Work: serviceTime, Beat: heartbeatInterval, Seed: e.cfg.Seed + uint64(h.incarnations)}
+	cfg := standin.TargetConfig{Service: h.Service, Addr: h.Backend(), HeartbeatsAddr: h.Heartbeats(), CallsAddr: h.Callers(),
+		Slots: slots, MeanRunTime: serviceTime, HeartbeatInterval: heartbeatInterval, Seed: e.cfg.Seed + uint64(h.incarnations)}
 	if h.toBackend != nil {
 		cfg.ID = "i-" + h.Name // the incarnations on this machine share an ID
 	}
@@ -180,7 +180,7 @@
 
 func (e *env) startNode(h *host) error {
 	p, err := e.rig.StartWith(h.Name, "cassialoomd", []string{
-		settings.PlatformFile + "=" + h.settings, "CASSIALOOM_PEER_ADVERTISE=" + h.fromPeers.addr(),
+		settings.PlatformFileEnv + "=" + h.settings, "CASSIALOOM_PEER_ADVERTISE=" + h.fromPeers.addr(),
 	})
 	if err == nil {
 		h.node = p
--- a/internal/testnode/caller.go
+++ b/internal/testnode/caller.go
@@ -50,8 +50,8 @@
 	return i.cluster.post(ctx, "http://"+i.Callers+"/call/"+service+"/"+operation, body, fields...)
 }
 
-// Must is Send that fails the test if there is no complete answer.
-func (i *Instance) Must(tb testing.TB, service, operation, body string, fields ...string) Answer {
+// MustSend is Send that fails the test if there is no complete answer.
+func (i *Instance) MustSend(tb testing.TB, service, operation, body string, fields ...string) Answer {
 	tb.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
--- a/internal/testnode/cluster.go
+++ b/internal/testnode/cluster.go
@@ -75,7 +75,7 @@
 	pub := config.Publication{ID: config.NewPublicationID(), Operator: "test"}
 	for _, s := range sections {
 		old, _ := before.Section(s.Service)
-		pub.Sections = append(pub.Sections, config.SectionChange{Service: s.Service, Text: s.Text, Base: old.Version})
+		pub.Sections = append(pub.Sections, config.SectionChange{Service: s.Service, Text: s.Text, BaseVersion: old.Version})
 	}
 	out, err := config.Publish(ctx, c.Log, pub)
 	if err != nil || out.Status != config.Accepted {
@@ -96,11 +96,11 @@
 	cfg.Transport.Cluster = c.name
 	cfg.Membership.JoinInterval = interval
 	cfg.Membership.GossipInterval = interval
-	cfg.Membership.RepairAgain = interval
-	cfg.Membership.AnnounceWithin = interval
-	cfg.Spread.PollEvery = interval
-	cfg.Spread.RepairEvery = interval
-	cfg.Spread.PullRetry = interval
+	cfg.Membership.RepairRetryInterval = interval
+	cfg.Membership.MaxAnnounceWait = interval
+	cfg.Distributor.PollEvery = interval
+	cfg.Distributor.RepairEvery = interval
+	cfg.Distributor.PullRetry = interval
 	cfg.Serve.Once.BatchEvery = time.Millisecond
 	cfg.Serve.Once.PendingFor = 8 * interval
 	cfg.Serve.Once.RetryEvery = interval
@@ -111,9 +111,9 @@
 	return cfg
 }
 
-// AwaitWhole waits until every running node sees all others with their
+// AwaitReady waits until every running node sees all others with their
 // readiness and has a configuration, if one was published.
-func (c *Cluster) AwaitWhole() {
+func (c *Cluster) AwaitReady() {
 	c.tb.Helper()
 	Await(c.tb, "every node sees all others", func() bool {
 		for _, i := range c.instances {
--- a/internal/testnode/peer.go
+++ b/internal/testnode/peer.go
@@ -108,10 +108,10 @@
 // Sync waits until the node has handled all messages sent so far: it requests
 // a key, which the node refuses, and waits for the answer. It drops other
 // messages that arrive meanwhile.
-func (p *Peer) Sync() error { return p.SyncTaking(func(wire.Frame) {}) }
+func (p *Peer) Sync() error { return p.SyncWith(func(wire.Frame) {}) }
 
-// SyncTaking is Sync, but calls handle for each other message.
-func (p *Peer) SyncTaking(handle func(wire.Frame)) error {
+// SyncWith is Sync, but calls handle for each other message.
+func (p *Peer) SyncWith(handle func(wire.Frame)) error {
 	if err := p.Send(wire.KindMintKeyRequest, mintRequest{Seq: 1}); err != nil {
 		return err
 	}
@@ -128,6 +128,6 @@
 // of the service.
 func (p *Peer) Join(service string) error {
 	r := membership.Record{ID: p.ID, Service: service, DataCentre: "dc", Region: "region",
-		PeerAddr: Nowhere, Ready: true, Incarnation: 1, Content: 1}
+		PeerAddr: Nowhere, Ready: true, Incarnation: 1, ContentIncarnation: 1}
 	return p.Send(wire.KindMembership, membership.Message{Records: []membership.Record{r}})
 }
--- a/node/entry.go
+++ b/node/entry.go
@@ -46,9 +46,9 @@
 	defer n.dispatch.CloseLedger(ledger)
 	p := n.callParams(in, op)
 	p.Ledger = ledger
-	p.Holder = holder
-	p.Entering = true
-	p.Resend = op.ExtraAttempts > 0 && ledger.Left() == 0
+	p.KeyHolder = holder
+	p.FromCaller = true
+	p.CallerResend = op.ExtraAttempts > 0 && ledger.Available() == 0
 	return n.dispatch.Call(ctx, p)
 }
 
@@ -130,7 +130,7 @@
 		return call.OutcomeOf(err)
 	}
 	parent := r.task
-	if !parent.Operation.Allows(in.Service, in.Operation) {
+	if !parent.Operation.DeclaresCall(in.Service, in.Operation) {
 		return call.OutcomeOf(verdict.Refuse(verdict.UndeclaredCall, "%s.%s does not declare a call to %s.%s",
 			parent.Request.Service, parent.Request.Operation, in.Service, in.Operation))
 	}
@@ -139,14 +139,14 @@
 		return call.OutcomeOf(err)
 	}
 	p := n.callParams(in, op)
-	p.Holder = holder
+	p.KeyHolder = holder
 	p.RequestID = parent.Request.RequestID
 	p.Importance = lowerImportance(parent.Request.Importance, in.Importance)
 	if p.Importance == parent.Request.Importance {
-		p.Bars = parent.Request.Bars
+		p.AdmittedLevels = parent.Request.AdmittedLevels
 	}
 	p.Depth = parent.Request.Depth + 1
-	p.Fanout = len(parent.Operation.DependsOn)
+	p.Fanout = len(parent.Operation.Calls)
 	p.Ledger = r.ledger
 	if parent.Deadline.Before(p.Deadline) {
 		p.Deadline = parent.Deadline
--- a/node/spread_levels.go
+++ b/node/level_gossip.go
@@ -8,18 +8,18 @@
 	"github.com/cassialoom/cassialoom/wire"
 )
 
-// NewsFanOut is the number of nodes that each round of level gossip is sent to.
-const NewsFanOut = 3
+// GossipFanOut is the number of nodes that each round of level gossip is sent to.
+const GossipFanOut = 3
 
 // levelsMessage carries the known admission levels of services to a peer.
 type levelsMessage struct {
-	News []call.LevelNews `cbor:"1,keyasint"`
+	LevelGossip []call.LevelNews `cbor:"1,keyasint"`
 }
 
 // gossipLevels sends admission levels to peers at random intervals while any is above
 // zero. Without one it sleeps until the next is received.
 func (n *Node) gossipLevels() {
-	interval := n.cfg.Dispatch.News.Interval
+	interval := n.cfg.Dispatch.LevelGossip.Interval
 	if interval <= 0 {
 		return
 	}
@@ -31,11 +31,11 @@
 			return
 		case <-timer.C:
 		}
-		levels := n.dispatch.TellLevels(time.Now())
+		levels := n.dispatch.OutgoingGossip(time.Now())
 		if len(levels) == 0 && !n.awaitLevels() {
 			return
 		}
-		n.sendLevels(levelsMessage{News: levels})
+		n.sendLevels(levelsMessage{LevelGossip: levels})
 		timer.Reset(interval/2 + rand.N(interval))
 	}
 }
@@ -58,10 +58,10 @@
 	}
 }
 
-// sendLevels sends a message to NewsFanOut connected nodes: most in the own data centre,
+// sendLevels sends a message to GossipFanOut connected nodes: most in the own data centre,
 // where traffic is cheap, and one in another, so that the gossip reaches all data centres.
 func (n *Node) sendLevels(m levelsMessage) {
-	if len(m.News) == 0 {
+	if len(m.LevelGossip) == 0 {
 		return
 	}
 	var local, remote []wire.NodeID
@@ -79,8 +79,8 @@
 	rand.Shuffle(len(local), func(i, j int) { local[i], local[j] = local[j], local[i] })
 	rand.Shuffle(len(remote), func(i, j int) { remote[i], remote[j] = remote[j], remote[i] })
 	remoteCount := min(1, len(remote))
-	localCount := min(NewsFanOut-remoteCount, len(local))
-	remoteCount = min(NewsFanOut-localCount, len(remote))
+	localCount := min(GossipFanOut-remoteCount, len(local))
+	remoteCount = min(GossipFanOut-localCount, len(remote))
 	for _, id := range append(local[:localCount], remote[:remoteCount]...) {
 		n.outbox.sendIfConnected(id, wire.KindLevels, m)
 	}
@@ -88,6 +88,6 @@
 
 // handleLevels applies the admission levels that a peer reports.
 func (n *Node) handleLevels(m levelsMessage) {
-	n.dispatch.HearLevels(time.Now(), m.News)
+	n.dispatch.ReceiveGossip(time.Now(), m.LevelGossip)
 	n.wakeLevelGossip()
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -31,7 +31,7 @@
 	}
 	now := time.Now()
 	if c.Dialed() != "" {
-		n.members.with(func(m *membership.Members) { m.Answered(now, c.Dialed(), c.Peer().ID) })
+		n.members.with(func(m *membership.Members) { m.PeerAnswered(now, c.Dialed(), c.Peer().ID) })
 		return
 	}
 	// A node that dials is up, even if the log does not list it yet.
@@ -49,14 +49,14 @@
 // nodes at once, so that calls soon avoid it if it has failed.
 func (h *peerHandler) Suspended(c *transport.Conn) {
 	n := (*Node)(h)
-	n.counts.PeerStalls.Add(1)
+	n.counts.QuarantinedPeerConns.Add(1)
 	n.dispatch.Unreachable(c.Peer().ID)
 	now := time.Now()
-	n.members.with(func(m *membership.Members) { m.Failed(now, c.Peer().ID) })
+	n.members.with(func(m *membership.Members) { m.PeerUnreachable(now, c.Peer().ID) })
 }
 
-// Busy implements transport.Handler.
-func (h *peerHandler) Busy(id wire.NodeID) bool {
+// OwesReply implements transport.Handler.
+func (h *peerHandler) OwesReply(id wire.NodeID) bool {
 	return (*Node)(h).server.owesReply(id)
 }
 
@@ -94,7 +94,7 @@
 var messageNames = map[wire.Kind]string{
 	wire.KindCall: "call", wire.KindReply: "reply", wire.KindCancel: "cancel", wire.KindMembership: "membership",
 	wire.KindConfig: "config", wire.KindPoison: "poison", wire.KindRoutes: "routes", wire.KindLevels: "levels",
-	wire.KindQuotaAsk: "quota", wire.KindQuotaAnswer: "quota", wire.KindQuotaClaim: "quota",
+	wire.KindQuotaRequest: "quota", wire.KindQuotaAnswer: "quota", wire.KindQuotaClaim: "quota",
 }
 
 // countPeerBytes counts the bytes of a message by its kind, with the suffix "_far" if it
@@ -123,7 +123,7 @@
 		return decode(f, func(m levelsMessage) { n.handleLevels(m) })
 	case wire.KindPoison:
 		return decode(f, func(m poison.Notice) { n.handleNotice(m) })
-	case wire.KindQuotaAsk:
+	case wire.KindQuotaRequest:
 		return decode(f, func(m quotaRequest) { n.handleQuotaRequest(from, m) })
 	case wire.KindQuotaAnswer:
 		return decode(f, func(m quotaAnswer) { n.handleQuotaAnswer(from, m) })
@@ -174,8 +174,8 @@
 		return
 	}
 	if r.ConfigVersion > n.graph.asOf() {
-		n.applyConfigActions(n.graph.update(func(s *config.Spread) config.Actions {
-			return s.SawVersion(time.Now(), from, r.ConfigVersion)
+		n.applyConfigActions(n.graph.update(func(s *config.Distributor) config.Actions {
+			return s.ReceiveOffset(time.Now(), from, r.ConfigVersion)
 		}))
 	}
 }
@@ -189,5 +189,5 @@
 
 func (n *Node) handleConfig(from wire.NodeID, msg config.Message) {
 	now := time.Now()
-	n.applyConfigActions(n.graph.update(func(s *config.Spread) config.Actions { return s.Receive(now, from, msg) }))
+	n.applyConfigActions(n.graph.update(func(s *config.Distributor) config.Actions { return s.Receive(now, from, msg) }))
 }
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -24,11 +24,11 @@
 
 	mu          sync.Mutex
 	tokenClient *quota.Holder
-	issuer      *quota.Bank
-	leaseTerm   quota.Tenure
+	issuer      *quota.TokenIssuer
+	leaseTerm   quota.LeaseTerm
 	owners      *quota.Owners
-	proof       freshness.Keeper
-	eras        freshness.Eras
+	proof       freshness.ProofTracker
+	eras        freshness.EraTracker
 	// requests are those that await an answer, at most one per node.
 	requests map[wire.NodeID]openRequest
 	// number is that of the latest request.
@@ -57,7 +57,7 @@
 type openRequest struct {
 	number        uint64
 	sent          time.Time
-	tokenRequests []quota.Want
+	tokenRequests []quota.TokenRequest
 }
 
 func newQuotas(cfg quota.Config, freshWithin, provenWithin time.Duration, clock bootclock.Clock) *quotas {
@@ -67,7 +67,7 @@
 		provenWithin: provenWithin,
 		clock:        clock,
 		tokenClient:  quota.NewHolder(cfg),
-		issuer:       quota.NewBank(cfg),
+		issuer:       quota.NewTokenIssuer(cfg),
 		owners:       quota.NewOwners(),
 		requests:     make(map[wire.NodeID]openRequest),
 		changed:      make(chan struct{}),
@@ -86,7 +86,7 @@
 // inForce records the version of the routes that is in force.
 func (q *quotas) inForce(version uint64) {
 	q.with(func(time.Time) {
-		q.proof.InForce(version)
+		q.proof.SetInForce(version)
 		q.notifyWaiters()
 	})
 }
@@ -136,12 +136,12 @@
 
 // takeToken takes a token of a workspace, or returns why there is none and a channel that
 // closes when that may change. waited says that the request has waited for a token before.
-func (q *quotas) takeToken(workspace string, waited bool) (t quota.Token, answer quota.Answer, changed <-chan struct{}) {
+func (q *quotas) takeToken(workspace string, waited bool) (t quota.Token, answer quota.TakeResult, changed <-chan struct{}) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock()
 	if waited {
-		t, answer = q.tokenClient.Again(now, workspace)
+		t, answer = q.tokenClient.TakeAfterWait(now, workspace)
 	} else {
 		t, answer = q.tokenClient.Take(now, workspace)
 	}
@@ -156,15 +156,15 @@
 
 // awaitFresh waits for a sufficiently recent freshness proof, at most Quota.WaitMost.
 func (n *Node) awaitFresh(ctx context.Context) *verdict.Error {
-	until := time.Now().Add(n.cfg.Quota.WaitMost)
+	until := time.Now().Add(n.cfg.Quota.MaxWait)
 	for {
 		ok, changed := n.quotas.noteKeyUse()
 		if ok {
 			return nil
 		}
 		if !awaitChange(ctx, changed, until) {
-			return verdict.Refuse(verdict.StaleConfiguration, "cannot verify that the configuration is no older than %s", n.cfg.FreshWithin).
-				WithRetryAfter(n.cfg.Quota.UnknownComeBack)
+			return verdict.Refuse(verdict.StaleConfiguration, "cannot verify that the configuration is no older than %s", n.cfg.MaxConfigAge).
+				WithRetryAfter(n.cfg.Quota.RetryAfterNoOwner)
 		}
 	}
 }
@@ -177,16 +177,16 @@
 		n.quotas.addWaiting(workspace, 1)
 		defer n.quotas.addWaiting(workspace, -1)
 	}
-	until := time.Now().Add(n.cfg.Quota.WaitMost)
+	until := time.Now().Add(n.cfg.Quota.MaxWait)
 	for answer == quota.Wait {
 		if !awaitChange(ctx, changed, until) {
 			return quota.Token{}, verdict.Refuse(verdict.QuotaUnknown, "no owner answered for the quota of workspace %s in time", workspace).
-				WithRetryAfter(n.cfg.Quota.UnknownComeBack)
+				WithRetryAfter(n.cfg.Quota.RetryAfterNoOwner)
 		}
 		token, answer, changed = n.quotas.takeToken(workspace, true)
 	}
-	if answer == quota.Over {
-		return quota.Token{}, verdict.Refuse(verdict.OverQuota, "workspace %s has used its quota", workspace).WithRetryAfter(n.cfg.Quota.ComeBack)
+	if answer == quota.QuotaExceeded {
+		return quota.Token{}, verdict.Refuse(verdict.OverQuota, "workspace %s has used its quota", workspace).WithRetryAfter(n.cfg.Quota.RetryAfter)
 	}
 	return token, nil
 }
--- a/node/run.go
+++ b/node/run.go
@@ -23,7 +23,7 @@
 	for _, notice := range e.Notices {
 		n.broadcastNotice(notice)
 	}
-	for _, tell := range e.Tell {
+	for _, tell := range e.DirectNotices {
 		for _, notice := range tell.Notices {
 			n.outbox.sendToMember(tell.To, wire.KindPoison, notice)
 		}
@@ -75,7 +75,7 @@
 	callMayHaveRun := n.server.removeRun(r)
 	result := n.result(r, res, callMayHaveRun)
 	if res.Broken {
-		n.counts.BackendBroken.Add(1)
+		n.counts.BackendConnsBroken.Add(1)
 	}
 	if res.Crashed {
 		n.backendCrashed(inst.start)
@@ -89,19 +89,19 @@
 func (n *Node) result(r *run, res backend.Result, callMayHaveRun bool) serve.Result {
 	callUse, callsFailed := n.server.callUse(r)
 	result := serve.Result{
-		Verdict:     res.Verdict,
-		Reason:      res.Reason,
-		Detail:      res.Detail,
-		RetryAfter:  res.RetryAfter,
-		Status:      res.Status,
-		Header:      res.Header,
-		Body:        res.Body,
-		Latency:     res.Latency,
-		Crashed:     res.Crashed,
-		Offered:     res.Offered,
-		Used:        callUse,
-		CallsFailed: callsFailed,
-		Unused:      n.dispatch.CloseLedger(r.ledger),
+		Verdict:        res.Verdict,
+		Reason:         res.Reason,
+		Detail:         res.Detail,
+		RetryAfter:     res.RetryAfter,
+		Status:         res.Status,
+		Header:         res.Header,
+		Body:           res.Body,
+		Latency:        res.Latency,
+		Crashed:        res.Crashed,
+		ReachedBackend: res.ReachedBackend,
+		SlotTimeUsed:   callUse,
+		CallsFailed:    callsFailed,
+		UnusedGrant:    n.dispatch.CloseLedger(r.ledger),
 	}
 	// If a call made for the task may have run, the request as a whole may have
 	// run, even if the backend server declined the task itself.
@@ -117,10 +117,10 @@
 	if r.Reason != verdict.None {
 		step = explain.Lost
 	}
-	n.counts.Latencies.Observe(t.Request.Operation, ops.HopWaiting, t.Waited())
+	n.counts.Latencies.Observe(t.Request.Operation, ops.HopQueue, t.Waited())
 	n.counts.Latencies.Observe(t.Request.Operation, ops.HopBackend, r.Latency)
 	now := time.Now()
-	n.notes.Note(now, explain.Event{
+	n.notes.Record(now, explain.Event{
 		RequestID:     t.Request.RequestID,
 		RootRequestID: t.Request.RootRequestID,
 		Service:       t.Request.Service,
@@ -132,15 +132,15 @@
 		Detail:        r.Detail,
 		Target:        inst.start.ID,
 		Waited:        t.Waited(),
-		Took:          r.Latency,
-		Left:          t.Deadline.Sub(now),
+		Duration:      r.Latency,
+		Remaining:     t.Deadline.Sub(now),
 	})
 }
 
 // reply sends a reply to the node that made the call.
 func (n *Node) reply(now time.Time, r call.Reply) {
 	if r.Verdict == verdict.NotRun {
-		n.notes.Note(now, explain.Event{
+		n.notes.Record(now, explain.Event{
 			Step: explain.Declined, RequestID: r.RequestID, Service: n.cfg.Service, Verdict: r.Verdict.String(),
 			Reason: r.Reason, Detail: r.Detail, RetryAfter: r.RetryAfter, Target: r.To.Short(),
 		})
@@ -168,7 +168,7 @@
 // connection of the call has ended here, another one is used, since the caller's
 // node may not have noticed the end yet.
 func (n *Node) replyConn(r call.Reply) (*transport.Conn, bool) {
-	if c, ok := n.peers.Numbered(r.ConnNumber); ok {
+	if c, ok := n.peers.ByNumber(r.ConnNumber); ok {
 		return c, true
 	}
 	return n.peers.Lookup(r.To)
--- a/transport/stall.go
+++ b/transport/stall.go
@@ -72,9 +72,9 @@
 	return now.Sub(r.oldest)
 }
 
-// Answered records the answer to a call that was sent at sent. It confirms all
+// MarkAnswered records the answer to a call that was sent at sent. It confirms all
 // messages written before that call as well.
-func (c *Conn) Answered(sent time.Time) { c.unackedCalls.acked(sent) }
+func (c *Conn) MarkAnswered(sent time.Time) { c.unackedCalls.acked(sent) }
 
 // probeSuspects pings the suspect connections.
 func (t *Transport) probeSuspects(now time.Time) {
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -32,9 +32,9 @@
 	// confirm in time that calls arrive, and new messages use another
 	// connection.
 	Suspended(c *Conn)
-	// Busy reports whether the peer waits for an answer, so that its connection
+	// OwesReply reports whether the peer waits for an answer, so that its connection
 	// must not be closed as idle.
-	Busy(id wire.NodeID) bool
+	OwesReply(id wire.NodeID) bool
 }
 
 // Transport manages the connections of one node to its peers. It is safe for
@@ -359,8 +359,8 @@
 	return c, ok
 }
 
-// Numbered returns the open connection with the given Conn.Number.
-func (t *Transport) Numbered(number uint64) (*Conn, bool) {
+// ByNumber returns the open connection with the given Conn.Number.
+func (t *Transport) ByNumber(number uint64) (*Conn, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c, ok := t.byNumber[number]
@@ -408,7 +408,7 @@
 
 func (t *Transport) closeIdle(now time.Time) {
 	for _, c := range t.idle(now) {
-		if !t.handler.Busy(c.peer.ID) {
+		if !t.handler.OwesReply(c.peer.ID) {
 			c.Close()
 		}
 	}
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -30,9 +30,9 @@
 	KindOpened
 	// KindLevels: admission levels.
 	KindLevels
-	// KindQuotaAsk: quota request to the node that owns the quota.
-	KindQuotaAsk
-	// KindQuotaAnswer: answer to KindQuotaAsk.
+	// KindQuotaRequest: quota request to the node that owns the quota.
+	KindQuotaRequest
+	// KindQuotaAnswer: answer to KindQuotaRequest.
 	KindQuotaAnswer
 	// KindQuotaClaim: claim of a node to own quotas.
 	KindQuotaClaim
