--- a/internal/soak/broken_test.go
+++ b/internal/soak/broken_test.go
@@ -39,14 +39,14 @@
 	{
 		name: "an answer to another request is accepted",
 		edits: []edit{
-			{"platform/target.go", "return backend.Foreign, 0", "return backend.Answered, 0"},
+			{"platform/dialect.go", "return backend.Stray, 0", "return backend.Answered, 0"},
 		},
 		faults:  []string{"send second answers"},
 		promise: "whole answer",
 	},
 	{
 		name:    "a leaving backend server stays in use",
-		edits:   []edit{{"node/heartbeat.go", "ready:    !b.Leaving,", "ready: true,"}},
+		edits:   []edit{{"node/incarnations.go", "ready:       !b.Draining,", "ready: true,"}},
 		faults:  []string{"replace the backend server"},
 		promise: "gets no work for long",
 	},
@@ -62,20 +62,20 @@
 	{
 		name: "a new backend incarnation is not accepted",
 		edits: []edit{
-			{"node/heartbeat.go", "before.sequence || n.starts.has(b.Instance)", "before.sequence || !same && before.boot != \"\" || n.starts.has(b.Instance)"},
+			{"node/incarnations.go", "if s.hasEnded(b.Start) || b.Start.Born < s.latestBorn {", "if s.hasEnded(b.Start) || !sameIncarnation(known, b) && known.start.ID != \"\" {"},
 		},
 		faults:  []string{"crash the backend server"},
 		promise: "recovers",
 	},
 	{
 		name:    "a node without a freshness proof keeps serving",
-		edits:   []edit{{"node/proofs.go", "return !q.proved(q.clock(), proofLate)", "return false"}},
+		edits:   []edit{{"node/proofs.go", "return !q.proofWithin(now, proofReadShare),", "return false,"}},
 		faults:  []string{"kill the node"},
 		promise: "in force in time",
 	},
 	{
 		name:    "a revoked key is served",
-		edits:   []edit{{"node/authorize.go", "if !known && !route.Open {", "if !known && false {"}},
+		edits:   []edit{{"node/authorize.go", "if !known && !route.NoKeyRequired {", "if !known && false {"}},
 		faults:  []string{"publish routes"},
 		promise: "revoked key",
 	},
