--- a/node/quotas.go
+++ b/node/quotas.go
@@ -23,7 +23,7 @@
 	clock                     bootclock.Clock
 
 	mu          sync.Mutex
-	tokenClient *quota.Holder
+	tokenClient *quota.TokenClient
 	issuer      *quota.TokenIssuer
 	leaseTerm   quota.LeaseTerm
 	owners      *quota.Owners
@@ -66,7 +66,7 @@
 		freshWithin:  freshWithin,
 		provenWithin: provenWithin,
 		clock:        clock,
-		tokenClient:  quota.NewHolder(cfg),
+		tokenClient:  quota.NewTokenClient(cfg),
 		issuer:       quota.NewTokenIssuer(cfg),
 		owners:       quota.NewOwners(),
 		requests:     make(map[wire.NodeID]openRequest),
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -40,7 +40,7 @@
 // simNode is a simulated node.
 type simNode struct {
 	id          wire.NodeID
-	holder      *Holder
+	holder      *TokenClient
 	tokenIssuer *TokenIssuer
 	leaseTerm   LeaseTerm
 	number      uint64
@@ -119,7 +119,7 @@
 
 // restart replaces a node by one without state and with a new ID.
 func (f *fleet) restart(i int) {
-	*f.nodes[i] = simNode{holder: NewHolder(f.cfg), tokenIssuer: NewTokenIssuer(f.cfg), stoppedUntil: f.nodes[i].stoppedUntil, partitionedUntil: f.nodes[i].partitionedUntil}
+	*f.nodes[i] = simNode{holder: NewTokenClient(f.cfg), tokenIssuer: NewTokenIssuer(f.cfg), stoppedUntil: f.nodes[i].stoppedUntil, partitionedUntil: f.nodes[i].partitionedUntil}
 	f.rng.Uint64()
 	for b := range f.nodes[i].id {
 		f.nodes[i].id[b] = byte(f.rng.Uint32())
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -24,14 +24,16 @@
 	QuotaExceeded
 )
 
-// Holder manages the tokens lent to this node.
-type Holder struct {
+// TokenClient manages the tokens lent to this node.
+type TokenClient struct {
 	cfg    Config
 	states map[string]*tokenState
 }
 
-// NewHolder returns a Holder without tokens.
-func NewHolder(cfg Config) *Holder { return &Holder{cfg: cfg, states: make(map[string]*tokenState)} }
+// NewTokenClient returns a Holder without tokens.
+func NewTokenClient(cfg Config) *TokenClient {
+	return &TokenClient{cfg: cfg, states: make(map[string]*tokenState)}
+}
 
 // tokenState holds the tokens, the waiting requests and the state of token requests
 // of one workspace.
@@ -62,18 +64,18 @@
 const maxWaitForPause = 30 * time.Millisecond
 
 // Take takes a token for a new request of a workspace and counts the request as demand.
-func (h *Holder) Take(now time.Time, name string) (Token, TakeResult) {
+func (h *TokenClient) Take(now time.Time, name string) (Token, TakeResult) {
 	s := h.tokenState(name)
 	s.demand.record(now)
 	return h.takeToken(now, name, s)
 }
 
 // TakeAfterWait takes a token for a request that has waited. It does not count as new demand.
-func (h *Holder) TakeAfterWait(now time.Time, name string) (Token, TakeResult) {
+func (h *TokenClient) TakeAfterWait(now time.Time, name string) (Token, TakeResult) {
 	return h.takeToken(now, name, h.tokenState(name))
 }
 
-func (h *Holder) takeToken(now time.Time, name string, s *tokenState) (Token, TakeResult) {
+func (h *TokenClient) takeToken(now time.Time, name string, s *tokenState) (Token, TakeResult) {
 	s.dropExpiredTokens(now)
 	if len(s.batches) > 0 {
 		l := &s.batches[0]
@@ -92,7 +94,7 @@
 
 // Return gives back the token of a request that was not run. The token may be used for
 // at most Config.ReturnedTokenTTL.
-func (h *Holder) Return(now time.Time, t Token) {
+func (h *TokenClient) Return(now time.Time, t Token) {
 	s, ok := h.states[t.workspace]
 	if ok && now.Before(t.expiresAt) {
 		s.addBatch(tokenBatch{count: 1, expiresAt: earlierOf(t.expiresAt, now.Add(h.cfg.ReturnedTokenTTL))})
@@ -107,12 +109,12 @@
 }
 
 // Waiting adds change to the number of requests of a workspace that wait for a token.
-func (h *Holder) Waiting(name string, change int) {
+func (h *TokenClient) Waiting(name string, change int) {
 	s := h.tokenState(name)
 	s.waiting = uint32(max(0, int(s.waiting)+change))
 }
 
-func (h *Holder) tokenState(name string) *tokenState {
+func (h *TokenClient) tokenState(name string) *tokenState {
 	s, ok := h.states[name]
 	if !ok {
 		s = &tokenState{}
@@ -124,7 +126,7 @@
 // DueRequests returns the token requests that are due, in no particular order: for workspaces
 // with waiting requests or too few tokens. It skips workspaces for which due returns
 // false.
-func (h *Holder) DueRequests(now time.Time, due func(workspace string) bool) []TokenRequest {
+func (h *TokenClient) DueRequests(now time.Time, due func(workspace string) bool) []TokenRequest {
 	var wants []TokenRequest
 	for name, s := range h.states {
 		s.dropExpiredTokens(now)
@@ -157,7 +159,7 @@
 }
 
 // RequestsSent records that the token requests were sent to an owner.
-func (h *Holder) RequestsSent(now time.Time, wants []TokenRequest) {
+func (h *TokenClient) RequestsSent(now time.Time, wants []TokenRequest) {
 	h.setInFlight(wants, true)
 	for _, w := range wants {
 		h.tokenState(w.Workspace).requestedAt = now
@@ -165,10 +167,10 @@
 }
 
 // RequestsFailed records that the token requests failed or timed out.
-func (h *Holder) RequestsFailed(wants []TokenRequest) { h.setInFlight(wants, false) }
+func (h *TokenClient) RequestsFailed(wants []TokenRequest) { h.setInFlight(wants, false) }
 
 // setInFlight records whether token requests for the workspaces are in flight.
-func (h *Holder) setInFlight(wants []TokenRequest, inFlight bool) {
+func (h *TokenClient) setInFlight(wants []TokenRequest, inFlight bool) {
 	for _, w := range wants {
 		if s, ok := h.states[w.Workspace]; ok {
 			s.inFlight = inFlight
@@ -179,7 +181,7 @@
 // ApplyGrants applies an owner's answer to the token requests sent at the given time. For a
 // workspace that the answer does not name the next request is delayed by
 // Config.RetryDelay; without the delay waiting requests would cause a loop of messages.
-func (h *Holder) ApplyGrants(now, sent time.Time, wants []TokenRequest, grants []Grant) {
+func (h *TokenClient) ApplyGrants(now, sent time.Time, wants []TokenRequest, grants []Grant) {
 	h.setInFlight(wants, false)
 	for _, w := range wants {
 		answered := slices.ContainsFunc(grants, func(g Grant) bool { return g.Workspace == w.Workspace })
--- a/quota/holder_test.go
+++ b/quota/holder_test.go
@@ -15,7 +15,7 @@
 // tokens would stay unused, and its callers would get 429 below their quota.
 func TestWaitingRequestWithArrivedTokenIsNotCountedAgain(t *testing.T) {
 	is := is.New(t)
-	h := NewHolder(testConfig())
+	h := NewTokenClient(testConfig())
 	_, answer := h.Take(startTime, hotWorkspace)
 	is.Equal(answer, Wait)
 	h.Waiting(hotWorkspace, 1)
@@ -34,7 +34,7 @@
 func TestTokenRequestsPauseWhenQuotaIsUsedUp(t *testing.T) {
 	is := is.New(t)
 	cfg := testConfig()
-	h := NewHolder(cfg)
+	h := NewTokenClient(cfg)
 	h.Take(startTime, hotWorkspace)
 	h.Waiting(hotWorkspace, 1)
 	wants := h.DueRequests(startTime, allDue)
@@ -52,7 +52,7 @@
 func TestReturnedTokenExpiresSoon(t *testing.T) {
 	is := is.New(t)
 	cfg := testConfig()
-	h := NewHolder(cfg)
+	h := NewTokenClient(cfg)
 	h.Take(startTime, hotWorkspace)
 	h.ApplyGrants(startTime, startTime, nil, []Grant{{Workspace: hotWorkspace, Prefetch: 2}})
 	token, answer := h.Take(startTime, hotWorkspace)
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -6,7 +6,7 @@
 //
 // One node owns the quota of a workspace. Its TokenIssuer fills a token bucket
 // at the rate of the quota and lends tokens to the nodes at which requests enter. A
-// token client (Holder) on each of these nodes spends one token per request. Lent
+// token client (TokenClient) on each of these nodes spends one token per request. Lent
 // tokens that are not used count against the size of the bucket until they expire, so
 // that the tokens of a crashed node become available again.
 //
