--- a/quota/holder.go
+++ b/quota/holder.go
@@ -30,7 +30,7 @@
 	states map[string]*tokenState
 }
 
-// NewTokenClient returns a Holder without tokens.
+// NewTokenClient returns a TokenClient without tokens.
 func NewTokenClient(cfg Config) *TokenClient {
 	return &TokenClient{cfg: cfg, states: make(map[string]*tokenState)}
 }
