--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -81,7 +81,7 @@
 	return &l, openAll([]endpoint{
 		{"callers", s.CallersAddr, &l.callers},
 		{"heartbeats", s.HeartbeatsAddr, &l.heartbeats},
-		{"ready", s.Ready, &l.ready},
+		{"ready", s.ReadyAddr, &l.ready},
 		{"peers", s.PeersAddr, &l.peers},
 		{"ops", s.Ops, &l.ops},
 	})
