--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -23,9 +23,9 @@
 	WarmupRemaining time.Duration
 }
 
-// Beat applies a heartbeat of the backend server of this node. Once it returns, an
+// ReceiveHeartbeat applies a heartbeat of the backend server of this node. Once it returns, an
 // incarnation that is leaving gets no more requests.
-func (n *Node) Beat(now time.Time, b Heartbeat) {
+func (n *Node) ReceiveHeartbeat(now time.Time, b Heartbeat) {
 	before, after, taken := n.applyHeartbeat(now, b)
 	if !taken {
 		n.counts.LateHeartbeats.Add(1)
--- a/node/routing_test.go
+++ b/node/routing_test.go
@@ -144,7 +144,7 @@
 	a := c.Add("a", testnode.Echo)
 	a.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), "store")
 	beat := func(instance string, sequence uint64, leaving bool) {
-		a.Node.Beat(time.Now(), node.Heartbeat{Start: node.Start{ID: instance}, URL: a.Backend.URL, Slots: 4, Sequence: sequence, Draining: leaving})
+		a.Node.ReceiveHeartbeat(time.Now(), node.Heartbeat{Start: node.Start{ID: instance}, URL: a.Backend.URL, Slots: 4, Sequence: sequence, Draining: leaving})
 	}
 	serves := func() bool { return forward(a, "a", "r", "").Verdict == verdict.Ran }
 
@@ -174,7 +174,7 @@
 	a.Node.Publish(routesText{Version: 1, Services: []string{"a"}}.encode(t), "store")
 	start := func(born int64) node.Start { return node.Start{ID: "x", Born: born} }
 	beat := func(born int64, sequence uint64) {
-		a.Node.Beat(time.Now(), node.Heartbeat{Start: start(born), URL: a.Backend.URL, Slots: 4, Sequence: sequence})
+		a.Node.ReceiveHeartbeat(time.Now(), node.Heartbeat{Start: start(born), URL: a.Backend.URL, Slots: 4, Sequence: sequence})
 	}
 	serves := func() bool { return forward(a, "a", "r", "").Verdict == verdict.Ran }
 
@@ -254,7 +254,7 @@
 	is.True(forward(a, "a", "r", "").Verdict == verdict.NotRun)
 	found("one")
 	testnode.Await(t, "the backend server is in use", func() bool { return forward(a, "a", "r", "").Verdict == verdict.Ran })
-	a.Node.Beat(time.Now(), node.Heartbeat{Start: node.Start{ID: "one"}, URL: url, Slots: 4}) // the first, with sequence 0
+	a.Node.ReceiveHeartbeat(time.Now(), node.Heartbeat{Start: node.Start{ID: "one"}, URL: url, Slots: 4}) // the first, with sequence 0
 	is.Equal(a.Counters.LateHeartbeats.Value(), int64(0))
 	found("two")
 	is.Equal(a.State().Backend.Incarnation, "one")
