--- a/readers/readers_test.go
+++ b/readers/readers_test.go
@@ -200,7 +200,7 @@
 	is.Equal(r.Next(start, s).Action, Pause) // the readers are not known yet
 	later := start.Add(DefaultRoutesConfig().SettleTime)
 	is.Equal(r.Next(later, s), Step{ReadChanges, DefaultRoutesConfig().Wait})
-	r.Gone()
+	r.PositionExpired()
 	is.Equal(r.Next(later, s).Action, ReadCurrent)
 }
 
--- a/readers/routes.go
+++ b/readers/routes.go
@@ -82,7 +82,7 @@
 
 // Routes plans the reads of the operator's routes by one node. The caller
 // calls Next, performs the step and, unless it is Pause, reports the result by
-// Answered, Gone or Failed. It is not safe for concurrent use.
+// Answered, PositionExpired or Failed. It is not safe for concurrent use.
 type Routes struct {
 	cfg     RoutesConfig
 	rng     *rand.Rand
@@ -203,9 +203,11 @@
 	}
 }
 
-// Gone records that the store no longer has the position to read from. The
+// PositionExpired records that the store no longer has the position to read from. The
 // current routes are read again at once.
-func (r *Routes) Gone() { r.canFollow, r.checkAt, r.nextProofAt = false, time.Time{}, time.Time{} }
+func (r *Routes) PositionExpired() {
+	r.canFollow, r.checkAt, r.nextProofAt = false, time.Time{}, time.Time{}
+}
 
 // Failed records that the last read failed.
 func (r *Routes) Failed(now time.Time) {
