--- a/entry/listener.go
+++ b/entry/listener.go
@@ -30,7 +30,7 @@
 }
 
 // Close implements net.Listener. Further calls do nothing and return nil:
-// http.Server.Shutdown closes the listener again after LastCall, and its error
+// http.Server.Shutdown closes the listener again after DrainConnections, and its error
 // would be reported as a failed stop.
 func (l *CountingListener) Close() (err error) {
 	l.closed.Do(func() { err = l.Listener.Close() })
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -154,7 +154,7 @@
 	q.wakeLoop()
 }
 
-// awaitFresh waits for a sufficiently recent freshness proof, at most Quota.WaitMost.
+// awaitFresh waits for a sufficiently recent freshness proof, at most Quota.MaxWait.
 func (n *Node) awaitFresh(ctx context.Context) *verdict.Error {
 	until := time.Now().Add(n.cfg.Quota.MaxWait)
 	for {
@@ -170,7 +170,7 @@
 }
 
 // awaitToken takes a token of a workspace. While it is unknown whether there is one, it waits
-// at most Quota.WaitMost.
+// at most Quota.MaxWait.
 func (n *Node) awaitToken(ctx context.Context, workspace string) (quota.Token, *verdict.Error) {
 	token, answer, changed := n.quotas.takeToken(workspace, false)
 	if answer == quota.Wait {
--- a/once/binder.go
+++ b/once/binder.go
@@ -152,8 +152,8 @@
 	return b.expire(b.clock.ageAt(now))
 }
 
-// HasPending reports whether a key waits for its binding, so that Tick, WantAppend and
-// WantRead must be called often.
+// HasPending reports whether a key waits for its binding, so that Tick, NextAppend and
+// NextRead must be called often.
 func (b *Binder) HasPending() bool { return len(b.pending) > 0 }
 
 // Dump returns a snapshot of the state.
--- a/poison/table.go
+++ b/poison/table.go
@@ -106,7 +106,7 @@
 	delete(t.entries, e.fp)
 }
 
-// sweep removes expired entries, at most once per sweepEvery.
+// sweep removes expired entries, at most once per sweepInterval.
 func (t *table) sweep(now time.Time) {
 	if now.Sub(t.lastSweep) < sweepInterval {
 		return
--- a/serve/prove_test.go
+++ b/serve/prove_test.go
@@ -194,7 +194,7 @@
 	is.NoErr(deliverLateCopy(t, newMachine(t, 2)))
 }
 
-// Checks that lateCopy detects a callee that does not remember attempts.
+// Checks that deliverLateCopy detects a callee that does not remember attempts.
 func TestLateCopyCheckDetectsNaiveCallee(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(t, 2)
