--- a/queue/queue.go
+++ b/queue/queue.go
@@ -89,6 +89,8 @@
 	r.yieldOrder.remove(e)
 }
 
+// yieldsSooner orders entries by the time at which they stop yielding to calls with less
+// spare time, then by arrival.
 func yieldsSooner[T any](a, b *entry[T]) bool {
 	if !a.yieldsUntil.Equal(b.yieldsUntil) {
 		return a.yieldsUntil.Before(b.yieldsUntil)
--- a/reach/reach.go
+++ b/reach/reach.go
@@ -42,6 +42,8 @@
 	names []string
 }
 
+// reachedService is a service that requests of a route were last observed to reach at
+// lastSeen.
 type reachedService struct {
 	name     string
 	lastSeen time.Time
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// makeRoomForRoute reports whether another route fits. If the book is full it first
+// makeRoomForRoute reports whether another route fits. If the tracker is full it first
 // removes the routes whose services have all expired.
 func (b *Tracker) makeRoomForRoute(now time.Time) bool {
 	if len(b.routes) < b.cfg.MaxRoutes {
--- a/retry/requests.go
+++ b/retry/requests.go
@@ -16,8 +16,9 @@
 	order []rememberedRequest // oldest first
 }
 
+// rememberedRequest is a request that has received its allowance.
 type rememberedRequest struct {
-	id uint64
+	id uint64 // hash of the request ID
 	at time.Time
 }
 
