--- a/admission/level_gossip.go
+++ b/admission/level_gossip.go
@@ -9,8 +9,8 @@
 	"github.com/cassialoom/cassialoom/call"
 )
 
-// LevelGossipConfig configures LevelGossip. With the zero value, LevelGossip neither accepts nor publishes
-// anything.
+// LevelGossipConfig configures LevelGossip. With the zero value, LevelGossip neither
+// accepts nor publishes anything.
 type LevelGossipConfig struct {
 	// Interval is the time between two rounds of gossip. It is shorter than the time in
 	// which a level settles.
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -2,14 +2,14 @@
 // attempt to that server's node, matches the answer, and decides whether to try again.
 //
 // Guarantees:
-// - "not run" is returned only if every attempt was refused by the incarnation that it
-// was sent to, or was never sent.
-// - A call that is not idempotent and may have run is not attempted again, unless its
-// key binds it to the incarnation that gets the next attempt.
-// - An answer is accepted only for the attempt that it names, from the incarnation that
-// the attempt was sent to.
-// - Every retry takes one extra attempt from the request's ledger and one from the
-// node's budget, except as Config.MaxReroutes and Config.MaxReoffers say.
+//   - "not run" is returned only if every attempt was refused by the incarnation that it
+//     was sent to, or was never sent.
+//   - A call that is not idempotent and may have run is not attempted again, unless its
+//     key binds it to the incarnation that gets the next attempt.
+//   - An answer is accepted only for the attempt that it names, from the incarnation that
+//     the attempt was sent to.
+//   - Every retry takes one extra attempt from the request's ledger and one from the
+//     node's budget, except as Config.MaxReroutes and Config.MaxReoffers say.
 package dispatch
 
 import (
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -100,7 +100,7 @@
 			locks[ev.host].Lock()
 			defer locks[ev.host].Unlock()
 			h := e.hosts[ev.host]
-			e.cfg.Say("%7.3f s %s: %s for up to %v", time.Since(begin).Seconds(), h.Name, ev.fault.name, ev.duration.Round(time.Millisecond))
+			e.cfg.Say("%7.3f s  %s: %s for up to %v", time.Since(begin).Seconds(), h.Name, ev.fault.name, ev.duration.Round(time.Millisecond))
 			err := e.restartIfEnded(h)
 			if err == nil {
 				err = ev.fault.inject(ctx, e, h, ev.duration)
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -433,8 +433,8 @@
 	})
 }
 
-// Checks that the simulation detects the failure that LeaseReply.LostLeasesExpireAt prevents: without it a
-// restored store leads to an exceeded quota.
+// Checks that the simulation detects what LeaseReply.LostLeasesExpireAt prevents: without
+// it, a restored store leads to an exceeded quota.
 func TestIgnoringRestoresExceedsTheQuota(t *testing.T) {
 	is := is.New(t)
 	peak := 0
